--- a/crates/daemon/src/front/session/sending.rs
+++ b/crates/daemon/src/front/session/sending.rs
@@ -23,7 +23,7 @@
 use crate::front::baseline::routed_as;
 use crate::front::decisions;
 use crate::front::target;
-use crate::gateway::running::stake_of;
+use crate::gateway::running_exchange::stake_of;
 
 impl Session {
     /// Sends the request if it has not been, or ends it if it has been held for too long.
--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -14,14 +14,14 @@
 use kestrellock_peer::message::{LeaseEvent, TransactionState};
 use kestrellock_protocol::backend::Report;
 
-use super::notify;
+use super::notify_front;
 use super::server::ProbeAnswer;
 use crate::event::Io;
 use crate::policy::Policy;
 use crate::shared::statuses::WordOnCommit;
 
 /// Time after which replicas that have not confirmed a commit are asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(60);
+const STATUS_QUERY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// A commit that its primary has answered.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     /// Probes sent after it.
     Probes(Confirmation),
     /// What replicas say that are asked after its answer came, and the store where some do not.
-    Standings {
+    ReplicaStatuses {
         /// Where the commit stands.
         position: Position,
         /// When its answer came.
@@ -57,17 +57,17 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingCommit {
     commit: Commit,
     proof: Proof,
 }
 
-impl Waiting {
+impl PendingCommit {
     /// When the answer came of a commit that waits for the word of replicas.
-    fn wants_standings_since(&self) -> Option<Instant> {
+    fn awaits_replica_statuses_since(&self) -> Option<Instant> {
         match &self.proof {
             Proof::Probes(_) => None,
-            Proof::Standings { answered, .. } => Some(*answered),
+            Proof::ReplicaStatuses { answered, .. } => Some(*answered),
         }
     }
 }
@@ -75,11 +75,11 @@
 /// Commits of one group that wait for confirmation.
 #[derive(Debug, Default)]
 pub struct Confirmations {
-    waiting: Vec<Waiting>,
+    waiting: Vec<PendingCommit>,
     highest_term: Term,
     last_probe: ProbeNumber,
     /// When replicas were last asked how they stand.
-    asked_standings: Option<Instant>,
+    last_status_query: Option<Instant>,
 }
 
 impl Confirmations {
@@ -90,9 +90,9 @@
 
     /// The first probe that the newest waiting commit counts.
     pub fn wanted_probe(&self) -> Option<ProbeNumber> {
-        let first_probe = |waiting: &Waiting| match &waiting.proof {
+        let first_probe = |waiting: &PendingCommit| match &waiting.proof {
             Proof::Probes(confirmation) => Some(confirmation.first_probe()),
-            Proof::Standings { .. } => None,
+            Proof::ReplicaStatuses { .. } => None,
         };
         self.waiting.iter().filter_map(first_probe).max()
     }
@@ -103,7 +103,7 @@
     }
 
     /// The number that the next probe will have.
-    pub fn coming_probe(&self) -> ProbeNumber {
+    pub fn upcoming_probe(&self) -> ProbeNumber {
         self.last_probe.next()
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Adds a commit; its own primary, which reported after it, is the first to confirm.
-    pub fn wait_for(&mut self, commit: Commit, group: &Group, io: &mut Io) {
+    pub fn add_commit(&mut self, commit: Commit, group: &Group, io: &mut Io) {
         let Some(report) = commit.report else {
             return refuse(commit, Progress::Answered, Fault::BackendLost, io);
         };
@@ -134,7 +134,7 @@
         let confirmation = Confirmation::new(instance, position, group.confirmation, first_probe);
         if confirmation.verdict(group.majority()) != Verdict::Confirmed {
             let proof = Proof::Probes(confirmation);
-            return self.waiting.push(Waiting { commit, proof });
+            return self.waiting.push(PendingCommit { commit, proof });
         }
         if group.elector == Elector::Group || io.context.is_waited_for() {
             return acknowledge(commit, Some(position), io);
@@ -147,28 +147,29 @@
             offset = position.offset.0;
             "the machine list does not name this node yet: replicas are asked whether the commit stays"
         );
-        let proof = Proof::Standings { position, answered: Instant::now() };
-        self.waiting.push(Waiting { commit, proof });
+        let proof = Proof::ReplicaStatuses { position, answered: Instant::now() };
+        self.waiting.push(PendingCommit { commit, proof });
     }
 
     /// Whether replicas are to be asked now how they stand.
-    pub fn should_ask_standings(&mut self, now: Instant) -> bool {
-        let newest = self.waiting.iter().filter_map(Waiting::wants_standings_since).max();
+    pub fn should_query_replicas(&mut self, now: Instant) -> bool {
+        let newest =
+            self.waiting.iter().filter_map(PendingCommit::awaits_replica_statuses_since).max();
         let Some(newest) = newest else { return false };
-        let is_due = |asked: Instant| asked <= newest || now >= asked + ASK_AGAIN;
-        let asks = self.asked_standings.is_none_or(is_due);
+        let is_due = |asked: Instant| asked <= newest || now >= asked + STATUS_QUERY_INTERVAL;
+        let asks = self.last_status_query.is_none_or(is_due);
         if asks {
             // Read again: the answer may have come since the event was taken up.
-            self.asked_standings = Some(Instant::now());
+            self.last_status_query = Some(Instant::now());
         }
         asks
     }
 
     /// Answers the commits that the word of replicas decides.
-    pub fn decide_by_standings(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
+    pub fn resolve_by_replica_statuses(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         let mut kept = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
-            let Proof::Standings { position, answered } = waiting.proof else {
+            let Proof::ReplicaStatuses { position, answered } = waiting.proof else {
                 kept.push(waiting);
                 continue;
             };
@@ -201,8 +202,8 @@
 
     /// Gives up the commits of a front that cannot be reached. They have taken effect, so the front is
     /// told that their outcome is in doubt: it may come back on another connection and ask.
-    pub fn give_up_node(&mut self, node: &NodeName, io: &mut Io) {
-        let of_node = |waiting: &mut Waiting| waiting.commit.lease.node == *node;
+    pub fn fail_commits_of_node(&mut self, node: &NodeName, io: &mut Io) {
+        let of_node = |waiting: &mut PendingCommit| waiting.commit.lease.node == *node;
         for waiting in self.waiting.extract_if(.., of_node) {
             refuse(waiting.commit, Progress::Unconfirmed, Fault::GatewayLost, io);
         }
@@ -254,7 +255,7 @@
 fn acknowledge(commit: Commit, confirmed: Option<Position>, io: &mut Io) {
     let Commit { lease, sequence, frames, transaction, instance, .. } = commit;
     let event = LeaseEvent::Done { frames, transaction, confirmed, instance };
-    notify(&lease, sequence, event, io);
+    notify_front(&lease, sequence, event, io);
 }
 
 /// An old primary has answered so late after its replacement began that another instance may have been chosen without
@@ -278,5 +279,5 @@
         _ => "the primary did not say where the commit stands",
     };
     let refusal = Refusal::new(failure_code(stake, progress, fault), detail);
-    notify(&commit.lease, commit.sequence, LeaseEvent::Refused(refusal), io);
+    notify_front(&commit.lease, commit.sequence, LeaseEvent::Refused(refusal), io);
 }
--- a/crates/daemon/src/gateway/losses.rs
+++ b/crates/daemon/src/gateway/connection_loss.rs
@@ -4,7 +4,7 @@
 
 use super::Gateway;
 use super::pool::PoolRole;
-use super::server::{Server, Use};
+use super::server::{Purpose, Server};
 use crate::event::Io;
 use crate::metrics::ConnectionEvent;
 use crate::shared::statuses::Reachability;
@@ -21,13 +21,13 @@
         }
         let Some(state) = self.groups.get_mut(&server.group) else { return };
         match server.purpose {
-            Use::Pooled => {
+            Purpose::Pooled => {
                 state.monitor.on_connection_lost(&server.instance, io.now);
                 if fault == Fault::BackendLost {
                     io.context.statuses.forget_evidence(&server.group);
                 }
-                if state.standings.on_ready(&server.instance, key, io) {
-                    state.questions.on_answer();
+                if state.status_queries.on_connection_ready(&server.instance, key, io) {
+                    state.evidence_queries.on_answer();
                 }
                 if let Some(reachability) = reachability {
                     let statuses = &io.context.statuses;
@@ -37,18 +37,18 @@
                     pool.on_lost(key, io.now, rand::random());
                 }
             }
-            Use::Probe => {
+            Purpose::Probe => {
                 let pool = state.pools.get(&server.instance);
                 let owned = pool.is_some_and(|pool| pool.role() == PoolRole::Owner);
                 state.monitor.on_probe_lost(&server.instance, owned, io);
             }
-            Use::Cancel => {}
+            Purpose::Cancel => {}
         }
     }
 
     /// Closes a connection that has nothing under way. That tells nothing of its instance.
     pub(super) fn close_idle(&mut self, key: usize, io: &mut Io) {
-        let pooled = self.servers.get(key).is_some_and(|server| server.purpose == Use::Pooled);
+        let pooled = self.servers.get(key).is_some_and(|server| server.purpose == Purpose::Pooled);
         if !pooled {
             return self.on_server_lost(key, Fault::BackendLost, io);
         }
@@ -62,7 +62,7 @@
     }
 
     /// Closes connections whose back end has not answered in time.
-    pub(super) fn give_up_overdue(&mut self, io: &mut Io) {
+    pub(super) fn close_overdue(&mut self, io: &mut Io) {
         let overdue: Vec<usize> = self
             .servers
             .iter()
@@ -80,7 +80,7 @@
     if !io.context.protocol.traits().positions_in_answers || server.is_idle() {
         return None;
     }
-    match (server.was_refused(), fault) {
+    match (server.is_instance_down(), fault) {
         (true, Fault::BackendLost) => Some(Reachability::Refused),
         _ => Some(Reachability::Broken),
     }
--- a/crates/daemon/src/gateway/current_position.rs
+++ b/crates/daemon/src/gateway/current_position.rs
@@ -12,27 +12,27 @@
 use crate::event::{Io, Outgoing};
 
 /// Time after which a question is forgotten; its front asks again well before.
-const QUESTION_LIFETIME: Duration = Duration::from_millis(500);
+const REQUEST_LIFETIME: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     node: NodeName,
     shard: u16,
     number: u64,
     until: Instant,
-    question: CurrentPosition,
+    query: CurrentPosition,
 }
 
 /// Questions for one group's current position.
 #[derive(Debug, Default)]
 pub struct CurrentPositions {
-    waiting: Vec<Waiting>,
+    waiting: Vec<PendingRequest>,
 }
 
 impl CurrentPositions {
     /// Takes in a front's question; probes from `first_probe` on are sent after it. A question that
     /// is asked again goes on waiting as it was.
-    pub fn ask(
+    pub fn add_request(
         &mut self,
         node: NodeName,
         shard: u16,
@@ -40,17 +40,17 @@
         first_probe: ProbeNumber,
         now: Instant,
     ) {
-        let until = now + QUESTION_LIFETIME;
-        let same = |waiting: &&mut Waiting| waiting.node == node && waiting.shard == shard;
+        let until = now + REQUEST_LIFETIME;
+        let same = |waiting: &&mut PendingRequest| waiting.node == node && waiting.shard == shard;
         match self.waiting.iter_mut().find(same) {
             Some(known) if known.number == number => known.until = until,
             Some(known) => {
                 let question = CurrentPosition::new(first_probe);
-                *known = Waiting { node, shard, number, until, question };
+                *known = PendingRequest { node, shard, number, until, query: question };
             }
             None => {
                 let question = CurrentPosition::new(first_probe);
-                self.waiting.push(Waiting { node, shard, number, until, question });
+                self.waiting.push(PendingRequest { node, shard, number, until, query: question });
             }
         }
     }
@@ -62,7 +62,7 @@
 
     /// The first probe that the newest question counts.
     pub fn wanted_probe(&self) -> Option<ProbeNumber> {
-        self.waiting.iter().map(|waiting| waiting.question.first_probe()).max()
+        self.waiting.iter().map(|waiting| waiting.query.first_probe()).max()
     }
 
     /// Takes in an instance's answer to a probe, and answers the questions that it decides.
@@ -77,7 +77,7 @@
         let report = answer.report;
         let evidence = Evidence { instance, probe: answer.number, flushed: report.flushed };
         self.waiting.retain_mut(|waiting| {
-            let position = waiting.question.on_evidence(evidence, report.role, group.majority());
+            let position = waiting.query.on_evidence(evidence, report.role, group.majority());
             let Some(position) = position else { return true };
             let number = waiting.number;
             let message = ToFront::CurrentPosition { group: name.clone(), number, position };
--- a/crates/daemon/src/gateway/primary_questions.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -11,60 +11,60 @@
 use crate::event::Io;
 
 /// Time after which instances that have not answered are asked again.
-const ANSWER_LIMIT: Duration = Duration::from_millis(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 /// Times between two questions where the answer did not help: an answer that helps does so for long.
-const REPETITION: Repetition = Repetition::new(
+const QUERY_REPETITION: Repetition = Repetition::new(
     Backoff::new(Duration::from_millis(8), Duration::from_millis(60)),
     Duration::from_millis(500),
 );
 
 #[derive(Debug)]
-struct Question {
+struct QueryRound {
     asked: Instant,
     answered: bool,
     /// Time after its answer until the next one.
-    pause: Duration,
+    delay: Duration,
 }
 
 /// Questions about one group's primary.
 #[derive(Debug)]
-pub struct PrimaryQuestions {
-    newest: Option<Question>,
+pub struct EvidenceQueries {
+    latest: Option<QueryRound>,
     repetition: Repetition,
 }
 
-impl Default for PrimaryQuestions {
+impl Default for EvidenceQueries {
     fn default() -> Self {
-        Self { newest: None, repetition: REPETITION }
+        Self { latest: None, repetition: QUERY_REPETITION }
     }
 }
 
-impl PrimaryQuestions {
+impl EvidenceQueries {
     /// The instances to ask now for evidence of `name`'s primary; none while a question is under way
     /// that will do.
-    pub fn instances_to_ask(
+    pub fn instances_to_query(
         &mut self,
         name: &GroupName,
         group: &Group,
         io: &Io,
     ) -> Vec<InstanceName> {
-        if let Some(question) = &self.newest {
-            let limit = if question.answered { question.pause } else { ANSWER_LIMIT };
+        if let Some(question) = &self.latest {
+            let limit = if question.answered { question.delay } else { ANSWER_TIMEOUT };
             if io.now < question.asked + limit {
                 return Vec::new();
             }
         }
-        let chosen = choose(name, group, io);
+        let chosen = instances_lacking_evidence(name, group, io);
         if !chosen.is_empty() {
             let pause = self.repetition.on_asked(io.now, rand::random());
-            self.newest = Some(Question { asked: Instant::now(), answered: false, pause });
+            self.latest = Some(QueryRound { asked: Instant::now(), answered: false, delay: pause });
         }
         chosen
     }
 
     /// An instance said how it stands, or could not be asked.
     pub fn on_answer(&mut self) {
-        if let Some(question) = &mut self.newest {
+        if let Some(question) = &mut self.latest {
             question.answered = true;
         }
     }
@@ -73,7 +73,7 @@
 /// The instances to ask: each replica whose last word does not cover what arrives now, since the store need
 /// not be asked if all of them answer; and the primary itself where its term is not known to be the
 /// replicas'.
-fn choose(name: &GroupName, group: &Group, io: &Io) -> Vec<InstanceName> {
+fn instances_lacking_evidence(name: &GroupName, group: &Group, io: &Io) -> Vec<InstanceName> {
     let board = io.context.statuses.group(name);
     let known = board.read().expect("a holder of the status lock panicked");
     let leader = io.context.leader(name, group).map(|leader| &leader.name);
--- a/crates/daemon/src/gateway/exchanges.rs
+++ b/crates/daemon/src/gateway/exchanges.rs
@@ -10,14 +10,14 @@
 use kestrellock_core::routing::has_reached;
 use kestrellock_peer::message::{Exchange, Placement};
 
-use super::pool::{Assigned, Assignment, Opening, Pool};
-use super::server::{Server, Use};
+use super::pool::{Assignment, Assignments, ConnectionToOpen, Pool};
+use super::server::{Purpose, Server};
 use super::{Gateway, notify_refused, ownership, refuse};
 use crate::event::Io;
 use crate::metrics::ConnectionEvent;
 
 /// The instance that was chosen for an exchange, if one was.
-pub fn placed(exchange: &Exchange) -> Option<&InstanceName> {
+pub fn chosen_instance(exchange: &Exchange) -> Option<&InstanceName> {
     match &exchange.placement {
         Placement::Instance(instance) => Some(instance),
         Placement::Any(_) => None,
@@ -33,14 +33,14 @@
         io: &mut Io,
     ) {
         if exchange.lease.node != io.context.identity.node {
-            self.last_forwarded = Some(io.now);
+            self.last_remote_exchange = Some(io.now);
         }
-        if self.ruled_out.contains_key(&exchange.lease) {
+        if self.reported_not_run.contains_key(&exchange.lease) {
             log::info!(event = "ruled_out", id = exchange.request.as_deref().unwrap_or("-"); "a statement arrived after its front was told that it has not run; it is dropped");
             return;
         }
         if let Some(&key) = self.leases.get(&exchange.lease) {
-            if self.has_drained(&self.servers[key].instance, io) {
+            if self.is_drain_over(&self.servers[key].instance, io) {
                 // What it began is rolled back with the connection.
                 self.servers[key].refuse_unsent(&exchange, Fault::Superseded, io);
                 return self.on_server_lost(key, Fault::Superseded, io);
@@ -48,10 +48,10 @@
             if let Some(pool) = self.pool_of(key) {
                 pool.on_resumed(key, io.now);
             }
-            self.run_on(key, &exchange, io);
+            self.run_on_connection(key, &exchange, io);
             return;
         }
-        if self.tell_drained(&exchange, io) {
+        if self.refuse_drained_transaction(&exchange, io) {
             return;
         }
         if exchange.number > 0 {
@@ -78,67 +78,70 @@
         exchange: Exchange,
         io: &mut Io,
     ) {
-        let Some(instance) = placed(&exchange).and_then(|name| group.instance(name)) else {
+        let Some(instance) = chosen_instance(&exchange).and_then(|name| group.instance(name))
+        else {
             refuse(&exchange, ResultCode::NotOwner, "the gateway does not know the instance", io);
             return;
         };
         let capacity = io.context.catalog.load().capacity(&exchange.tenant).unwrap_or(1);
         let state = self.group_state(name, io.now);
-        if state.refuses_write(&exchange, group, io) {
-            return self.probe(name, group, io);
+        if state.refuse_unconfirmable_write(&exchange, group, io) {
+            return self.send_due_probes(name, group, io);
         }
         let pool = state.pools.get_mut(&instance.name);
         let Some(pool) = pool.filter(|pool| pool.accepts(io.now)) else {
             let owner = self.owner_of_instance(&instance.name);
-            ownership::refer(&exchange, owner, io);
+            ownership::redirect(&exchange, owner, io);
             return;
         };
         if let Err(refused) = pool.offer(exchange, capacity, io.now) {
             notify_refused(*refused, io);
             return;
         }
-        self.pump(name, group, io);
+        self.dispatch_queued(name, group, io);
     }
 
     /// Gives waiting exchanges to idle connections, and opens connections where that helps.
-    pub(super) fn pump(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
+    pub(super) fn dispatch_queued(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         let Some(state) = self.groups.get_mut(name) else { return };
         let mut assigned = Vec::new();
         let mut openings = Vec::new();
         for instance in &group.instances {
             let Some(pool) = state.pools.get_mut(&instance.name) else { continue };
-            let Assigned { run, refused } = pool.assign(io.now);
+            let Assignments { run, refused } = pool.assign(io.now);
             refused.into_iter().for_each(|refused| notify_refused(refused, io));
             assigned.extend(run);
-            openings.extend(pool.openings(io.now).into_iter().map(|opening| (instance, opening)));
+            openings.extend(
+                pool.connections_to_open(io.now).into_iter().map(|opening| (instance, opening)),
+            );
         }
         for (instance, opening) in openings {
-            self.open(name, group, instance, opening, io);
+            self.open_connection(name, group, instance, opening, io);
         }
         for Assignment { key, exchange } in assigned {
             self.leases.insert(exchange.lease.clone(), key);
             if let Some(server) = self.servers.get_mut(key) {
                 server.begin_lease(exchange.lease.clone());
             }
-            self.run_on(key, &exchange, io);
+            self.run_on_connection(key, &exchange, io);
         }
     }
 
     /// Opens a connection, in place of another one where the pool has as many as it may.
-    fn open(
+    fn open_connection(
         &mut self,
         name: &GroupName,
         group: &Group,
         instance: &Instance,
-        opening: Opening,
+        opening: ConnectionToOpen,
         io: &mut Io,
     ) {
-        let Opening { account, replaces } = opening;
+        let ConnectionToOpen { account, replaces } = opening;
         if let Some(key) = replaces {
             io.context.metrics.backends.count(ConnectionEvent::Replaced);
             self.close_idle(key, io);
         }
-        let purpose = Use::Pooled;
+        let purpose = Purpose::Pooled;
         let account_name = account.as_ref();
         let opened =
             Server::connect(&mut self.servers, name, group, instance, account_name, purpose, io);
@@ -161,7 +164,7 @@
 
     /// Whether the instance has reached the session bound, by its own last word. The front that
     /// chose it knew less.
-    fn is_recent_enough(&self, key: usize, exchange: &Exchange, io: &Io) -> bool {
+    fn has_reached_bound(&self, key: usize, exchange: &Exchange, io: &Io) -> bool {
         let checked_there = io.context.protocol.traits().positions_in_answers;
         if exchange.access.bound().is_none() || checked_there {
             return true;
@@ -174,26 +177,26 @@
         status.is_some_and(|status| has_reached(status, &exchange.access))
     }
 
-    fn run_on(&mut self, key: usize, exchange: &Exchange, io: &mut Io) {
+    fn run_on_connection(&mut self, key: usize, exchange: &Exchange, io: &mut Io) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        if !server.accepts(exchange) {
+        if !server.can_run(exchange) {
             server.refuse_unsent(exchange, Fault::AnswerLost, io);
             return self.on_server_lost(key, Fault::BackendLost, io);
         }
-        if exchange.number == 0 && !self.is_recent_enough(key, exchange, io) {
+        if exchange.number == 0 && !self.has_reached_bound(key, exchange, io) {
             let code = match exchange.access.is_write() {
                 true => ResultCode::NotPrimary,
                 false => ResultCode::NoFreshInstance,
             };
             refuse(exchange, code, "the instance has not reached the session's position", io);
-            return self.release(key, io);
+            return self.end_abandoned_lease(key, io);
         }
         let Some(server) = self.servers.get_mut(key) else { return };
         let deadline = io.now + exchange.time_left;
         // Read again: this process may have been paused since the event was taken up.
         if Instant::now() >= deadline {
             server.refuse_unsent(exchange, Fault::Deadline, io);
-            return self.release(key, io);
+            return self.end_abandoned_lease(key, io);
         }
         server.run(exchange, deadline, io);
         if server.flush(io).is_err() {
--- a/crates/daemon/src/gateway/fencing.rs
+++ b/crates/daemon/src/gateway/fencing.rs
@@ -9,19 +9,19 @@
 use kestrellock_core::routing::Role;
 use kestrellock_peer::message::{Exchange, LeaseEvent};
 
-use super::exchanges::placed;
-use super::server::Use;
-use super::{Gateway, GroupGateway, notify};
+use super::exchanges::chosen_instance;
+use super::server::Purpose;
+use super::{Gateway, GroupGateway, notify_front};
 use crate::event::Io;
 use crate::policy::Policy;
 
 /// When a front may bring back a write that its primary cannot take now.
-const RETRY_AFTER: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl GroupGateway {
     /// Refuses the first exchange of a writing lease while no majority follows the instance: its
     /// commit could not be confirmed, so it is held by its front, unsent.
-    pub(super) fn refuses_write(
+    pub(super) fn refuse_unconfirmable_write(
         &mut self,
         exchange: &Exchange,
         group: &Group,
@@ -33,62 +33,57 @@
             return false;
         }
         if group.elector == Elector::Proxy {
-            return self.refuses_write_at_replica(exchange, group, io);
+            return self.refuse_write_at_replica(exchange, group, io);
         }
         let majority = group.majority();
-        let instance = placed(exchange);
+        let instance = chosen_instance(exchange);
         if instance.is_some_and(|one| self.monitor.may_take_writes(one, majority, io.now)) {
             return false;
         }
-        put_back(exchange, "no majority follows the instance as primary", io);
+        refuse_for_retry(exchange, "no majority follows the instance as primary", io);
         true
     }
 
     /// Refuses the first exchange of a writing lease at an instance that its platform does not tell
     /// to be the primary any more.
-    fn refuses_write_at_replica(
-        &mut self,
-        exchange: &Exchange,
-        group: &Group,
-        io: &mut Io,
-    ) -> bool {
-        let instance = placed(exchange).and_then(|name| group.instance(name));
+    fn refuse_write_at_replica(&mut self, exchange: &Exchange, group: &Group, io: &mut Io) -> bool {
+        let instance = chosen_instance(exchange).and_then(|name| group.instance(name));
         let announced = instance.and_then(|one| one.announced_role);
         let leads = announced == Some(Role::Primary);
         if !leads {
-            put_back(exchange, "the instance is not the primary", io);
+            refuse_for_retry(exchange, "the instance is not the primary", io);
         }
         !leads
     }
 
     /// Gives what waits for an instance back to the fronts.
-    pub(super) fn put_back_queue(&mut self, instance: &InstanceName, io: &mut Io) {
+    pub(super) fn return_queued(&mut self, instance: &InstanceName, io: &mut Io) {
         let Some(pool) = self.pools.get_mut(instance) else { return };
         for exchange in pool.drain_queue() {
-            put_back(&exchange, "the primary has been replaced", io);
+            refuse_for_retry(&exchange, "the primary has been replaced", io);
         }
     }
 }
 
-fn put_back(exchange: &Exchange, detail: &str, io: &mut Io) {
-    let refusal = Refusal::new(ResultCode::NotPrimary, detail).retry_after(RETRY_AFTER);
-    notify(&exchange.lease, 0, LeaseEvent::Refused(refusal), io);
+fn refuse_for_retry(exchange: &Exchange, detail: &str, io: &mut Io) {
+    let refusal = Refusal::new(ResultCode::NotPrimary, detail).retry_after(RETRY_DELAY);
+    notify_front(&exchange.lease, 0, LeaseEvent::Refused(refusal), io);
 }
 
 impl Gateway {
     /// A higher term has been seen: gives up every connection to the primaries of lower terms, and
     /// gives back what waits for them.
-    pub(super) fn fence(&mut self, name: &GroupName, io: &mut Io) {
+    pub(super) fn fence_outdated_primaries(&mut self, name: &GroupName, io: &mut Io) {
         let Some(state) = self.groups.get_mut(name) else { return };
         let outdated = state.monitor.outdated_primaries();
         for instance in &outdated {
             log::info!("{instance} of {name} has been replaced as primary");
-            state.put_back_queue(instance, io);
+            state.return_queued(instance, io);
         }
         let fenced: Vec<usize> = self
             .servers
             .iter()
-            .filter(|(_, server)| server.purpose == Use::Pooled)
+            .filter(|(_, server)| server.purpose == Purpose::Pooled)
             .filter(|(_, server)| server.group == *name && outdated.contains(&server.instance))
             .map(|(key, _)| key)
             .collect();
--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -16,11 +16,11 @@
 
 /// Where an exchange may go now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum InstanceChoice {
     /// To this instance.
     Instance(InstanceName),
     /// Nowhere yet: no instance qualifies.
-    Nowhere,
+    NoneQualifies,
     /// To the primary, once there is evidence that it still leads.
     NeedsEvidence,
     /// The same; enough replicas have shown it, and the store has yet to say that nobody replaces it.
@@ -42,13 +42,13 @@
 
 /// Chooses the instance for `access`. The position that a read needs is joined into the bound of
 /// `access`, since the instance itself checks it.
-pub fn find(
+pub fn choose_instance(
     group: &GroupName,
     configured: &Group,
     access: &mut Access,
     needs: StatementNeeds,
     io: &Io,
-) -> Found {
+) -> InstanceChoice {
     let catalog = io.context.catalog.load();
     let board = io.context.statuses.group(group);
     let known = board.read().expect("a holder of the status lock panicked");
@@ -62,7 +62,7 @@
         let only_store = primary.is_some_and(|primary| {
             known.lacks_only_the_store(&primary.name, replication, life, moment, io.now)
         });
-        if only_store { Found::NeedsStore } else { Found::NeedsEvidence }
+        if only_store { InstanceChoice::NeedsStore } else { InstanceChoice::NeedsEvidence }
     };
     let chosen = match access {
         Access::Read { bound, max_staleness } => {
@@ -78,8 +78,10 @@
                 *bound = Some(bound.map_or(covering, |bound| bound.join(covering)));
             }
             let primary = primary.map(|primary| &primary.name);
-            let qualifies =
-                Qualifies { primary: primary.filter(|_| at_primary), replicas: covering.is_some() };
+            let qualifies = EligibleReaders {
+                primary: primary.filter(|_| at_primary),
+                replicas: covering.is_some(),
+            };
             choose_reader(configured, &catalog, &known, bound, qualifies, needs, io)
         }
         Access::PrimaryRead { .. } | Access::Write { .. } => {
@@ -87,14 +89,14 @@
             let intents = io.context.intents.load();
             let former = intents.get(group).map(|intent| intent.former.as_ref());
             if former.is_some_and(|former| former == primary.map(|primary| &primary.name)) {
-                return Found::Nowhere;
+                return InstanceChoice::NoneQualifies;
             }
             // Its successor stands in another zone, and leads before long.
             if primary.is_some_and(|primary| catalog.drained_zones().contains(&primary.zone)) {
-                return Found::Nowhere;
+                return InstanceChoice::NoneQualifies;
             }
-            if primary.is_some_and(|primary| may_be_old(configured, primary, &known)) {
-                return Found::NeedsEvidence;
+            if primary.is_some_and(|primary| may_be_replaced(configured, primary, &known)) {
+                return InstanceChoice::NeedsEvidence;
             }
             // Without synchronous replicas an old primary goes on committing.
             let alone = (synchronous == 0).then_some(Duration::ZERO);
@@ -108,14 +110,14 @@
             primary
         }
     };
-    let Some(instance) = chosen else { return Found::Nowhere };
+    let Some(instance) = chosen else { return InstanceChoice::NoneQualifies };
     io.context.metrics.count_route(access, instance.announced_role);
-    Found::Instance(instance.name.clone())
+    InstanceChoice::Instance(instance.name.clone())
 }
 
 /// Whether a newer primary than this one is known, or may have been promoted: nothing is written there before it
 /// has said which term it leads.
-fn may_be_old(configured: &Group, primary: &Instance, known: &GroupStatuses) -> bool {
+fn may_be_replaced(configured: &Group, primary: &Instance, known: &GroupStatuses) -> bool {
     let leads = known.led_by(&primary.name);
     let is_unproven = leads.is_none() && !configured.is_newest(&primary.name);
     is_unproven || known.evidence.is_outdated(leads)
@@ -123,7 +125,7 @@
 
 /// Which instances may serve a read.
 #[derive(Clone, Copy, Debug)]
-struct Qualifies<'a> {
+struct EligibleReaders<'a> {
     /// The primary, if it may.
     primary: Option<&'a InstanceName>,
     /// Whether replicas may.
@@ -135,7 +137,7 @@
     catalog: &IndexedCatalog,
     known: &GroupStatuses,
     position: &Option<Position>,
-    qualifies: Qualifies<'_>,
+    qualifies: EligibleReaders<'_>,
     needs: StatementNeeds,
     io: &Io,
 ) -> Option<&'a Instance> {
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -15,11 +15,11 @@
 
 /// Time for which an exchange may arrive that was ruled out: longer than any cut through which bytes
 /// of a connection survive (the system gives up sending after a quarter of an hour).
-const RULED_OUT_FOR: Duration = Duration::from_secs(1_200);
+const NOT_RUN_RETENTION: Duration = Duration::from_secs(1_200);
 
 impl Gateway {
     /// The front of `node` has exactly the leases `held`: its others are over.
-    pub fn keep_only(&mut self, node: &NodeName, held: &[HeldLease], io: &mut Io) {
+    pub fn retain_leases(&mut self, node: &NodeName, held: &[HeldLease], io: &mut Io) {
         let held: HashSet<&LeaseId> = held.iter().map(|held| &held.lease).collect();
         let mut known: Vec<LeaseId> = self.leases.keys().cloned().collect();
         for state in self.groups.values() {
@@ -35,7 +35,7 @@
     }
 
     /// Whether an exchange of the lease runs, waits, or has an answer that waits for confirmation.
-    pub fn is_under_way(&self, lease: &LeaseId) -> bool {
+    pub fn is_lease_active(&self, lease: &LeaseId) -> bool {
         let runs = self.leases.get(lease).is_some_and(|key| !self.servers[*key].is_idle());
         let waits = |state: &GroupGateway| {
             let queued = state.pools.values().flat_map(Pool::queued_leases).any(|id| id == lease);
@@ -47,10 +47,10 @@
 
     /// The front of a lease is told that its exchange has not run: from now on it must not. An older
     /// connection that this node still reads may yet bring it.
-    pub fn rule_out(&mut self, lease: &LeaseId, io: &mut Io) {
+    pub fn mark_not_run(&mut self, lease: &LeaseId, io: &mut Io) {
         self.on_abandon(lease, io);
-        self.ruled_out.retain(|_, since| io.now < *since + RULED_OUT_FOR);
-        self.ruled_out.insert(lease.clone(), io.now);
+        self.reported_not_run.retain(|_, since| io.now < *since + NOT_RUN_RETENTION);
+        self.reported_not_run.insert(lease.clone(), io.now);
     }
 
     /// Nobody waits for what the lease has under way.
@@ -62,18 +62,18 @@
             state.placements.forget(lease);
         }
         if let Some(&key) = self.leases.get(lease) {
-            self.release(key, io);
+            self.end_abandoned_lease(key, io);
         }
     }
 
     /// Ends the lease of a connection that nobody waits for. An open transaction is rolled back
     /// before the connection is used again; with an exchange under way it is closed instead.
-    pub(super) fn release(&mut self, key: usize, io: &mut Io) {
+    pub(super) fn end_abandoned_lease(&mut self, key: usize, io: &mut Io) {
         let Some(server) = self.servers.get_mut(key) else { return };
         if let Some(lease) = server.lease() {
             self.leases.remove(lease);
         }
-        if !server.reset(io) || server.flush(io).is_err() {
+        if !server.roll_back(io) || server.flush(io).is_err() {
             self.on_server_lost(key, Fault::BackendLost, io);
         }
     }
@@ -83,7 +83,7 @@
     pub fn on_peer_lost(&mut self, node: &NodeName, io: &mut Io) {
         for state in self.groups.values_mut() {
             state.pools.values_mut().for_each(|pool| pool.forget_node(node));
-            state.confirmations.give_up_node(node, io);
+            state.confirmations.fail_commits_of_node(node, io);
             state.placements.forget_node(node);
         }
         let orphans: Vec<usize> = self
@@ -93,7 +93,7 @@
             .map(|(_, key)| *key)
             .collect();
         for key in orphans {
-            self.release(key, io);
+            self.end_abandoned_lease(key, io);
         }
     }
 
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -4,23 +4,23 @@
 //! below.
 
 pub mod confirmation;
+mod connection_loss;
 pub mod current_position;
+mod evidence_queries;
 mod exchanges;
 mod fencing;
+mod instance_choice;
 mod leases;
-mod losses;
 pub mod monitor;
 pub mod ownership;
 mod placements;
-mod placing;
 pub mod pool;
-mod primary_questions;
+mod primary_tracker;
 mod probing;
-pub mod running;
+pub mod running_exchange;
 pub mod server;
 mod server_events;
-pub mod standings;
-mod succession;
+pub mod status_queries;
 mod zone_drains;
 
 use std::collections::HashMap;
@@ -39,13 +39,13 @@
 
 use self::confirmation::Confirmations;
 use self::current_position::CurrentPositions;
+use self::evidence_queries::EvidenceQueries;
 use self::monitor::Monitor;
 use self::placements::Placements;
 use self::pool::{Pool, RefusedExchange};
-use self::primary_questions::PrimaryQuestions;
+use self::primary_tracker::PrimaryTracker;
 use self::server::Server;
-use self::standings::Standings;
-use self::succession::Succession;
+use self::status_queries::StatusQueries;
 use self::zone_drains::ZoneDrains;
 
 /// What one group needs on this shard.
@@ -56,9 +56,9 @@
     confirmations: Confirmations,
     current_positions: CurrentPositions,
     placements: Placements,
-    questions: PrimaryQuestions,
-    standings: Standings,
-    succession: Succession,
+    evidence_queries: EvidenceQueries,
+    status_queries: StatusQueries,
+    primary_tracker: PrimaryTracker,
 }
 
 /// Back-end connections of one shard.
@@ -68,15 +68,15 @@
     groups: HashMap<GroupName, GroupGateway>,
     leases: HashMap<LeaseId, usize>,
     /// Leases whose fronts were told that they have not run, and since when.
-    ruled_out: HashMap<LeaseId, Instant>,
-    followed: Option<Arc<OwnershipSnapshot>>,
+    reported_not_run: HashMap<LeaseId, Instant>,
+    applied_snapshot: Option<Arc<OwnershipSnapshot>>,
     zone_drains: ZoneDrains,
     /// When another node's front last sent an exchange.
-    last_forwarded: Option<Instant>,
+    last_remote_exchange: Option<Instant>,
 }
 
 /// Tells the front of `lease` what happened.
-pub fn notify(lease: &LeaseId, sequence: u32, event: LeaseEvent, io: &mut Io) {
+pub fn notify_front(lease: &LeaseId, sequence: u32, event: LeaseEvent, io: &mut Io) {
     let message = ToFront::Lease { lease: lease.clone(), sequence, event };
     io.outbox.push_back(Outgoing::Front {
         node: lease.node.clone(),
@@ -87,17 +87,17 @@
 
 fn refuse(exchange: &Exchange, code: ResultCode, detail: &str, io: &mut Io) {
     let event = LeaseEvent::Refused(Refusal::new(code, detail));
-    notify(&exchange.lease, 0, event, io);
+    notify_front(&exchange.lease, 0, event, io);
 }
 
 fn notify_refused(refused: RefusedExchange, io: &mut Io) {
-    notify(&refused.exchange.lease, 0, LeaseEvent::Refused(refused.refusal), io);
+    notify_front(&refused.exchange.lease, 0, LeaseEvent::Refused(refused.refusal), io);
 }
 
 impl Gateway {
     /// Whether nothing is under way or waits, and no work from other nodes has come for `quiet`.
     pub fn is_drained(&self, quiet: Duration) -> bool {
-        let is_quiet = self.last_forwarded.is_none_or(|last| last.elapsed() >= quiet);
+        let is_quiet = self.last_remote_exchange.is_none_or(|last| last.elapsed() >= quiet);
         is_quiet && self.leases.is_empty() && !self.is_waiting()
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Number of open back-end connections.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.servers.len()
     }
 
@@ -128,7 +128,7 @@
         if io.context.stage.load() == Stage::Closed {
             return;
         }
-        self.follow_ownership(io);
+        self.apply_ownership(io);
         match message.call {
             GatewayCall::Exchange(exchange) => {
                 self.on_exchange(&message.group, group, *exchange, io)
@@ -137,9 +137,15 @@
             GatewayCall::Cancel(lease) => self.on_cancel(group, &lease, io),
             GatewayCall::CurrentPosition { shard, number } => {
                 let state = self.group_state(&message.group, io.now);
-                let first_probe = state.confirmations.coming_probe();
-                state.current_positions.ask(message.from, shard, number, first_probe, io.now);
-                self.probe(&message.group, group, io);
+                let first_probe = state.confirmations.upcoming_probe();
+                state.current_positions.add_request(
+                    message.from,
+                    shard,
+                    number,
+                    first_probe,
+                    io.now,
+                );
+                self.send_due_probes(&message.group, group, io);
             }
             GatewayCall::Subscribe => {
                 self.group_state(&message.group, io.now).monitor.subscribe(message.from, io);
@@ -155,43 +161,43 @@
             confirmations: Confirmations::default(),
             current_positions: CurrentPositions::default(),
             placements: Placements::default(),
-            questions: PrimaryQuestions::default(),
-            standings: Standings::default(),
-            succession: Succession::default(),
+            evidence_queries: EvidenceQueries::default(),
+            status_queries: StatusQueries::default(),
+            primary_tracker: PrimaryTracker::default(),
         })
     }
 
-    fn pump_group(&mut self, name: &GroupName, io: &mut Io) {
+    fn advance_group(&mut self, name: &GroupName, io: &mut Io) {
         let catalog = io.context.catalog.load();
         if let Some(group) = catalog.groups.get(name) {
             self.retry_placements(name, group, io);
-            self.pump(name, group, io);
-            self.probe(name, group, io);
+            self.dispatch_queued(name, group, io);
+            self.send_due_probes(name, group, io);
         }
     }
 
-    fn confirm_waiting(&mut self, name: &GroupName, io: &mut Io) {
+    fn confirm_waiting_commits(&mut self, name: &GroupName, io: &mut Io) {
         let catalog = io.context.catalog.load();
         let is_waiting = |state: &GroupGateway| state.confirmations.is_waiting();
         if let Some(group) = catalog.groups.get(name)
             && self.groups.get(name).is_some_and(is_waiting)
         {
-            self.confirm_by_standings(name, group, io);
+            self.confirm_by_replica_statuses(name, group, io);
         }
     }
 
     /// Opens what this node owns, ends what is late, probes what is due.
     pub fn on_tick(&mut self, io: &mut Io) {
-        self.follow_ownership(io);
-        self.follow_successions(io);
+        self.apply_ownership(io);
+        self.track_primaries(io);
         self.end_drained_transactions(io);
-        self.give_up_overdue(io);
+        self.close_overdue(io);
         let names: Vec<GroupName> = self.groups.keys().cloned().collect();
         for name in names {
             if let Some(state) = self.groups.get_mut(&name) {
                 state.confirmations.expire(io);
                 state.current_positions.expire(io.now);
-                let late = state.pools.values_mut().flat_map(|pool| pool.give_up_late(io.now));
+                let late = state.pools.values_mut().flat_map(|pool| pool.remove_late(io.now));
                 late.collect::<Vec<_>>().into_iter().for_each(|late| notify_refused(late, io));
                 let mut overdue = state.monitor.overdue(io.now);
                 overdue.extend(state.pools.values().flat_map(|pool| pool.overdue(io.now)));
@@ -199,9 +205,9 @@
                     self.on_server_lost(key, Fault::Deadline, io);
                 }
             }
-            self.ask_in_doubt(&name, io);
-            self.confirm_waiting(&name, io);
-            self.pump_group(&name, io);
+            self.query_instances_in_doubt(&name, io);
+            self.confirm_waiting_commits(&name, io);
+            self.advance_group(&name, io);
         }
         self.close_surplus(io);
     }
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -18,20 +18,20 @@
 /// Time between probes by a gateway that owns no instance of the group.
 const STANDBY_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two probes of an instance that has not reached a waiting commit yet.
-const RETRY_INTERVAL: Duration = Duration::from_millis(1);
+const COMMIT_PROBE_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Lag of an instance of which it is not known.
 const UNKNOWN_LAG: Duration = Duration::from_secs(u32::MAX as u64);
 
 /// What to do about one instance's probe now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ProbeStep {
     /// Nothing.
     Nothing,
     /// Open a probe connection.
     Connect,
     /// Ask over this connection.
-    Ask(usize),
+    Query(usize),
 }
 
 #[derive(Debug)]
@@ -50,7 +50,7 @@
 }
 
 #[derive(Debug)]
-struct Watched {
+struct MonitoredInstance {
     probe: Probe,
     asked: Instant,
     last_probe: ProbeNumber,
@@ -59,10 +59,11 @@
     reported: Option<Instant>,
 }
 
-impl Watched {
+impl MonitoredInstance {
     fn is_due(&self, wanted: Option<ProbeNumber>, interval: Duration, now: Instant) -> bool {
-        let urgent = wanted
-            .is_some_and(|wanted| wanted > self.last_probe || now >= self.asked + RETRY_INTERVAL);
+        let urgent = wanted.is_some_and(|wanted| {
+            wanted > self.last_probe || now >= self.asked + COMMIT_PROBE_INTERVAL
+        });
         urgent || self.reported.is_none() || now >= self.asked + interval
     }
 }
@@ -71,10 +72,10 @@
 #[derive(Debug)]
 pub struct Monitor {
     group: GroupName,
-    instances: HashMap<InstanceName, Watched>,
+    instances: HashMap<InstanceName, MonitoredInstance>,
     subscribers: HashMap<NodeName, Instant>,
     started: Instant,
-    standby: bool,
+    is_standby: bool,
     watch: Watch,
     highest_term: Term,
     freshness: Freshness,
@@ -89,7 +90,7 @@
             instances,
             subscribers,
             started: now,
-            standby: false,
+            is_standby: false,
             watch: Watch::default(),
             highest_term: Term::default(),
             freshness: Freshness::default(),
@@ -98,10 +99,10 @@
 
     /// Whether the gateway only stands by: it keeps probe connections and probes rarely.
     pub fn set_standby(&mut self, standby: bool) {
-        if self.standby && !standby {
+        if self.is_standby && !standby {
             self.instances.values_mut().for_each(|watched| watched.asked = self.started);
         }
-        self.standby = standby;
+        self.is_standby = standby;
     }
 
     /// What an instance last said of itself.
@@ -114,9 +115,9 @@
         self.subscribers.values().any(|until| *until > now)
     }
 
-    fn watched(&mut self, instance: &InstanceName) -> &mut Watched {
+    fn monitored(&mut self, instance: &InstanceName) -> &mut MonitoredInstance {
         let started = self.started;
-        self.instances.entry(instance.clone()).or_insert_with(|| Watched {
+        self.instances.entry(instance.clone()).or_insert_with(|| MonitoredInstance {
             probe: Probe::Closed { since: None },
             asked: started,
             last_probe: ProbeNumber::default(),
@@ -145,45 +146,45 @@
         instance: &InstanceName,
         wanted: Option<ProbeNumber>,
         now: Instant,
-    ) -> Step {
+    ) -> ProbeStep {
         let pace = self.watch.pace(now);
-        let idle = self.standby && pace == Pace::Idle;
+        let idle = self.is_standby && pace == Pace::Idle;
         let interval = if idle { STANDBY_PROBE_INTERVAL } else { pace.probe_interval() };
-        let watched = self.watched(instance);
+        let watched = self.monitored(instance);
         match watched.probe {
             Probe::Closed { since }
                 if since.is_none_or(|since| now >= since + pace.reconnect_interval()) =>
             {
-                Step::Connect
+                ProbeStep::Connect
             }
             Probe::Idle { key } if watched.is_due(wanted, interval, now) => {
                 watched.probe = Probe::Busy { key, since: now };
                 watched.asked = now;
-                Step::Ask(key)
+                ProbeStep::Query(key)
             }
-            _ => Step::Nothing,
+            _ => ProbeStep::Nothing,
         }
     }
 
     /// A probe with this number is being sent.
-    pub fn on_asked(&mut self, instance: &InstanceName, number: ProbeNumber) {
-        self.watched(instance).last_probe = number;
+    pub fn on_probe_sent(&mut self, instance: &InstanceName, number: ProbeNumber) {
+        self.monitored(instance).last_probe = number;
     }
 
     /// A probe connection is being opened.
     pub fn on_probe_connecting(&mut self, instance: &InstanceName, key: usize, now: Instant) {
-        self.watched(instance).probe = Probe::Busy { key, since: now };
+        self.monitored(instance).probe = Probe::Busy { key, since: now };
     }
 
     /// A probe connection can be asked.
     pub fn on_probe_ready(&mut self, key: usize, instance: &InstanceName) {
-        self.watched(instance).probe = Probe::Idle { key };
+        self.monitored(instance).probe = Probe::Idle { key };
     }
 
     /// Probe connections that have been silent for too long.
     pub fn overdue(&self, now: Instant) -> Vec<usize> {
         let timeout = self.watch.pace(now).probe_timeout();
-        let late = |watched: &Watched| match watched.probe {
+        let late = |watched: &MonitoredInstance| match watched.probe {
             Probe::Busy { key, since } if now > since + timeout => Some(key),
             _ => None,
         };
@@ -212,7 +213,7 @@
     /// alone: others may only be cut off from it themselves.
     pub fn on_probe_lost(&mut self, instance: &InstanceName, owned: bool, io: &mut Io) {
         self.on_connection_lost(instance, io.now);
-        let watched = self.watched(instance);
+        let watched = self.monitored(instance);
         watched.probe = Probe::Closed { since: Some(io.now) };
         watched.reported = None;
         if let Some(status) = &mut watched.status {
@@ -274,7 +275,7 @@
         }
         let leads = report.role == Role::Primary && term >= self.highest_term;
         let lag = self.lag(instance, answer, majority, io.now);
-        let watched = self.watched(instance);
+        let watched = self.monitored(instance);
         watched.reported = Some(answer.asked);
         let status = InstanceStatus {
             instance: instance.clone(),
--- a/crates/daemon/src/gateway/ownership.rs
+++ b/crates/daemon/src/gateway/ownership.rs
@@ -12,18 +12,18 @@
 use kestrellock_peer::message::{Exchange, LeaseEvent};
 
 use super::pool::{Pool, PoolRole};
-use super::server::Use;
-use super::{Gateway, GroupGateway, notify};
+use super::server::Purpose;
+use super::{Gateway, GroupGateway, notify_front};
 use crate::event::Io;
 use crate::ownership::OwnershipSnapshot;
 
 /// Tells the front which node to go to.
-pub fn refer(exchange: &Exchange, owner: Option<NodeName>, io: &mut Io) {
-    notify(&exchange.lease, 0, LeaseEvent::NotOwner { owner }, io);
+pub fn redirect(exchange: &Exchange, owner: Option<NodeName>, io: &mut Io) {
+    notify_front(&exchange.lease, 0, LeaseEvent::NotOwner { owner }, io);
 }
 
 /// What `node` is to an instance.
-fn role_of(snapshot: &OwnershipSnapshot, instance: &Instance, node: &NodeName) -> PoolRole {
+fn pool_role(snapshot: &OwnershipSnapshot, instance: &Instance, node: &NodeName) -> PoolRole {
     match snapshot.get(&instance.name) {
         Some(ownership) if ownership.owner == *node => PoolRole::Owner,
         Some(ownership) if ownership.standby.as_ref() == Some(node) => PoolRole::Standby,
@@ -33,25 +33,25 @@
 
 impl Gateway {
     /// Adopts and releases instances if nodes or catalog have changed.
-    pub(super) fn follow_ownership(&mut self, io: &mut Io) {
+    pub(super) fn apply_ownership(&mut self, io: &mut Io) {
         let snapshot = io.context.ownerships();
-        if self.followed.as_ref().is_some_and(|known| Arc::ptr_eq(known, &snapshot)) {
+        if self.applied_snapshot.as_ref().is_some_and(|known| Arc::ptr_eq(known, &snapshot)) {
             return;
         }
         for (name, group) in &snapshot.catalog().groups {
             if io.context.shard_of(name) == io.shard {
-                self.follow_group(name, group, &snapshot, io);
+                self.apply_group_ownership(name, group, &snapshot, io);
             }
         }
         for (name, state) in &mut self.groups {
             let group = snapshot.catalog().groups.get(name);
             state.release_removed(group, io);
         }
-        self.zone_drains.follow(snapshot.catalog(), io.now);
-        self.followed = Some(snapshot);
+        self.zone_drains.apply_catalog(snapshot.catalog(), io.now);
+        self.applied_snapshot = Some(snapshot);
     }
 
-    fn follow_group(
+    fn apply_group_ownership(
         &mut self,
         name: &GroupName,
         group: &Group,
@@ -62,7 +62,7 @@
         let roles: Vec<(&Instance, PoolRole)> = group
             .instances
             .iter()
-            .map(|instance| (instance, role_of(snapshot, instance, node)))
+            .map(|instance| (instance, pool_role(snapshot, instance, node)))
             .collect();
         let involved = roles.iter().any(|(_, role)| *role != PoolRole::Released);
         if !involved && !self.groups.contains_key(name) {
@@ -82,7 +82,7 @@
     /// The owner of an instance, as far as this gateway knows; `None` if no gateway gives the
     /// instance new work.
     pub(super) fn owner_of_instance(&self, instance: &InstanceName) -> Option<NodeName> {
-        let snapshot = self.followed.as_ref()?;
+        let snapshot = self.applied_snapshot.as_ref()?;
         let (_, configured) = snapshot.catalog().instance(instance)?;
         if !snapshot.catalog().takes_work(configured) {
             return None;
@@ -102,7 +102,7 @@
         let orphans: Vec<usize> = self
             .servers
             .iter()
-            .filter(|(_, server)| server.purpose == Use::Probe)
+            .filter(|(_, server)| server.purpose == Purpose::Probe)
             .filter(|(_, server)| !self.groups.contains_key(&server.group))
             .map(|(key, _)| key)
             .collect();
@@ -140,7 +140,7 @@
             let owner = snapshot.get(&instance.name).filter(|_| takes_work);
             let owner = owner.map(|ownership| ownership.owner.clone());
             for exchange in pool.drain_queue() {
-                refer(&exchange, owner.clone(), io);
+                redirect(&exchange, owner.clone(), io);
             }
         }
     }
@@ -151,7 +151,7 @@
             if group.is_none_or(|group| group.instance(name).is_none()) {
                 pool.set_role(PoolRole::Released, io.now);
                 for exchange in pool.drain_queue() {
-                    refer(&exchange, None, io);
+                    redirect(&exchange, None, io);
                 }
             }
         }
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -12,9 +12,9 @@
 use kestrellock_core::routing::Access;
 use kestrellock_peer::message::{Exchange, LeaseEvent, Placement, PlacementNeed};
 
-use super::placing::{self, Found, StatementNeeds};
+use super::instance_choice::{self, InstanceChoice, StatementNeeds};
 use super::pool::{Pool, PoolRole};
-use super::{Gateway, notify, ownership, zone_drains};
+use super::{Gateway, notify_front, ownership, zone_drains};
 use crate::event::Io;
 
 /// An exchange that was never sent puts nothing at stake.
@@ -22,19 +22,19 @@
 
 /// An exchange without an instance.
 #[derive(Debug)]
-struct Held {
+struct HeldExchange {
     exchange: Exchange,
     need: PlacementNeed,
     /// When the request arrived, or later: what needs the more evidence.
     arrived: Instant,
     deadline: Instant,
     /// When it is given back.
-    until: Instant,
+    held_until: Instant,
     /// Whether the log tells that it waits.
-    is_told: bool,
+    is_logged: bool,
 }
 
-impl Held {
+impl HeldExchange {
     fn new(exchange: Exchange, need: PlacementNeed, io: &Io) -> Self {
         // Read again: this process may have been paused since the event was taken up.
         let now = Instant::now();
@@ -42,16 +42,16 @@
         let deadline = now + exchange.time_left;
         let repeats = io.context.protocol.traits().callers_repeat;
         let until = held_until(arrived, deadline, repeats);
-        Self { exchange, need, arrived, deadline, until, is_told: false }
+        Self { exchange, need, arrived, deadline, held_until: until, is_logged: false }
     }
 
-    fn find(
+    fn choose(
         &mut self,
         name: &GroupName,
         group: &Group,
         pools: &HashMap<InstanceName, Pool>,
         io: &Io,
-    ) -> Found {
+    ) -> InstanceChoice {
         let needs = StatementNeeds {
             arrived: self.arrived,
             staleness: self.need.staleness,
@@ -59,8 +59,8 @@
             pools,
         };
         let mut access = self.exchange.access.clone();
-        let found = placing::find(name, group, &mut access, needs, io);
-        if let (Found::Instance(_), Access::Read { .. }) = (&found, &access) {
+        let found = instance_choice::choose_instance(name, group, &mut access, needs, io);
+        if let (InstanceChoice::Instance(_), Access::Read { .. }) = (&found, &access) {
             self.exchange.access = access;
         }
         found
@@ -72,14 +72,14 @@
         Exchange { placement: Placement::Instance(instance), time_left, ..self.exchange }
     }
 
-    fn tell(&mut self, name: &GroupName, found: &Found, io: &Io) {
-        if std::mem::replace(&mut self.is_told, true) {
+    fn log_held(&mut self, name: &GroupName, found: &InstanceChoice, io: &Io) {
+        if std::mem::replace(&mut self.is_logged, true) {
             return;
         }
         let reason = match found {
-            Found::NeedsEvidence => "no evidence that the primary leads",
-            Found::NeedsStore => "the store has not said that nobody replaces the primary",
-            Found::Nowhere | Found::Instance(_) => "no instance qualifies",
+            InstanceChoice::NeedsEvidence => "no evidence that the primary leads",
+            InstanceChoice::NeedsStore => "the store has not said that nobody replaces the primary",
+            InstanceChoice::NoneQualifies | InstanceChoice::Instance(_) => "no instance qualifies",
         };
         let evidence = io.context.evidence_age(name, io.now);
         log::info!(
@@ -94,17 +94,17 @@
         );
     }
 
-    fn give_back(self, io: &mut Io) {
+    fn refuse_overdue(self, io: &mut Io) {
         let code = failure_code(NOTHING_AT_STAKE, Progress::Held, Fault::Deadline);
         let refusal = Refusal::new(code, "no instance could take the statement");
-        notify(&self.exchange.lease, 0, LeaseEvent::Refused(refusal), io);
+        notify_front(&self.exchange.lease, 0, LeaseEvent::Refused(refusal), io);
     }
 }
 
 /// Exchanges of one group that are held.
 #[derive(Debug, Default)]
 pub struct Placements {
-    held: Vec<Held>,
+    held: Vec<HeldExchange>,
 }
 
 impl Placements {
@@ -141,29 +141,29 @@
     ) {
         let state = self.group_state(name, io.now);
         if !state.pools.values().any(|pool| pool.role() == PoolRole::Owner) {
-            return ownership::refer(&exchange, None, io);
+            return ownership::redirect(&exchange, None, io);
         }
-        if self.is_drained_out(group, io) {
-            return zone_drains::refuse_drained_out(&exchange, io);
+        if self.has_only_drained_zones(group, io) {
+            return zone_drains::refuse_without_zone(&exchange, io);
         }
-        let held = Held::new(exchange, need, io);
-        self.try_placing(name, group, held, io);
+        let held = HeldExchange::new(exchange, need, io);
+        self.try_place(name, group, held, io);
     }
 
     /// Sends a held exchange to an instance, or goes on holding it.
-    fn try_placing(&mut self, name: &GroupName, group: &Group, mut held: Held, io: &mut Io) {
+    fn try_place(&mut self, name: &GroupName, group: &Group, mut held: HeldExchange, io: &mut Io) {
         let pools = &self.group_state(name, io.now).pools;
-        let found = held.find(name, group, pools, io);
-        if let Found::Instance(instance) = found {
+        let found = held.choose(name, group, pools, io);
+        if let InstanceChoice::Instance(instance) = found {
             let exchange = held.placed_at(instance, io.now);
             return self.offer(name, group, exchange, io);
         }
-        held.tell(name, &found, io);
+        held.log_held(name, &found, io);
         self.group_state(name, io.now).placements.held.push(held);
-        if found == Found::NeedsStore {
+        if found == InstanceChoice::NeedsStore {
             io.context.store_looks.want(name);
         }
-        if matches!(found, Found::NeedsEvidence | Found::NeedsStore) {
+        if matches!(found, InstanceChoice::NeedsEvidence | InstanceChoice::NeedsStore) {
             self.ask_for_evidence(name, group, io);
         }
     }
@@ -172,22 +172,22 @@
     pub(super) fn retry_placements(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         let Some(state) = self.groups.get_mut(name) else { return };
         for held in std::mem::take(&mut state.placements.held) {
-            match io.now > held.until {
-                true => held.give_back(io),
-                false => self.try_placing(name, group, held, io),
+            match io.now > held.held_until {
+                true => held.refuse_overdue(io),
+                false => self.try_place(name, group, held, io),
             }
         }
     }
 
     fn ask_for_evidence(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         let state = self.group_state(name, io.now);
-        let instances = state.questions.instances_to_ask(name, group, io);
+        let instances = state.evidence_queries.instances_to_query(name, group, io);
         if instances.is_empty() {
             return;
         }
         for instance in instances {
-            state.standings.want(instance);
+            state.status_queries.request(instance);
         }
-        self.ask_standings(name, io);
+        self.send_status_queries(name, io);
     }
 }
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -4,7 +4,7 @@
 mod recent_use;
 mod sizing;
 
-pub use sizing::Opening;
+pub use sizing::ConnectionToOpen;
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -24,19 +24,19 @@
 use self::recent_use::RecentUse;
 
 /// Exchanges that may wait for one instance.
-const QUEUE_LENGTH: usize = 1024;
+const MAX_QUEUED_EXCHANGES: usize = 1024;
 /// Bytes of exchanges that may wait for one instance.
-const QUEUE_BYTES: usize = 32 * 1024 * 1024;
-const FIRST_CONNECT_BACKOFF: Duration = Duration::from_millis(10);
-const LAST_CONNECT_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
+const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(250);
 /// Time between attempts to connect to an instance at whose address another one listens. It is told for
 /// three heartbeats of the platform's, seconds, and does not come back under its name as a rule.
-const DISPLACED_RETRY: Duration = Duration::from_secs(1);
+const DISPLACED_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// For this long after a hand-over the old owner sends new work on to its successor: fronts that
 /// still come to it lag behind.
-const HAND_OVER_PERIOD: Duration = Duration::from_secs(5);
+const HANDOVER_REDIRECT_PERIOD: Duration = Duration::from_secs(5);
 /// When a caller refused for queue bytes may come back.
-const BYTES_RETRY: Duration = Duration::from_millis(100);
+const QUEUED_BYTES_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What this node is to an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -69,7 +69,7 @@
 
 /// A connection and whose exchanges it carries.
 #[derive(Debug)]
-struct Pooled {
+struct PooledConnection {
     /// Account that the back end was told; a connection keeps it for its life.
     account: Option<AccountName>,
     state: State,
@@ -95,7 +95,7 @@
 
 /// What the scheduler gave out for the idle connections.
 #[derive(Debug, Default)]
-pub struct Assigned {
+pub struct Assignments {
     /// Exchanges to run.
     pub run: Vec<Assignment>,
     /// Exchanges whose time no longer suffices.
@@ -121,7 +121,7 @@
     scheduler: Scheduler<Queued>,
     concurrency: ConcurrencyLimit,
     queued_bytes: usize,
-    connections: HashMap<usize, Pooled>,
+    connections: HashMap<usize, PooledConnection>,
     /// Idle connections, the one used last at the end.
     idle: Vec<usize>,
     connecting: u32,
@@ -137,7 +137,7 @@
 }
 
 fn limits(slots: u32) -> Limits {
-    Limits { slots, queue_length: QUEUE_LENGTH }
+    Limits { slots, queue_length: MAX_QUEUED_EXCHANGES }
 }
 
 /// The owner and the standby of every instance of the group may probe all of them.
@@ -165,7 +165,7 @@
             budget: ConnectionBudget::new(connection_limit(group, instance, share)),
             share,
             has_accounts: false,
-            connect_backoff: Backoff::new(FIRST_CONNECT_BACKOFF, LAST_CONNECT_BACKOFF),
+            connect_backoff: Backoff::new(MIN_CONNECT_BACKOFF, MAX_CONNECT_BACKOFF),
             connect_after: None,
         }
     }
@@ -200,7 +200,7 @@
             _ if self.leaving => false,
             PoolRole::Owner => true,
             PoolRole::Standby => {
-                self.handed_over.is_none_or(|since| now >= since + HAND_OVER_PERIOD)
+                self.handed_over.is_none_or(|since| now >= since + HANDOVER_REDIRECT_PERIOD)
             }
             PoolRole::Released => false,
         }
@@ -220,9 +220,9 @@
     ) -> Result<(), Box<RefusedExchange>> {
         self.has_accounts = exchange.account.is_some();
         let bytes = exchange.frames.len();
-        if self.queued_bytes + bytes > QUEUE_BYTES && self.scheduler.waiting() > 0 {
+        if self.queued_bytes + bytes > MAX_QUEUED_BYTES && self.scheduler.waiting() > 0 {
             let refusal = Refusal::new(ResultCode::Overloaded, "the queue holds too many bytes");
-            let refusal = refusal.retry_after(BYTES_RETRY);
+            let refusal = refusal.retry_after(QUEUED_BYTES_RETRY_DELAY);
             return Err(Box::new(RefusedExchange { exchange, refusal }));
         }
         let request = Request {
@@ -243,36 +243,36 @@
     }
 
     /// Takes out exchanges that can no longer finish in time.
-    pub fn give_up_late(&mut self, now: Instant) -> Vec<RefusedExchange> {
+    pub fn remove_late(&mut self, now: Instant) -> Vec<RefusedExchange> {
         let late = self.scheduler.give_up_late(now);
-        late.into_iter().map(|refused| self.left_queue(refused)).collect()
+        late.into_iter().map(|refused| self.on_left_queue(refused)).collect()
     }
 
-    fn left_queue(&mut self, refused: Refused<Queued>) -> RefusedExchange {
+    fn on_left_queue(&mut self, refused: Refused<Queued>) -> RefusedExchange {
         self.queued_bytes -= refused.work.exchange.frames.len();
         refused_exchange(refused)
     }
 
     /// Pairs waiting exchanges with idle connections while slots are free. Their time left is what
     /// remains at `now`.
-    pub fn assign(&mut self, now: Instant) -> Assigned {
-        let mut assigned = Assigned::default();
-        let reserved = self.reserved(now);
-        while let Some(dispatch) = self.take_next(reserved, now) {
+    pub fn assign(&mut self, now: Instant) -> Assignments {
+        let mut assigned = Assignments::default();
+        let reserved = self.reserved_connection(now);
+        while let Some(dispatch) = self.next_dispatch(reserved, now) {
             match dispatch {
                 Dispatch::GiveUp(refused) => {
-                    let refused = self.left_queue(refused);
+                    let refused = self.on_left_queue(refused);
                     assigned.refused.push(refused);
                 }
                 Dispatch::Run { ticket, work: Queued { mut exchange, deadline } } => {
                     let account = exchange.account.as_ref();
                     let place =
-                        self.idle_place_of(account, reserved).expect("it has an idle connection");
+                        self.idle_index_for(account, reserved).expect("it has an idle connection");
                     let key = self.idle.remove(place);
                     exchange.time_left = deadline.saturating_duration_since(now);
                     self.queued_bytes -= exchange.frames.len();
                     self.set_state(key, State::Leased { ticket });
-                    self.note_use(now);
+                    self.record_use(now);
                     assigned.run.push(Assignment { key, exchange });
                 }
             }
@@ -280,13 +280,13 @@
         assigned
     }
 
-    fn note_use(&mut self, now: Instant) {
-        let in_use = self.leases() as u32;
+    fn record_use(&mut self, now: Instant) {
+        let in_use = self.active_leases() as u32;
         self.recent_use.get_or_insert_with(|| RecentUse::new(now)).on_use(in_use, now);
     }
 
     /// The next exchange of those whose account has an idle connection.
-    fn take_next(&mut self, reserved: Option<usize>, now: Instant) -> Option<Dispatch<Queued>> {
+    fn next_dispatch(&mut self, reserved: Option<usize>, now: Instant) -> Option<Dispatch<Queued>> {
         let (connections, idle) = (&self.connections, &self.idle);
         let has_idle = |account: Option<&AccountName>| {
             let fits = |key: &usize| connections[key].account.as_ref() == account;
@@ -299,7 +299,7 @@
     }
 
     /// Where the account's connection that was used last stands among the idle ones.
-    fn idle_place_of(
+    fn idle_index_for(
         &self,
         account: Option<&AccountName>,
         reserved: Option<usize>,
@@ -315,7 +315,8 @@
 
     /// A connection for `account` is being opened.
     pub fn on_connecting(&mut self, key: usize, account: Option<AccountName>, now: Instant) {
-        self.connections.insert(key, Pooled { account, state: State::Connecting { since: now } });
+        self.connections
+            .insert(key, PooledConnection { account, state: State::Connecting { since: now } });
         self.connecting += 1;
     }
 
@@ -327,13 +328,13 @@
             self.connect_backoff.on_success();
             self.connect_after = None;
         }
-        self.leave(key, Some(before), now);
+        self.leave_state(key, Some(before), now);
         self.idle.push(key);
     }
 
     /// Takes an idle connection for a question of the gateway's own; it is given back by
     /// [`Pool::on_idle`].
-    pub fn borrow(&mut self) -> Option<usize> {
+    pub fn borrow_idle(&mut self) -> Option<usize> {
         let key = self.idle.pop()?;
         self.set_state(key, State::Borrowed);
         Some(key)
@@ -345,11 +346,11 @@
         if matches!(before, Some(State::Connecting { .. })) {
             self.on_connect_failed(now, random);
         }
-        self.leave(key, before, now);
+        self.leave_state(key, before, now);
     }
 
     /// Accounts for the end of a connection's former state.
-    fn leave(&mut self, key: usize, before: Option<State>, now: Instant) {
+    fn leave_state(&mut self, key: usize, before: Option<State>, now: Instant) {
         match before {
             None | Some(State::Borrowed) => {}
             Some(State::Connecting { .. }) => self.connecting -= 1,
@@ -366,11 +367,11 @@
     /// Another instance listens at the instance's address. Whether that has changed is looked at now and
     /// then: each attempt costs the other instance a connection.
     pub fn on_displaced(&mut self, now: Instant) {
-        self.connect_after = Some(now + DISPLACED_RETRY);
+        self.connect_after = Some(now + DISPLACED_RETRY_INTERVAL);
     }
 
     /// The back end refused another connection because it has too many.
-    pub fn on_refused(&mut self, now: Instant, random: u64) {
+    pub fn on_connection_refused(&mut self, now: Instant, random: u64) {
         let established = self.connections.len() as u32 - self.connecting;
         self.budget.on_refused(established, now, random);
     }
@@ -441,17 +442,17 @@
     }
 
     /// Open connections, those being opened among them.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
     /// Leases in progress.
-    pub fn leases(&self) -> usize {
+    pub fn active_leases(&self) -> usize {
         self.connections.len() - self.idle.len() - self.connecting as usize
     }
 }
 
-fn state_of(connections: &mut HashMap<usize, Pooled>, key: usize) -> Option<&mut State> {
+fn state_of(connections: &mut HashMap<usize, PooledConnection>, key: usize) -> Option<&mut State> {
     connections.get_mut(&key).map(|pooled| &mut pooled.state)
 }
 
--- a/crates/daemon/src/gateway/pool/sizing.rs
+++ b/crates/daemon/src/gateway/pool/sizing.rs
@@ -6,27 +6,27 @@
 use kestrellock_core::connection_budget::STANDBY_CONNECTIONS;
 use kestrellock_core::ids::AccountName;
 
-use super::{Pool, PoolRole, Pooled, State};
+use super::{Pool, PoolRole, PooledConnection, State};
 
 /// An idle connection beyond the warm ones is closed after this time.
-const IDLE_LIMIT: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The same where every node holds a share of the instance's connections: what one node keeps,
 /// others cannot open.
-const SHARED_IDLE_LIMIT: Duration = Duration::from_secs(2);
+const SHARED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Connections kept open without work where they belong to accounts: one for the gateway's own questions.
-const WARM_FOR_NOBODY: u32 = 1;
+const WARM_WITHOUT_ACCOUNT: u32 = 1;
 /// Connections kept open where nothing was needed lately.
-const WARM_UNUSED: u32 = 1;
+const MIN_WARM_SHARED: u32 = 1;
 /// Time that an account without a connection waits before a connection for which another account has
 /// work is closed in its favour. A new connection costs about as much of a slot as a short statement,
 /// so where many accounts wait each keeps its connection for a few statements.
-const ACCOUNT_PATIENCE: Duration = Duration::from_millis(60);
+const ACCOUNT_WAIT_LIMIT: Duration = Duration::from_millis(60);
 /// A connection that is not established after this time is given up.
-const SETUP_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A connection to open.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Opening {
+pub struct ConnectionToOpen {
     /// Account that it is for; `None`: nobody in particular.
     pub account: Option<AccountName>,
     /// Idle connection to close first, because the pool has as many as it may.
@@ -36,37 +36,39 @@
 impl Pool {
     /// The connections to open now: for exchanges that could run if their account had one, and to
     /// keep enough warm that work need not wait for set-up.
-    pub fn openings(&mut self, now: Instant) -> Vec<Opening> {
+    pub fn connections_to_open(&mut self, now: Instant) -> Vec<ConnectionToOpen> {
         if self.connect_after.is_some_and(|after| now < after) {
             return Vec::new();
         }
         let open = self.connections.len() as u32;
         let room = self.budget.allowed(now).saturating_sub(open) as usize;
-        let unserved = self.unserved(now);
-        let warm = (self.warm(now).saturating_sub(open) as usize).saturating_sub(unserved.len());
+        let unserved = self.unserved_accounts(now);
+        let warm =
+            (self.warm_target(now).saturating_sub(open) as usize).saturating_sub(unserved.len());
         let mut replaceable = self.idle.clone();
         let mut openings = Vec::new();
         for account in unserved {
             if openings.len() < room {
-                openings.push(Opening { account, replaces: None });
+                openings.push(ConnectionToOpen { account, replaces: None });
                 continue;
             }
             let is_of_another = |key: &usize| self.connections[key].account != account;
             let Some(place) = replaceable.iter().position(is_of_another) else { continue };
-            openings.push(Opening { replaces: Some(replaceable.remove(place)), account });
+            openings.push(ConnectionToOpen { replaces: Some(replaceable.remove(place)), account });
         }
         let left = room.saturating_sub(openings.len());
-        let warm = std::iter::repeat_n(Opening { account: None, replaces: None }, warm.min(left));
+        let warm =
+            std::iter::repeat_n(ConnectionToOpen { account: None, replaces: None }, warm.min(left));
         openings.extend(warm);
         if self.share.is_some() {
-            openings.truncate(self.at_once() as usize);
+            openings.truncate(self.max_concurrent_opens() as usize);
         }
         openings
     }
 
     /// Accounts of exchanges that could run if their account had a connection, one for each connection;
     /// those that have waited longest come first.
-    fn unserved(&self, now: Instant) -> Vec<Option<AccountName>> {
+    fn unserved_accounts(&self, now: Instant) -> Vec<Option<AccountName>> {
         let free = self.scheduler.free_slots();
         let mut unserved = Vec::new();
         for Startable { account, count, .. } in self.scheduler.startable_by_account(now) {
@@ -79,21 +81,21 @@
 
     /// The idle connection that is kept from its own account's next exchange, because another account
     /// has none and has waited for so long that it is its turn.
-    pub(super) fn reserved(&mut self, now: Instant) -> Option<usize> {
+    pub(super) fn reserved_connection(&mut self, now: Instant) -> Option<usize> {
         let longest_unused = *self.idle.first()?;
         if !self.has_accounts || self.budget.allowed(now) > self.connections.len() as u32 {
             return None;
         }
         let startable = self.scheduler.startable_by_account(now);
         let starves = |waiting: &Startable| {
-            waiting.waited >= ACCOUNT_PATIENCE && self.usable_by(waiting.account.as_ref()) == 0
+            waiting.waited >= ACCOUNT_WAIT_LIMIT && self.usable_by(waiting.account.as_ref()) == 0
         };
         startable.iter().any(starves).then_some(longest_unused)
     }
 
     /// Connections of an account that take its next exchanges: idle, or being opened.
     fn usable_by(&self, account: Option<&AccountName>) -> u32 {
-        let usable = |pooled: &&Pooled| {
+        let usable = |pooled: &&PooledConnection| {
             let usable = matches!(pooled.state, State::Idle { .. } | State::Connecting { .. });
             usable && pooled.account.as_ref() == account
         };
@@ -102,28 +104,30 @@
 
     /// Connections that may be opened at once where all nodes share the instance: as many again as
     /// stand. After a failure of many nodes each gets its first one before any gets its last.
-    fn at_once(&self) -> u32 {
+    fn max_concurrent_opens(&self) -> u32 {
         let established = self.connections.len() as u32 - self.connecting;
         established.max(1).saturating_sub(self.connecting)
     }
 
     /// Connections opened without work.
-    fn warm(&self, now: Instant) -> u32 {
+    fn warm_target(&self, now: Instant) -> u32 {
         match self.role {
-            PoolRole::Owner if self.has_accounts => WARM_FOR_NOBODY.min(self.kept(now)),
-            _ => self.kept(now),
+            PoolRole::Owner if self.has_accounts => {
+                WARM_WITHOUT_ACCOUNT.min(self.retained_target(now))
+            }
+            _ => self.retained_target(now),
         }
     }
 
     /// Connections kept open without work: of a shared instance no more than were in use at once lately, and one
     /// for whatever comes first. With as many as the instance has slots, nine owners of each of 1,000 groups
     /// opened 81,000 connections for 15,000 statements.
-    fn kept(&self, now: Instant) -> u32 {
+    fn retained_target(&self, now: Instant) -> u32 {
         match self.role {
             _ if self.leaving => 0,
             PoolRole::Owner => {
                 let most = self.share.map_or(self.budget.limit(), |share| share.warm);
-                self.slots.min(most).min(self.most_needed(now))
+                self.slots.min(most).min(self.recent_demand(now))
             }
             PoolRole::Standby => STANDBY_CONNECTIONS.min(self.slots),
             PoolRole::Released => 0,
@@ -131,11 +135,11 @@
     }
 
     /// The most connections that work without an account may need at once, by what it needed lately.
-    fn most_needed(&self, now: Instant) -> u32 {
+    fn recent_demand(&self, now: Instant) -> u32 {
         if self.share.is_none() || self.has_accounts {
             return u32::MAX;
         }
-        self.recent_use.map_or(0, |recent_use| recent_use.peak(now)).max(WARM_UNUSED)
+        self.recent_use.map_or(0, |recent_use| recent_use.peak(now)).max(MIN_WARM_SHARED)
     }
 
     /// Idle connections to close: all beyond the warm ones that have been idle for long, and at
@@ -146,9 +150,10 @@
             return self.idle.iter().take(over_budget as usize).copied().collect();
         }
         let stays = self.role == PoolRole::Owner && !self.leaving;
-        let kept = if self.share.is_some() { SHARED_IDLE_LIMIT } else { IDLE_LIMIT };
+        let kept = if self.share.is_some() { SHARED_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
         let limit = if stays { kept } else { Duration::ZERO };
-        let surplus = (self.connections.len() as u32).saturating_sub(self.kept(now)) as usize;
+        let surplus =
+            (self.connections.len() as u32).saturating_sub(self.retained_target(now)) as usize;
         let old = |key: &&usize| match self.connections.get(key).map(|pooled| &pooled.state) {
             Some(State::Idle { since }) => now.saturating_duration_since(*since) >= limit,
             _ => false,
@@ -158,8 +163,8 @@
 
     /// Connections whose set-up takes too long.
     pub fn overdue(&self, now: Instant) -> Vec<usize> {
-        let late = |pooled: &Pooled| match &pooled.state {
-            State::Connecting { since } => now.saturating_duration_since(*since) > SETUP_LIMIT,
+        let late = |pooled: &PooledConnection| match &pooled.state {
+            State::Connecting { since } => now.saturating_duration_since(*since) > CONNECT_TIMEOUT,
             _ => false,
         };
         let late = self.connections.iter().filter(|(_, pooled)| late(pooled));
--- a/crates/daemon/src/gateway/probing.rs
+++ b/crates/daemon/src/gateway/probing.rs
@@ -6,14 +6,14 @@
 use kestrellock_core::catalog::Group;
 use kestrellock_core::ids::GroupName;
 
-use super::monitor::Step;
-use super::server::{Server, Use};
+use super::monitor::ProbeStep;
+use super::server::{Purpose, Server};
 use super::{Gateway, GroupGateway};
 use crate::event::Io;
 use crate::metrics::ProbeEvent;
 
 impl Gateway {
-    pub(super) fn probe(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
+    pub(super) fn send_due_probes(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         // Where answers tell positions, nothing is asked for them.
         if io.context.protocol.traits().positions_in_answers {
             return;
@@ -22,21 +22,21 @@
         let wanted = state.confirmations.wanted_probe().max(state.current_positions.wanted_probe());
         for instance in &group.instances {
             match state.monitor.next_step(&instance.name, wanted, io.now) {
-                Step::Nothing => {}
-                Step::Connect => {
-                    let purpose = Use::Probe;
+                ProbeStep::Nothing => {}
+                ProbeStep::Connect => {
+                    let purpose = Purpose::Probe;
                     if let Ok(key) =
                         Server::connect(&mut self.servers, name, group, instance, None, purpose, io)
                     {
                         state.monitor.on_probe_connecting(&instance.name, key, io.now);
                     }
                 }
-                Step::Ask(key) => {
+                ProbeStep::Query(key) => {
                     if let Some(server) = self.servers.get_mut(key) {
                         let number = state.confirmations.next_probe();
-                        state.monitor.on_asked(&instance.name, number);
+                        state.monitor.on_probe_sent(&instance.name, number);
                         io.context.metrics.probes.count(ProbeEvent::Sent);
-                        server.ask_position(number);
+                        server.query_position(number);
                         // A broken connection shows as readable and is handled there.
                         let _ = server.flush(io);
                     }
@@ -58,7 +58,7 @@
             self.groups.iter().filter(urgent).map(|(name, _)| name.clone()).collect();
         for name in names {
             if let Some(group) = catalog.groups.get(&name) {
-                self.probe(&name, group, io);
+                self.send_due_probes(&name, group, io);
             }
         }
     }
--- a/crates/daemon/src/gateway/running.rs
+++ b/crates/daemon/src/gateway/running_exchange.rs
@@ -42,14 +42,14 @@
 
 /// How far the position query behind the exchange is.
 #[derive(Clone, Copy, Debug)]
-enum PositionAnswer {
+enum PositionQuery {
     NotDue,
     Awaited(Option<Report>),
 }
 
 /// The exchange under way.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningExchange {
     /// Lease it belongs to.
     pub lease: LeaseId,
     /// What it puts at stake.
@@ -65,21 +65,21 @@
     /// Messages of the answer that have not been passed on.
     pub answer: BytesMut,
     /// Whether parts of the answer have been passed on.
-    pub passed_on: bool,
+    pub is_partly_forwarded: bool,
     asks_position: bool,
     /// Whether it commits something that wrote, if it succeeds.
     commits_write: bool,
     /// Position that the answer told.
-    told: Option<Position>,
-    ready_left: u32,
-    position: PositionAnswer,
+    answer_position: Option<Position>,
+    ready_remaining: u32,
+    position_query: PositionQuery,
     segment: Segment,
     has_committed: bool,
     /// Why its first failed statement failed.
-    refused_for: Option<Failure>,
+    first_failure: Option<Failure>,
 }
 
-impl Running {
+impl RunningExchange {
     /// An exchange that is about to be sent as `bytes` bytes.
     pub fn new(exchange: &Exchange, asks_position: bool, bytes: usize, deadline: Instant) -> Self {
         Self {
@@ -90,22 +90,22 @@
             bytes,
             transaction: TransactionState::Idle,
             answer: BytesMut::new(),
-            passed_on: false,
+            is_partly_forwarded: false,
             asks_position,
             commits_write: exchange.commits_write,
-            told: None,
-            ready_left: exchange.ready_expected,
-            position: PositionAnswer::NotDue,
+            answer_position: None,
+            ready_remaining: exchange.ready_expected,
+            position_query: PositionQuery::NotDue,
             segment: Segment::default(),
             has_committed: false,
-            refused_for: None,
+            first_failure: None,
         }
     }
 
     /// Position after a commit that wrote, if the answer shows one.
-    pub fn shown_commit(&self) -> Option<Position> {
-        let succeeded = self.refused_for.is_none() && self.transaction == TransactionState::Idle;
-        self.told.filter(|_| self.commits_write && succeeded)
+    pub fn write_commit_position(&self) -> Option<Position> {
+        let succeeded = self.first_failure.is_none() && self.transaction == TransactionState::Idle;
+        self.answer_position.filter(|_| self.commits_write && succeeded)
     }
 
     /// Whether something may have committed, by the answer so far.
@@ -114,31 +114,31 @@
     }
 
     /// Position that the answer told, where answers do.
-    pub fn position(&self) -> Option<Position> {
-        self.told
+    pub fn answer_position(&self) -> Option<Position> {
+        self.answer_position
     }
 
     /// Whether the instance had no room for it.
-    pub fn found_no_room(&self) -> bool {
-        self.refused_for == Some(Failure::Busy)
+    pub fn found_instance_busy(&self) -> bool {
+        self.first_failure == Some(Failure::Busy)
     }
 
     /// Whether the answer is whole.
     pub fn is_answered(&self) -> bool {
-        self.ready_left == 0
+        self.ready_remaining == 0
     }
 
     /// What the instance said of its position after the exchange, if it was asked and answered.
     pub fn report(&self) -> Option<Report> {
-        match self.position {
-            PositionAnswer::Awaited(report) => report,
-            PositionAnswer::NotDue => None,
+        match self.position_query {
+            PositionQuery::Awaited(report) => report,
+            PositionQuery::NotDue => None,
         }
     }
 
     /// Takes in one message.
     pub fn on_reply(&mut self, reply: &Reply, protocol: &mut dyn BackendProtocol) -> Next {
-        if let PositionAnswer::Awaited(report) = &mut self.position {
+        if let PositionQuery::Awaited(report) = &mut self.position_query {
             match reply.kind {
                 ReplyKind::Row => *report = protocol.report(reply),
                 ReplyKind::Ready { .. } => return Next::Finished,
@@ -146,7 +146,7 @@
             }
             return Next::Await;
         }
-        self.watch(&reply.kind);
+        self.track_outcome(&reply.kind);
         match protocol.passage(reply) {
             Passage::Pass => self.answer.extend_from_slice(&reply.bytes),
             Passage::Replace(message) => self.answer.extend_from_slice(&message),
@@ -158,11 +158,11 @@
         }
     }
 
-    fn watch(&mut self, kind: &ReplyKind) {
+    fn track_outcome(&mut self, kind: &ReplyKind) {
         match kind {
             ReplyKind::Failed(failure) => {
                 self.segment.failed = true;
-                self.refused_for.get_or_insert(*failure);
+                self.first_failure.get_or_insert(*failure);
             }
             ReplyKind::Completed { commits } => self.segment.committed |= commits,
             _ => {}
@@ -171,14 +171,14 @@
 
     fn on_ready(&mut self, transaction: TransactionState, position: Option<Position>) -> Next {
         self.transaction = transaction;
-        self.told = position;
+        self.answer_position = position;
         let segment = std::mem::take(&mut self.segment);
         // An error rolls back what no explicit commit has ended before it.
         let ended = self.transaction == TransactionState::Idle && !segment.failed;
         let implicit = ended && self.stake.effect == Effect::MayCommit;
         self.has_committed |= segment.committed || implicit;
-        self.ready_left = self.ready_left.saturating_sub(1);
-        if self.ready_left > 0 {
+        self.ready_remaining = self.ready_remaining.saturating_sub(1);
+        if self.ready_remaining > 0 {
             return Next::Await;
         }
         if let Some(position) = position {
@@ -189,15 +189,15 @@
                 applied: position,
                 held: Term::default(),
             };
-            self.position = PositionAnswer::Awaited(Some(report));
+            self.position_query = PositionQuery::Awaited(Some(report));
             return Next::Finished;
         }
         if self.asks_position {
-            self.position = PositionAnswer::Awaited(None);
+            self.position_query = PositionQuery::Awaited(None);
             return Next::Await;
         }
         if self.has_committed {
-            self.position = PositionAnswer::Awaited(None);
+            self.position_query = PositionQuery::Awaited(None);
             return Next::AskPosition;
         }
         Next::Finished
@@ -206,11 +206,12 @@
     /// The answer to give when nothing waits for confirmation. Where the instance has not run the
     /// first exchange of a lease, it becomes a code on which the front looks for another one.
     pub fn final_event(&mut self, instance: &InstanceName) -> LeaseEvent {
-        let starts = !self.stake.continues_transaction && !self.has_committed && !self.passed_on;
+        let starts =
+            !self.stake.continues_transaction && !self.has_committed && !self.is_partly_forwarded;
         let idle = self.transaction == TransactionState::Idle;
         if starts
             && idle
-            && let Some(refusal) = self.not_run()
+            && let Some(refusal) = self.not_run_refusal()
         {
             return LeaseEvent::Refused(refusal.at(instance));
         }
@@ -220,8 +221,8 @@
     }
 
     /// The refusal that says why the instance has not run the exchange, if it has not.
-    fn not_run(&self) -> Option<Refusal> {
-        let (code, detail) = match self.refused_for? {
+    fn not_run_refusal(&self) -> Option<Refusal> {
+        let (code, detail) = match self.first_failure? {
             Failure::ReadOnly if self.stake.effect != Effect::Read => {
                 (ResultCode::NotPrimary, "the instance is read-only")
             }
@@ -247,7 +248,12 @@
 
     /// What the caller is told now that the connection cannot be used any more; `unsent` is the
     /// number of bytes at the end of the exchange that the kernel has not taken.
-    pub fn failure(&mut self, fault: Fault, unsent: usize, instance: &InstanceName) -> LeaseEvent {
+    pub fn failure_event(
+        &mut self,
+        fault: Fault,
+        unsent: usize,
+        instance: &InstanceName,
+    ) -> LeaseEvent {
         let idle = self.transaction == TransactionState::Idle;
         if self.is_answered() && !self.has_committed && idle {
             return self.final_event(instance);
@@ -265,11 +271,11 @@
             false => self.stake,
         };
         let code = failure_code(stake, progress, fault);
-        LeaseEvent::Refused(Refusal::new(code, detail_of(fault)).at(instance))
+        LeaseEvent::Refused(Refusal::new(code, fault_detail(fault)).at(instance))
     }
 }
 
-fn detail_of(fault: Fault) -> &'static str {
+fn fault_detail(fault: Fault) -> &'static str {
     match fault {
         Fault::Deadline => "the back end did not answer in time",
         Fault::Superseded => "the primary has been replaced",
--- a/crates/daemon/src/gateway/server.rs
+++ b/crates/daemon/src/gateway/server.rs
@@ -19,8 +19,8 @@
 use slab::Slab;
 
 use super::confirmation::Commit;
-use super::notify;
-use super::running::{Running, stake_of};
+use super::notify_front;
+use super::running_exchange::{RunningExchange, stake_of};
 use crate::event::{Io, Part, token};
 use crate::metrics::ConnectionEvent;
 use crate::net::connect::connect_from;
@@ -29,15 +29,15 @@
 
 /// Time an exchange gets beyond its deadline before its connection is given up; less than the
 /// front's own patience, so that the caller hears the more exact outcome.
-const DEADLINE_GRACE: Duration = Duration::from_millis(50);
+const DEADLINE_GRACE_PERIOD: Duration = Duration::from_millis(50);
 /// Time in which a replica must say whether it follows its primary.
-const STATUS_LIMIT: Duration = Duration::from_millis(150);
+const STATUS_QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time a connection gets to roll an abandoned transaction back.
-const RESET_LIMIT: Duration = Duration::from_secs(1);
+const CLEANUP_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum Purpose {
     /// Callers' statements.
     Pooled,
     /// Position probes.
@@ -62,7 +62,7 @@
     /// The instance has answered an exchange.
     Answered,
     /// The instance had no room for an exchange.
-    NoRoom,
+    InstanceBusy,
     /// The exchange is over and its transaction still open.
     TransactionOpen,
     /// The transaction is over and the connection free.
@@ -97,9 +97,9 @@
         deadline: Instant,
         failed: bool,
     },
-    Running(Box<Running>),
+    Running(Box<RunningExchange>),
     /// Removes what the last caller left behind, until this time at the latest.
-    Discarding {
+    DiscardingSession {
         until: Instant,
     },
     Probing {
@@ -108,7 +108,7 @@
         report: Option<Report>,
     },
     /// Rolls an abandoned transaction back, until this time at the latest.
-    Resetting {
+    RollingBack {
         until: Instant,
     },
 }
@@ -122,7 +122,7 @@
     /// The instance.
     pub instance: InstanceName,
     /// What it is for.
-    pub purpose: Use,
+    pub purpose: Purpose,
     /// Account whose exchanges it carries.
     account: Option<AccountName>,
     state: State,
@@ -131,15 +131,15 @@
     next_exchange: u32,
     protocol: Box<dyn BackendProtocol>,
     /// Key with which the back end cancels what runs here.
-    key: Option<CancelKey>,
+    cancel_key: Option<CancelKey>,
     /// A cancel request may still arrive, so no other lease may use the connection.
     is_last_lease: bool,
     /// Whether each answer tells the instance's position.
     positions_in_answers: bool,
     /// Whether the instance does not run: nothing listened at its address, or another instance.
-    was_refused: bool,
+    is_instance_down: bool,
     /// Number under which the status board knows the exchange under way.
-    waiting_number: u64,
+    status_exchange_number: u64,
 }
 
 impl Server {
@@ -148,7 +148,7 @@
         protocol: Box<dyn BackendProtocol>,
         group: GroupName,
         instance: InstanceName,
-        purpose: Use,
+        purpose: Purpose,
     ) -> Self {
         Self {
             connection,
@@ -161,11 +161,11 @@
             next_sequence: 0,
             next_exchange: 0,
             protocol,
-            key: None,
+            cancel_key: None,
             is_last_lease: false,
             positions_in_answers: false,
-            was_refused: false,
-            waiting_number: 0,
+            is_instance_down: false,
+            status_exchange_number: 0,
         }
     }
 
@@ -176,7 +176,7 @@
         group: &Group,
         instance: &Instance,
         account: Option<&AccountName>,
-        purpose: Use,
+        purpose: Purpose,
         io: &mut Io,
     ) -> io::Result<usize> {
         let stream =
@@ -208,7 +208,7 @@
     /// request may arrive late, so `target` is closed when its lease ends.
     pub fn cancel(servers: &mut Slab<Server>, target: usize, address: SocketAddr, io: &mut Io) {
         let Some(server) = servers.get_mut(target) else { return };
-        let Some(cancel_key) = server.key else { return };
+        let Some(cancel_key) = server.cancel_key else { return };
         server.is_last_lease = true;
         let (group, instance) = (server.group.clone(), server.instance.clone());
         let source = io.context.identity.address;
@@ -220,19 +220,19 @@
         };
         let mut protocol = io.context.protocol.backend();
         protocol.put_cancel(cancel_key, &mut connection.output);
-        let mut server = Self::new(connection, protocol, group, instance, Use::Cancel);
-        server.state = State::Discarding { until: io.now + RESET_LIMIT };
+        let mut server = Self::new(connection, protocol, group, instance, Purpose::Cancel);
+        server.state = State::DiscardingSession { until: io.now + CLEANUP_TIMEOUT };
         entry.insert(server);
     }
 
     /// The instance does not run: nothing listens at its address, or another instance.
-    pub fn mark_refused(&mut self) {
-        self.was_refused = true;
+    pub fn mark_instance_down(&mut self) {
+        self.is_instance_down = true;
     }
 
     /// Whether the instance was found not to run.
-    pub fn was_refused(&self) -> bool {
-        self.was_refused
+    pub fn is_instance_down(&self) -> bool {
+        self.is_instance_down
     }
 
     /// Whether nothing is under way on the connection.
@@ -262,7 +262,7 @@
 
     /// Whether `exchange` may be run now: the connection is at rest, the number is the next of its lease,
     /// and the account the one that the back end was told.
-    pub fn accepts(&self, exchange: &Exchange) -> bool {
+    pub fn can_run(&self, exchange: &Exchange) -> bool {
         let is_next = matches!(self.state, State::Idle) && exchange.number == self.next_exchange;
         is_next && exchange.account == self.account
     }
@@ -294,12 +294,12 @@
         }
         let bytes = output.len() - before;
         self.next_exchange = exchange.number + 1;
-        let running = Running::new(exchange, asks_position, bytes, deadline);
+        let running = RunningExchange::new(exchange, asks_position, bytes, deadline);
         self.state = State::Running(Box::new(running));
         if self.positions_in_answers {
             let commits = exchange.may_commit;
             let number = io.context.statuses.on_sent(&self.group, &self.instance, commits);
-            self.waiting_number = number;
+            self.status_exchange_number = number;
         }
     }
 
@@ -307,7 +307,7 @@
     pub fn refuse_unsent(&mut self, exchange: &Exchange, fault: Fault, io: &mut Io) {
         let code = failure_code(stake_of(exchange), Progress::Queued, fault);
         let event = LeaseEvent::Refused(Refusal::new(code, "the statement was not sent"));
-        notify(&exchange.lease, self.next_sequence, event, io);
+        notify_front(&exchange.lease, self.next_sequence, event, io);
     }
 
     /// Number of the next message to the front of the lease.
@@ -316,7 +316,7 @@
     }
 
     /// Asks the instance for its position.
-    pub fn ask_position(&mut self, number: ProbeNumber) {
+    pub fn query_position(&mut self, number: ProbeNumber) {
         self.protocol.put_position_query(&mut self.connection.output);
         // Later than any request that waits for the answer arrived.
         self.state = State::Probing { number, asked: Instant::now(), report: None };
@@ -324,23 +324,23 @@
 
     /// Rolls the transaction of an abandoned lease back so that the connection can be used again;
     /// false if it has to be closed instead, because an exchange is under way.
-    pub fn reset(&mut self, io: &mut Io) -> bool {
+    pub fn roll_back(&mut self, io: &mut Io) -> bool {
         if !matches!(self.state, State::Idle) {
             return false;
         }
         self.protocol.put_rollback(&mut self.connection.output);
-        self.state = State::Resetting { until: io.now + RESET_LIMIT };
+        self.state = State::RollingBack { until: io.now + CLEANUP_TIMEOUT };
         true
     }
 
     /// Whether what the connection does is overdue.
     pub fn is_overdue(&self, now: Instant) -> bool {
         match &self.state {
-            State::Running(running) => now > running.deadline + DEADLINE_GRACE,
-            State::Preparing { deadline, .. } => now > *deadline + DEADLINE_GRACE,
-            State::Resetting { until } | State::Discarding { until } => now > *until,
-            State::Probing { asked, .. } if self.purpose == Use::Pooled => {
-                now > *asked + STATUS_LIMIT
+            State::Running(running) => now > running.deadline + DEADLINE_GRACE_PERIOD,
+            State::Preparing { deadline, .. } => now > *deadline + DEADLINE_GRACE_PERIOD,
+            State::RollingBack { until } | State::DiscardingSession { until } => now > *until,
+            State::Probing { asked, .. } if self.purpose == Purpose::Pooled => {
+                now > *asked + STATUS_QUERY_TIMEOUT
             }
             State::StartingUp | State::Idle | State::Probing { .. } => false,
         }
@@ -354,12 +354,12 @@
         }
         if let State::Running(mut running) = state {
             if self.positions_in_answers {
-                let number = self.waiting_number;
+                let number = self.status_exchange_number;
                 io.context.statuses.on_ended(&self.group, &self.instance, number, None);
             }
             let unsent = self.connection.output.len();
-            let event = running.failure(fault, unsent, &self.instance);
-            notify(&running.lease, self.next_sequence, event, io);
+            let event = running.failure_event(fault, unsent, &self.instance);
+            notify_front(&running.lease, self.next_sequence, event, io);
         }
         self.lease.take()
     }
--- a/crates/daemon/src/gateway/server/replies.rs
+++ b/crates/daemon/src/gateway/server/replies.rs
@@ -7,15 +7,15 @@
 use kestrellock_peer::message::{LeaseEvent, TransactionState};
 use kestrellock_protocol::backend::{BackendTarget, Failure, Reply, ReplyKind};
 
-use super::{ProbeAnswer, RESET_LIMIT, Server, ServerEvent, State};
+use super::{CLEANUP_TIMEOUT, ProbeAnswer, Server, ServerEvent, State};
 use crate::event::Io;
 use crate::gateway::confirmation::Commit;
-use crate::gateway::notify;
-use crate::gateway::running::{Next, Running};
+use crate::gateway::notify_front;
+use crate::gateway::running_exchange::{Next, RunningExchange};
 use crate::shared::statuses::Answered;
 
 /// Bytes of an answer gathered before a part of it is passed on.
-const PART_BYTES: usize = 64 * 1024;
+const FORWARD_THRESHOLD_BYTES: usize = 64 * 1024;
 
 impl Server {
     /// Handles the whole messages received so far.
@@ -31,7 +31,7 @@
                 }
             }
         }
-        self.pass_on_part(io);
+        self.forward_partial_answer(io);
         events
     }
 
@@ -59,9 +59,9 @@
                 ReplyKind::Ready { .. } => self.on_prepared(events, io),
                 _ => {}
             },
-            State::Discarding { .. } => match reply.kind {
+            State::DiscardingSession { .. } => match reply.kind {
                 ReplyKind::Failed(_) => events.push(ServerEvent::Unusable),
-                ReplyKind::Ready { .. } => self.on_discarded(events, io),
+                ReplyKind::Ready { .. } => self.on_session_discarded(events, io),
                 _ => {}
             },
             State::Probing { number, asked, report } => match reply.kind {
@@ -80,9 +80,9 @@
                 Next::AskPosition => {
                     self.protocol.put_position_query(&mut self.connection.output);
                 }
-                Next::Finished => self.finish(events, io),
+                Next::Finished => self.finish_exchange(events, io),
             },
-            State::Resetting { .. } => match reply.kind {
+            State::RollingBack { .. } => match reply.kind {
                 ReplyKind::Ready { transaction: TransactionState::Idle, .. } => {
                     self.end_lease(events, io);
                 }
@@ -105,7 +105,7 @@
             ReplyKind::Challenge if !self.answer_challenge(reply, io) => {
                 events.push(ServerEvent::Unusable);
             }
-            ReplyKind::CancelKey(key) => self.key = Some(key),
+            ReplyKind::CancelKey(key) => self.cancel_key = Some(key),
             _ => {}
         }
     }
@@ -117,7 +117,7 @@
         if failed {
             let detail = "the back end does not accept the session's settings";
             let refusal = Refusal::new(ResultCode::NotSupported, detail);
-            notify(&exchange.lease, self.next_sequence, LeaseEvent::Refused(refusal), io);
+            notify_front(&exchange.lease, self.next_sequence, LeaseEvent::Refused(refusal), io);
             events.push(ServerEvent::Unusable);
             return;
         }
@@ -131,7 +131,7 @@
         self.send(&exchange, deadline, io);
     }
 
-    fn on_discarded(&mut self, events: &mut Vec<ServerEvent>, io: &mut Io) {
+    fn on_session_discarded(&mut self, events: &mut Vec<ServerEvent>, io: &mut Io) {
         self.protocol.on_reset();
         self.end_lease(events, io);
     }
@@ -144,7 +144,7 @@
             return;
         }
         if self.protocol.put_reset(&mut self.connection.output) {
-            self.state = State::Discarding { until: io.now + RESET_LIMIT };
+            self.state = State::DiscardingSession { until: io.now + CLEANUP_TIMEOUT };
             return;
         }
         self.state = State::Idle;
@@ -153,13 +153,13 @@
     }
 
     /// Ends the exchange whose last message has arrived.
-    fn finish(&mut self, events: &mut Vec<ServerEvent>, io: &mut Io) {
+    fn finish_exchange(&mut self, events: &mut Vec<ServerEvent>, io: &mut Io) {
         let State::Running(mut running) = std::mem::replace(&mut self.state, State::Idle) else {
             return;
         };
-        self.report_answer(&running, io);
-        events.push(match running.found_no_room() {
-            true => ServerEvent::NoRoom,
+        self.record_answer(&running, io);
+        events.push(match running.found_instance_busy() {
+            true => ServerEvent::InstanceBusy,
             false => ServerEvent::Answered,
         });
         let sequence = self.next_sequence;
@@ -176,7 +176,7 @@
             }));
         } else {
             let event = running.final_event(&self.instance);
-            notify(&running.lease, sequence, event, io);
+            notify_front(&running.lease, sequence, event, io);
         }
         if running.transaction == TransactionState::Idle {
             self.end_lease(events, io);
@@ -186,7 +186,7 @@
     }
 
     /// Lets the node know what the answer tells of the instance.
-    fn report_answer(&self, running: &Running, io: &Io) {
+    fn record_answer(&self, running: &RunningExchange, io: &Io) {
         if !self.positions_in_answers {
             return;
         }
@@ -195,12 +195,12 @@
         let answered = Answered {
             sent: running.sent,
             at: io.now,
-            position: running.position(),
+            position: running.answer_position(),
             role: configured.and_then(|instance| instance.announced_role),
         };
-        let number = self.waiting_number;
+        let number = self.status_exchange_number;
         io.context.statuses.on_ended(&self.group, &self.instance, number, Some(answered));
-        if let Some(position) = running.shown_commit() {
+        if let Some(position) = running.write_commit_position() {
             let (term, sent) = (position.term, running.sent);
             let statuses = &io.context.statuses;
             match io.context.is_waited_for() {
@@ -211,14 +211,16 @@
     }
 
     /// Passes a large answer on before its end; a write's answer is kept whole until confirmed.
-    fn pass_on_part(&mut self, io: &mut Io) {
+    fn forward_partial_answer(&mut self, io: &mut Io) {
         let State::Running(running) = &mut self.state else { return };
-        if running.stake.effect == Effect::MayCommit || running.answer.len() < PART_BYTES {
+        if running.stake.effect == Effect::MayCommit
+            || running.answer.len() < FORWARD_THRESHOLD_BYTES
+        {
             return;
         }
-        running.passed_on = true;
+        running.is_partly_forwarded = true;
         let part = running.take_answer();
-        notify(&running.lease, self.next_sequence, LeaseEvent::Part(part), io);
+        notify_front(&running.lease, self.next_sequence, LeaseEvent::Part(part), io);
         self.next_sequence += 1;
     }
 }
--- a/crates/daemon/src/gateway/server_events.rs
+++ b/crates/daemon/src/gateway/server_events.rs
@@ -10,14 +10,14 @@
 use super::Gateway;
 use super::confirmation::refuse_late;
 use super::pool::Pool;
-use super::server::{ServerEvent, Use};
+use super::server::{Purpose, ServerEvent};
 use crate::event::Io;
 use crate::metrics::{ConnectionEvent, ProbeEvent};
 use crate::net::connection::ReadOutcome;
 use crate::shared::statuses::Reachability;
 
 /// An instance has accepted a connection under its name: whoever else is told at its address has ended.
-fn note_occupant(name: &GroupName, group: &Group, instance: &InstanceName, io: &Io) {
+fn record_occupant(name: &GroupName, group: &Group, instance: &InstanceName, io: &Io) {
     let Some(configured) = group.instance(instance) else { return };
     let before = io.context.occupants.on_answered(configured.address, instance);
     if let Some(before) = before.filter(|before| group.instance(before).is_some()) {
@@ -41,7 +41,7 @@
         let broken = flushed.is_err() || outcome.is_over();
         let refused = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
         if outcome == ReadOutcome::Refused || flushed.is_err_and(refused) {
-            server.mark_refused();
+            server.mark_instance_down();
         }
         for event in events {
             self.on_server_event(key, event, io);
@@ -61,24 +61,24 @@
             ServerEvent::Started(position) => {
                 let made = Reachability::Made(position);
                 io.context.statuses.on_connection(&group, &instance, made);
-                note_occupant(&group, configured, &instance, io);
+                record_occupant(&group, configured, &instance, io);
                 return;
             }
-            ServerEvent::Answered | ServerEvent::NoRoom => {
+            ServerEvent::Answered | ServerEvent::InstanceBusy => {
                 if let Some(pool) = state.pools.get_mut(&instance) {
                     pool.on_answer(matches!(event, ServerEvent::Answered), io.now);
                 }
                 return;
             }
-            ServerEvent::Probed(answer) if server.purpose == Use::Pooled => {
-                state.standings.on_answer(&group, &instance, &answer, io);
-                state.questions.on_answer();
-                self.confirm_by_standings(&group, configured, io);
+            ServerEvent::Probed(answer) if server.purpose == Purpose::Pooled => {
+                state.status_queries.on_answer(&group, &instance, &answer, io);
+                state.evidence_queries.on_answer();
+                self.confirm_by_replica_statuses(&group, configured, io);
                 return self.retry_placements(&group, configured, io);
             }
-            ServerEvent::Ready if server.purpose == Use::Pooled => {
-                if state.standings.on_ready(&instance, key, io) {
-                    state.questions.on_answer();
+            ServerEvent::Ready if server.purpose == Purpose::Pooled => {
+                if state.status_queries.on_connection_ready(&instance, key, io) {
+                    state.evidence_queries.on_answer();
                 }
                 if let Some(pool) = state.pools.get_mut(&instance) {
                     pool.on_idle(key, io.now);
@@ -89,13 +89,13 @@
             ServerEvent::Refused => {
                 io.context.metrics.backends.count(ConnectionEvent::Refused);
                 if let Some(pool) = state.pools.get_mut(&instance) {
-                    pool.on_refused(io.now, rand::random());
+                    pool.on_connection_refused(io.now, rand::random());
                 }
                 self.on_server_lost(key, Fault::BackendLost, io);
             }
             ServerEvent::Displaced => {
                 if let Some(server) = self.servers.get_mut(key) {
-                    server.mark_refused();
+                    server.mark_instance_down();
                 }
                 self.on_server_lost(key, Fault::BackendLost, io);
                 let state = self.groups.get_mut(&group);
@@ -117,10 +117,10 @@
             ServerEvent::CommitAnswered(commit) => {
                 let (answered, now) = (&commit.instance, Instant::now());
                 match io.context.replacements.answer_counts(&group, answered, now) {
-                    true => state.confirmations.wait_for(commit, configured, io),
+                    true => state.confirmations.add_commit(commit, configured, io),
                     false => refuse_late(&group, commit, io),
                 }
-                self.confirm_by_standings(&group, configured, io);
+                self.confirm_by_replica_statuses(&group, configured, io);
             }
             ServerEvent::Probed(report) => {
                 io.context.metrics.probes.count(ProbeEvent::Answered);
@@ -131,11 +131,11 @@
                 let questions = &mut state.current_positions;
                 questions.on_report(&group, &instance, &report, configured, io);
                 if replaced {
-                    self.fence(&group, io);
+                    self.fence_outdated_primaries(&group, io);
                 }
             }
         }
-        self.ask_standings(&group, io);
-        self.pump_group(&group, io);
+        self.send_status_queries(&group, io);
+        self.advance_group(&group, io);
     }
 }
--- a/crates/daemon/src/gateway/standings.rs
+++ b/crates/daemon/src/gateway/status_queries.rs
@@ -16,35 +16,35 @@
 
 /// Questions to one instance.
 #[derive(Debug, Default)]
-struct Questions {
+struct InstanceQuery {
     /// Whether one waits to be sent.
-    is_wanted: bool,
+    is_requested: bool,
     /// The pooled connection that carries one.
-    asked: Option<usize>,
+    in_flight: Option<usize>,
     /// Whether that one has been answered by a row.
     is_answered: bool,
 }
 
 /// Questions to the instances of one group.
 #[derive(Debug, Default)]
-pub struct Standings {
-    instances: HashMap<InstanceName, Questions>,
+pub struct StatusQueries {
+    instances: HashMap<InstanceName, InstanceQuery>,
 }
 
-impl Standings {
+impl StatusQueries {
     /// The instance is to be asked.
-    pub fn want(&mut self, instance: InstanceName) {
-        self.instances.entry(instance).or_default().is_wanted = true;
+    pub fn request(&mut self, instance: InstanceName) {
+        self.instances.entry(instance).or_default().is_requested = true;
     }
 
     /// A pooled connection is idle again, or gone. Whether it carried a question that was not
     /// answered.
-    pub fn on_ready(&mut self, instance: &InstanceName, key: usize, io: &Io) -> bool {
+    pub fn on_connection_ready(&mut self, instance: &InstanceName, key: usize, io: &Io) -> bool {
         let Some(questions) = self.instances.get_mut(instance) else { return false };
-        if questions.asked != Some(key) {
+        if questions.in_flight != Some(key) {
             return false;
         }
-        questions.asked = None;
+        questions.in_flight = None;
         let failed = !questions.is_answered;
         if failed {
             io.context.metrics.probes.count(ProbeEvent::Failed);
@@ -71,50 +71,56 @@
 impl Gateway {
     /// Asks instances in doubt how they stand, where connections to them are open: an answer takes the
     /// doubt back.
-    pub(super) fn ask_in_doubt(&mut self, name: &GroupName, io: &mut Io) {
+    pub(super) fn query_instances_in_doubt(&mut self, name: &GroupName, io: &mut Io) {
         let doubted = io.context.statuses.questions_in_doubt(name, io.now);
         let Some(state) = self.groups.get_mut(name).filter(|_| !doubted.is_empty()) else { return };
         for instance in doubted {
-            let is_open = state.pools.get(&instance).is_some_and(|pool| pool.open() > 0);
+            let is_open =
+                state.pools.get(&instance).is_some_and(|pool| pool.open_connections() > 0);
             if is_open {
-                state.standings.want(instance);
+                state.status_queries.request(instance);
             }
         }
-        self.ask_standings(name, io);
+        self.send_status_queries(name, io);
     }
 
     /// Answers commits that wait for the word of replicas, and asks those for it where some still do.
-    pub(super) fn confirm_by_standings(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
+    pub(super) fn confirm_by_replica_statuses(
+        &mut self,
+        name: &GroupName,
+        group: &Group,
+        io: &mut Io,
+    ) {
         let Some(state) = self.groups.get_mut(name) else { return };
-        state.confirmations.decide_by_standings(name, group, io);
-        if !state.confirmations.should_ask_standings(io.now) {
+        state.confirmations.resolve_by_replica_statuses(name, group, io);
+        if !state.confirmations.should_query_replicas(io.now) {
             return;
         }
         let leader = io.context.leader(name, group).map(|leader| &leader.name);
         let replicas = group.instances.iter().filter(|one| leader != Some(&one.name));
-        replicas.for_each(|replica| state.standings.want(replica.name.clone()));
-        self.ask_standings(name, io);
+        replicas.for_each(|replica| state.status_queries.request(replica.name.clone()));
+        self.send_status_queries(name, io);
     }
 
     /// Sends the questions that wait, over idle connections of the instances' pools.
-    pub(super) fn ask_standings(&mut self, name: &GroupName, io: &mut Io) {
+    pub(super) fn send_status_queries(&mut self, name: &GroupName, io: &mut Io) {
         let Some(state) = self.groups.get_mut(name) else { return };
         let mut broken = Vec::new();
-        for (instance, questions) in &mut state.standings.instances {
-            if !questions.is_wanted || questions.asked.is_some() {
+        for (instance, questions) in &mut state.status_queries.instances {
+            if !questions.is_requested || questions.in_flight.is_some() {
                 continue;
             }
-            questions.is_wanted = false;
-            let Some(key) = state.pools.get_mut(instance).and_then(Pool::borrow) else {
+            questions.is_requested = false;
+            let Some(key) = state.pools.get_mut(instance).and_then(Pool::borrow_idle) else {
                 // No connection is idle: another instance may be asked.
-                state.questions.on_answer();
+                state.evidence_queries.on_answer();
                 continue;
             };
             let Some(server) = self.servers.get_mut(key) else { continue };
-            questions.asked = Some(key);
+            questions.in_flight = Some(key);
             questions.is_answered = false;
             io.context.metrics.probes.count(ProbeEvent::Sent);
-            server.ask_position(ProbeNumber::default());
+            server.query_position(ProbeNumber::default());
             if server.flush(io).is_err() {
                 broken.push(key);
             }
--- a/crates/daemon/src/shard/reconnecting.rs
+++ b/crates/daemon/src/shard/reconnecting.rs
@@ -45,7 +45,7 @@
         io: &mut Io,
     ) {
         self.links.drop_replaced(node, io);
-        self.gateway.keep_only(node, held, io);
+        self.gateway.retain_leases(node, held, io);
         for lease in held {
             self.repeat_missed(node, lease, opened, io);
         }
@@ -65,14 +65,14 @@
             self.tell_front(node, held, sequence, event, io);
         }
         let Some(sent_ago) = held.sent_ago else { return };
-        if is_answered || self.gateway.is_under_way(&held.lease) {
+        if is_answered || self.gateway.is_lease_active(&held.lease) {
             return;
         }
         let now = Instant::now();
         let age = opened.map(|opened| sent_ago + now.saturating_duration_since(opened));
         let has_not_run = age.is_some_and(|age| self.recent_answers.covers(age, now));
         // A transaction that rests here is rolled back: its front ends it as well.
-        self.gateway.rule_out(&held.lease, io);
+        self.gateway.mark_not_run(&held.lease, io);
         let event = LeaseEvent::NotUnderWay { has_not_run };
         self.tell_front(node, held, next_sequence, event, io);
     }
--- a/crates/daemon/tests/pool.rs
+++ b/crates/daemon/tests/pool.rs
@@ -9,7 +9,9 @@
 use kestrellock_core::connection_shares::Share;
 use kestrellock_core::ids::{AccountName, InstanceName, LeaseId, NodeName, TenantName};
 use kestrellock_core::routing::Access;
-use kestrellock_daemon::gateway::pool::{Assigned, Assignment, Opening, Pool, PoolRole};
+use kestrellock_daemon::gateway::pool::{
+    Assignment, Assignments, ConnectionToOpen, Pool, PoolRole,
+};
 use kestrellock_peer::message::{Exchange, Placement};
 use proptest::prelude::*;
 
@@ -111,14 +113,14 @@
                     let _ = pool.offer(exchange(serial as u64, Duration::from_millis(500)), 10, now);
                 }
                 Step::Open { refused } => {
-                    for _ in 0..pool.openings(now).len() {
+                    for _ in 0..pool.connections_to_open(now).len() {
                         pool.on_connecting(next_key, None, now);
                         account.connecting.insert(next_key);
                         next_key += 1;
                     }
                     if let Some(key) = account.connecting.pop_first() {
                         if refused {
-                            pool.on_refused(now, 7);
+                            pool.on_connection_refused(now, 7);
                             pool.on_lost(key, now, 7);
                         } else {
                             pool.on_idle(key, now);
@@ -152,8 +154,8 @@
                 }
                 Step::Wait(time) => now += Duration::from_millis(time),
             }
-            pool.give_up_late(now);
-            let Assigned { run, .. } = pool.assign(now);
+            pool.remove_late(now);
+            let Assignments { run, .. } = pool.assign(now);
             for Assignment { key, .. } in run {
                 prop_assert!(account.idle.remove(&key), "connection {key} is given out while in use");
                 account.leased.insert(key, false);
@@ -164,8 +166,8 @@
             }
             let running = account.leased.values().filter(|paused| !**paused).count();
             prop_assert!(account.resumed || running <= SLOTS as usize);
-            prop_assert_eq!(pool.open(), account.open());
-            prop_assert_eq!(pool.leases(), account.leased.len());
+            prop_assert_eq!(pool.open_connections(), account.open());
+            prop_assert_eq!(pool.active_leases(), account.leased.len());
             prop_assert!(account.open() <= owner_limit(CONNECTIONS, 2) as usize);
         }
     }
@@ -176,7 +178,7 @@
     let group = group();
     let mut pool = Pool::new(&group, &group.instances[0], PoolRole::Owner, None);
     pool.set_role(role, now);
-    for key in 0..pool.openings(now).len() {
+    for key in 0..pool.connections_to_open(now).len() {
         pool.on_connecting(key, None, now);
         pool.on_idle(key, now);
     }
@@ -190,8 +192,8 @@
         [(PoolRole::Owner, SLOTS as usize), (PoolRole::Standby, 2), (PoolRole::Released, 0)];
     for (role, warm) in table {
         let mut pool = connected(role, now);
-        assert_eq!(pool.open(), warm, "{role:?}");
-        assert_eq!(pool.openings(now).len(), 0, "{role:?}");
+        assert_eq!(pool.open_connections(), warm, "{role:?}");
+        assert_eq!(pool.connections_to_open(now).len(), 0, "{role:?}");
         let later = now + Duration::from_secs(3600);
         assert!(pool.connections_to_close(later).is_empty(), "{role:?} closes warm connections");
     }
@@ -211,9 +213,13 @@
         pool.on_paused(assignment.key, now);
     }
     pool.offer(exchange(100, minute), 10, now).expect("it fits");
-    assert_eq!(pool.openings(now).len(), 1, "one more connection serves the waiting exchange");
+    assert_eq!(
+        pool.connections_to_open(now).len(),
+        1,
+        "one more connection serves the waiting exchange"
+    );
     pool.on_connecting(100, None, now);
-    assert_eq!(pool.openings(now).len(), 0, "none is opened in vain");
+    assert_eq!(pool.connections_to_open(now).len(), 0, "none is opened in vain");
     pool.on_idle(100, now);
     let run = pool.assign(now).run;
     assert_eq!(run.iter().map(|assignment| assignment.key).collect::<Vec<_>>(), [100]);
@@ -242,7 +248,7 @@
     let mut attempts = 0;
     let end = now + Duration::from_secs(10);
     while now < end {
-        for _ in 0..pool.openings(now).len() {
+        for _ in 0..pool.connections_to_open(now).len() {
             attempts += 1;
             pool.on_connecting(attempts, None, now);
             pool.on_lost(attempts, now, u64::MAX);
@@ -251,7 +257,7 @@
     }
     // At the largest backoff of 250 ms each round opens what is missing of the warm connections.
     assert!((30..200).contains(&attempts), "{attempts} attempts");
-    assert_eq!(pool.open(), 0);
+    assert_eq!(pool.open_connections(), 0);
 }
 
 #[test]
@@ -292,8 +298,8 @@
     assert_eq!(closed.len(), SLOTS as usize - 1);
     assert!(!closed.contains(&leased));
     closed.into_iter().for_each(|key| pool.on_lost(key, now, 0));
-    assert_eq!(pool.openings(now).len(), 0);
-    assert_eq!(pool.leases(), 1);
+    assert_eq!(pool.connections_to_open(now).len(), 0);
+    assert_eq!(pool.active_leases(), 1);
 }
 
 /// A node's share of an instance's connections, of which it keeps one without work.
@@ -311,10 +317,10 @@
     }
     let mut opened = Vec::new();
     for key in [0, 10, 20] {
-        let count = pool.openings(now).len();
+        let count = pool.connections_to_open(now).len();
         opened.push(count);
         (key..key + count).for_each(|key| pool.on_connecting(key, None, now));
-        assert_eq!(pool.openings(now).len(), 0, "some are being opened");
+        assert_eq!(pool.connections_to_open(now).len(), 0, "some are being opened");
         (key..key + count).for_each(|key| pool.on_idle(key, now));
         pool.assign(now);
     }
@@ -363,8 +369,9 @@
         run.iter().map(|one| (one.key, one.exchange.lease.serial)).collect::<Vec<_>>(),
         [(1, 1)]
     );
-    let openings = pool.openings(now);
-    let expected = Opening { account: Some(AccountName::new("swanreach")), replaces: Some(0) };
+    let openings = pool.connections_to_open(now);
+    let expected =
+        ConnectionToOpen { account: Some(AccountName::new("swanreach")), replaces: Some(0) };
     assert_eq!(openings, [expected], "the connection that nobody waits for gives way");
 }
 
@@ -383,8 +390,8 @@
     let later = start + Duration::from_millis(100);
     pool.on_idle(1, later);
     assert_eq!(pool.assign(later).run.len(), 0, "the connection is kept from its account");
-    let expected = Opening { account: Some(AccountName::new("small")), replaces: Some(1) };
-    assert_eq!(pool.openings(later), [expected]);
+    let expected = ConnectionToOpen { account: Some(AccountName::new("small")), replaces: Some(1) };
+    assert_eq!(pool.connections_to_open(later), [expected]);
 }
 
 #[test]
@@ -393,8 +400,8 @@
     let mut pool = pool_of([None, None], now);
     // The instance has refused a third one: the pool may hold fewer than it keeps warm.
     pool.on_lost(1, now, 0);
-    pool.on_refused(now, 0);
-    assert_eq!(pool.openings(now), [], "nothing waits, and there is no room");
+    pool.on_connection_refused(now, 0);
+    assert_eq!(pool.connections_to_open(now), [], "nothing waits, and there is no room");
 }
 
 /// What happened: nine owners of each of 1,000 groups held as many connections to each instance as it has slots,
@@ -405,7 +412,7 @@
     let start = Instant::now();
     let share = Share { most: 40, warm: 20 };
     let mut pool = Pool::new(&group, &group.instances[0], PoolRole::Owner, Some(share));
-    assert_eq!(pool.openings(start).len(), 1, "one for whatever comes first");
+    assert_eq!(pool.connections_to_open(start).len(), 1, "one for whatever comes first");
     for key in 0..3 {
         pool.on_connecting(key, None, start);
         pool.on_idle(key, start);
