--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -1,5 +1,10 @@
-//! Commits whose answers wait until others of the group have confirmed them: a majority by probes, or, where the
-//! proxy replaces primaries and would not wait for this node, the replicas by how they stand.
+//! Holds back the answers of commits until other instances of the group have confirmed them.
+//!
+//! If the group elects its primary, a majority confirms a commit in its answers to probes. If the
+//! proxy replaces primaries, this node must know that the commit cannot be lost to a replacement. A
+//! node on the machine list acknowledges commits at once, because a coordinator waits for it before
+//! it promotes another instance. A node that is not listed yet first queries the replication status
+//! of the replicas.
 
 use std::time::{Duration, Instant};
 
@@ -20,38 +25,39 @@
 use crate::policy::Policy;
 use crate::shared::statuses::WordOnCommit;
 
-/// Time after which replicas that have not confirmed a commit are asked again.
+/// Interval after which replicas that have not confirmed a commit are queried again.
 const STATUS_QUERY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// A commit that its primary has answered.
 #[derive(Debug)]
 pub struct Commit {
-    /// Lease that waits.
+    /// Lease of the commit.
     pub lease: LeaseId,
-    /// Number of the message that will answer it.
+    /// Sequence number of the event that will carry the answer.
     pub sequence: u32,
-    /// Instance that ran it.
+    /// Instance that ran the commit.
     pub instance: InstanceName,
-    /// What the instance said of itself right after; `None` if it did not say.
+    /// The instance's report right after the commit, if there was one.
     pub report: Option<Report>,
-    /// Latest time to answer.
+    /// Latest time to answer the client.
     pub deadline: Instant,
-    /// The answer held back.
+    /// The answer that is held back.
     pub frames: Bytes,
-    /// Transaction state after it.
+    /// Transaction state after the commit.
     pub transaction: TransactionState,
 }
 
-/// What shows that a commit stays.
+/// What has to show that a commit cannot be lost.
 #[derive(Debug)]
 enum Proof {
-    /// Probes sent after it.
+    /// Answers to probes that were sent after the commit.
     Probes(Confirmation),
-    /// What replicas say that are asked after its answer came, and the store where some do not.
+    /// Replication statuses queried after the answer arrived, and a replacement check by the store
+    /// if some replicas do not answer.
     ReplicaStatuses {
-        /// Where the commit stands.
+        /// Position of the commit.
         position: Position,
-        /// When its answer came.
+        /// When the answer of the commit arrived.
         answered: Instant,
     },
 }
@@ -63,7 +69,7 @@
 }
 
 impl PendingCommit {
-    /// When the answer came of a commit that waits for the word of replicas.
+    /// When the answer of the commit arrived, if it waits for replication statuses.
     fn awaits_replica_statuses_since(&self) -> Option<Instant> {
         match &self.proof {
             Proof::Probes(_) => None,
@@ -78,7 +84,7 @@
     waiting: Vec<PendingCommit>,
     highest_term: Term,
     last_probe: ProbeNumber,
-    /// When replicas were last asked how they stand.
+    /// When the replicas were last queried.
     last_status_query: Option<Instant>,
 }
 
@@ -88,7 +94,7 @@
         !self.waiting.is_empty()
     }
 
-    /// The first probe that the newest waiting commit counts.
+    /// The first probe that counts for the newest waiting commit.
     pub fn wanted_probe(&self) -> Option<ProbeNumber> {
         let first_probe = |waiting: &PendingCommit| match &waiting.proof {
             Proof::Probes(confirmation) => Some(confirmation.first_probe()),
@@ -113,12 +119,13 @@
         self.last_probe
     }
 
-    /// Adds a commit; its own primary, which reported after it, is the first to confirm.
+    /// Adds a commit. The report of its primary is the first confirmation and may already suffice.
     pub fn add_commit(&mut self, commit: Commit, group: &Group, io: &mut Io) {
         let Some(report) = commit.report else {
             return refuse(commit, Progress::Answered, Fault::BackendLost, io);
         };
-        // It led when it committed: it has stepped down since, and may have to drop the commit.
+        // The instance was primary when it committed. It has been demoted since, and may have to
+        // discard the commit.
         if report.role == Role::Replica {
             return refuse(commit, Progress::Unconfirmed, Fault::Superseded, io);
         }
@@ -145,13 +152,13 @@
             instance = commit.instance.as_str(),
             term = position.term.0,
             offset = position.offset.0;
-            "the machine list does not name this node yet: replicas are asked whether the commit stays"
+            "the machine list does not name this node yet; querying replicas to confirm the commit"
         );
         let proof = Proof::ReplicaStatuses { position, answered: Instant::now() };
         self.waiting.push(PendingCommit { commit, proof });
     }
 
-    /// Whether replicas are to be asked now how they stand.
+    /// Whether the replicas are due to be queried now.
     pub fn should_query_replicas(&mut self, now: Instant) -> bool {
         let newest =
             self.waiting.iter().filter_map(PendingCommit::awaits_replica_statuses_since).max();
@@ -159,13 +166,14 @@
         let is_due = |asked: Instant| asked <= newest || now >= asked + STATUS_QUERY_INTERVAL;
         let asks = self.last_status_query.is_none_or(is_due);
         if asks {
-            // Read again: the answer may have come since the event was taken up.
+            // Read the clock again: the answer may have arrived after this process received the
+            // event.
             self.last_status_query = Some(Instant::now());
         }
         asks
     }
 
-    /// Answers the commits that the word of replicas decides.
+    /// Answers the commits that the replication statuses of the replicas decide.
     pub fn resolve_by_replica_statuses(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         let mut kept = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
@@ -195,13 +203,13 @@
         self.waiting.iter().map(|waiting| &waiting.commit.lease)
     }
 
-    /// Drops a commit whose caller is gone.
+    /// Drops a commit whose client has disconnected.
     pub fn forget(&mut self, lease: &LeaseId) {
         self.waiting.retain(|waiting| waiting.commit.lease != *lease);
     }
 
-    /// Gives up the commits of a front that cannot be reached. They have taken effect, so the front is
-    /// told that their outcome is in doubt: it may come back on another connection and ask.
+    /// Ends the wait for the commits of an unreachable front. They have taken effect, so the front
+    /// is told that their outcome is in doubt: it may reconnect and ask for it.
     pub fn fail_commits_of_node(&mut self, node: &NodeName, io: &mut Io) {
         let of_node = |waiting: &mut PendingCommit| waiting.commit.lease.node == *node;
         for waiting in self.waiting.extract_if(.., of_node) {
@@ -209,7 +217,7 @@
         }
     }
 
-    /// Takes in an instance's answer, and answers the commits that it decides.
+    /// Processes an instance's answer to a probe, and answers the commits that it decides.
     pub fn on_report(
         &mut self,
         instance: &InstanceName,
@@ -240,7 +248,7 @@
         self.waiting = kept;
     }
 
-    /// Answers commits whose time is up: in doubt.
+    /// Answers the commits whose deadline has passed: their outcome is in doubt.
     pub fn expire(&mut self, io: &mut Io) {
         let (late, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting)
             .into_iter()
@@ -258,8 +266,8 @@
     notify_front(&lease, sequence, event, io);
 }
 
-/// An old primary has answered so late after its replacement began that another instance may have been chosen without
-/// the commit: the outcome is in doubt.
+/// Answers a commit that an old primary acknowledged so long after its replacement began that
+/// another instance may have been chosen without the commit: the outcome is in doubt.
 pub fn refuse_late(group: &GroupName, commit: Commit, io: &mut Io) {
     log::info!(
         event = "answer_too_late",
@@ -276,7 +284,7 @@
     let detail = match fault {
         Fault::Superseded => "a new primary appeared before a majority confirmed the commit",
         Fault::Deadline => "no majority confirmed the commit in time",
-        _ => "the primary did not say where the commit stands",
+        _ => "the primary did not report the position of the commit",
     };
     let refusal = Refusal::new(failure_code(stake, progress, fault), detail);
     notify_front(&commit.lease, commit.sequence, LeaseEvent::Refused(refusal), io);
--- a/crates/daemon/src/gateway/connection_loss.rs
+++ b/crates/daemon/src/gateway/connection_loss.rs
@@ -1,4 +1,5 @@
-//! Connections that end: lost, closed as idle, or given up because the back end is late.
+//! Handles the end of connections: lost, closed while idle, or closed because the instance did not
+//! answer in time.
 
 use kestrellock_core::exchange_state::Fault;
 
@@ -10,7 +11,8 @@
 use crate::shared::statuses::Reachability;
 
 impl Gateway {
-    /// Handles the loss of a connection: whoever used it is told what that means.
+    /// Handles the loss of a connection: informs the front of its lease, the group's monitor and
+    /// the pool.
     pub(super) fn on_server_lost(&mut self, key: usize, fault: Fault, io: &mut Io) {
         let Some(mut server) = self.servers.try_remove(key) else { return };
         io.context.metrics.backends.count(ConnectionEvent::Closed);
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Closes a connection that has nothing under way. That tells nothing of its instance.
+    /// Closes a connection that runs nothing. This says nothing about the state of its instance.
     pub(super) fn close_idle(&mut self, key: usize, io: &mut Io) {
         let pooled = self.servers.get(key).is_some_and(|server| server.purpose == Purpose::Pooled);
         if !pooled {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Closes connections whose back end has not answered in time.
+    /// Closes connections whose instance has not answered in time.
     pub(super) fn close_overdue(&mut self, io: &mut Io) {
         let overdue: Vec<usize> = self
             .servers
@@ -75,7 +77,8 @@
     }
 }
 
-/// What the loss of a connection tells of its instance, where answers are what is known of it.
+/// What the loss of a connection shows about the reachability of its instance. `None` if nothing
+/// ran on the connection, or if instances are probed instead of being judged by their answers.
 fn reachability(server: &Server, fault: Fault, io: &Io) -> Option<Reachability> {
     if !io.context.protocol.traits().positions_in_answers || server.is_idle() {
         return None;
--- a/crates/daemon/src/gateway/current_position.rs
+++ b/crates/daemon/src/gateway/current_position.rs
@@ -1,4 +1,6 @@
-//! Fronts that wait to hear a group's current position.
+//! Pending requests from fronts for a group's current position.
+//!
+//! A request is answered by probes that were sent after it arrived.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +13,7 @@
 use super::server::ProbeAnswer;
 use crate::event::{Io, Outgoing};
 
-/// Time after which a question is forgotten; its front asks again well before.
+/// Time after which a request is dropped. A front that still waits repeats its request well before.
 const REQUEST_LIFETIME: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
@@ -23,15 +25,15 @@
     query: CurrentPosition,
 }
 
-/// Questions for one group's current position.
+/// Pending requests for one group's current position.
 #[derive(Debug, Default)]
 pub struct CurrentPositions {
     waiting: Vec<PendingRequest>,
 }
 
 impl CurrentPositions {
-    /// Takes in a front's question; probes from `first_probe` on are sent after it. A question that
-    /// is asked again goes on waiting as it was.
+    /// Adds a request of a front, which only counts probes from `first_probe` on: these are sent
+    /// after it arrived. A repeated request keeps its first probe and the answers received so far.
     pub fn add_request(
         &mut self,
         node: NodeName,
@@ -41,31 +43,31 @@
         now: Instant,
     ) {
         let until = now + REQUEST_LIFETIME;
-        let same = |waiting: &&mut PendingRequest| waiting.node == node && waiting.shard == shard;
+        let same = |pending: &&mut PendingRequest| pending.node == node && pending.shard == shard;
         match self.waiting.iter_mut().find(same) {
             Some(known) if known.number == number => known.until = until,
             Some(known) => {
-                let question = CurrentPosition::new(first_probe);
-                *known = PendingRequest { node, shard, number, until, query: question };
+                let query = CurrentPosition::new(first_probe);
+                *known = PendingRequest { node, shard, number, until, query };
             }
             None => {
-                let question = CurrentPosition::new(first_probe);
-                self.waiting.push(PendingRequest { node, shard, number, until, query: question });
+                let query = CurrentPosition::new(first_probe);
+                self.waiting.push(PendingRequest { node, shard, number, until, query });
             }
         }
     }
 
-    /// Whether any question waits.
+    /// Whether any request is pending.
     pub fn is_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// The first probe that the newest question counts.
+    /// The first probe that counts for the newest request.
     pub fn wanted_probe(&self) -> Option<ProbeNumber> {
         self.waiting.iter().map(|waiting| waiting.query.first_probe()).max()
     }
 
-    /// Takes in an instance's answer to a probe, and answers the questions that it decides.
+    /// Processes an instance's answer to a probe, and answers the requests that it completes.
     pub fn on_report(
         &mut self,
         name: &GroupName,
@@ -87,7 +89,7 @@
         });
     }
 
-    /// Forgets questions that have waited too long.
+    /// Drops requests that are older than [`REQUEST_LIFETIME`].
     pub fn expire(&mut self, now: Instant) {
         self.waiting.retain(|waiting| waiting.until > now);
     }
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -1,5 +1,7 @@
-//! The question whether a group's primary still leads, for statements that may not read there without
-//! evidence. One round of questions a group is under way at a time.
+//! Paces status queries for evidence that a group's primary still leads.
+//!
+//! Statements may not read at the primary without such evidence. Each group has at most one round
+//! of queries at a time; rounds whose answers do not help are repeated with growing delays.
 
 use std::time::{Duration, Instant};
 
@@ -10,9 +12,10 @@
 
 use crate::event::Io;
 
-/// Time after which instances that have not answered are asked again.
+/// Time after which instances that have not answered are queried again.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// Times between two questions where the answer did not help: an answer that helps does so for long.
+/// Delays between rounds whose answers did not help. Helpful evidence lasts much longer than these
+/// delays, so they apply only while evidence is missing.
 const QUERY_REPETITION: Repetition = Repetition::new(
     Backoff::new(Duration::from_millis(8), Duration::from_millis(60)),
     Duration::from_millis(500),
@@ -22,11 +25,11 @@
 struct QueryRound {
     asked: Instant,
     answered: bool,
-    /// Time after its answer until the next one.
+    /// Time from the start of the round until the next one, if the round has been answered.
     delay: Duration,
 }
 
-/// Questions about one group's primary.
+/// Rounds of queries about one group's primary.
 #[derive(Debug)]
 pub struct EvidenceQueries {
     latest: Option<QueryRound>,
@@ -40,17 +43,17 @@
 }
 
 impl EvidenceQueries {
-    /// The instances to ask now for evidence of `name`'s primary; none while a question is under way
-    /// that will do.
+    /// The instances to query now for evidence about the primary of `name`; none while the latest
+    /// round is still pending or its delay has not passed.
     pub fn instances_to_query(
         &mut self,
         name: &GroupName,
         group: &Group,
         io: &Io,
     ) -> Vec<InstanceName> {
-        if let Some(question) = &self.latest {
-            let limit = if question.answered { question.delay } else { ANSWER_TIMEOUT };
-            if io.now < question.asked + limit {
+        if let Some(round) = &self.latest {
+            let limit = if round.answered { round.delay } else { ANSWER_TIMEOUT };
+            if io.now < round.asked + limit {
                 return Vec::new();
             }
         }
@@ -62,17 +65,19 @@
         chosen
     }
 
-    /// An instance said how it stands, or could not be asked.
+    /// An instance has reported its status, or could not be queried.
     pub fn on_answer(&mut self) {
-        if let Some(question) = &mut self.latest {
-            question.answered = true;
+        if let Some(round) = &mut self.latest {
+            round.answered = true;
         }
     }
 }
 
-/// The instances to ask: each replica whose last word does not cover what arrives now, since the store need
-/// not be asked if all of them answer; and the primary itself where its term is not known to be the
-/// replicas'.
+/// The instances whose status is needed as evidence.
+///
+/// These are all replicas whose last report does not cover requests that arrive now: if every
+/// replica answers, the store need not be asked. The primary is included if it is not known to lead
+/// the term that its replicas follow.
 fn instances_lacking_evidence(name: &GroupName, group: &Group, io: &Io) -> Vec<InstanceName> {
     let board = io.context.statuses.group(name);
     let known = board.read().expect("a holder of the status lock panicked");
@@ -80,12 +85,12 @@
     let newest_term = known.evidence.highest_led();
     let leads = leader.and_then(|leader| known.led_by(leader));
     let term = leads.unwrap_or(newest_term);
-    let life = io.context.evidence_life();
+    let lifetime = io.context.evidence_life();
     let is_due = |instance: &&Instance| {
         let is_replica = instance.announced_role == Some(Role::Replica);
-        let is_shown = known.evidence.is_shown_by(&instance.name, term, life, io.now);
-        let is_there = !io.context.occupants.is_displaced(group, instance);
-        is_replica && is_there && leader != Some(&instance.name) && !is_shown
+        let is_covered = known.evidence.is_shown_by(&instance.name, term, lifetime, io.now);
+        let is_running = !io.context.occupants.is_displaced(group, instance);
+        is_replica && is_running && leader != Some(&instance.name) && !is_covered
     };
     let replicas = group.instances.iter().filter(is_due).map(|replica| &replica.name);
     let primary = leader.filter(|_| leads != Some(newest_term));
--- a/crates/daemon/src/gateway/exchanges.rs
+++ b/crates/daemon/src/gateway/exchanges.rs
@@ -1,5 +1,7 @@
-//! Exchanges from taking them up to sending them: an open lease's go out on its connection, a new
-//! lease's wait in their instance's pool until a connection is idle.
+//! Handles exchanges from their arrival until they are sent to an instance.
+//!
+//! An exchange of an open lease runs on the lease's connection. The first exchange of a lease is
+//! queued in the pool of its instance until a connection is idle.
 
 use std::time::Instant;
 
@@ -16,7 +18,7 @@
 use crate::event::Io;
 use crate::metrics::ConnectionEvent;
 
-/// The instance that was chosen for an exchange, if one was.
+/// The instance that has been chosen for an exchange, if any.
 pub fn chosen_instance(exchange: &Exchange) -> Option<&InstanceName> {
     match &exchange.placement {
         Placement::Instance(instance) => Some(instance),
@@ -36,12 +38,12 @@
             self.last_remote_exchange = Some(io.now);
         }
         if self.reported_not_run.contains_key(&exchange.lease) {
-            log::info!(event = "ruled_out", id = exchange.request.as_deref().unwrap_or("-"); "a statement arrived after its front was told that it has not run; it is dropped");
+            log::info!(event = "ruled_out", id = exchange.request.as_deref().unwrap_or("-"); "dropped a statement that arrived after its front was told that it has not run");
             return;
         }
         if let Some(&key) = self.leases.get(&exchange.lease) {
             if self.is_drain_over(&self.servers[key].instance, io) {
-                // What it began is rolled back with the connection.
+                // Closing the connection rolls back the transaction.
                 self.servers[key].refuse_unsent(&exchange, Fault::Superseded, io);
                 return self.on_server_lost(key, Fault::Superseded, io);
             }
@@ -70,7 +72,7 @@
         self.offer(name, group, exchange, io);
     }
 
-    /// Queues the first exchange of a lease for the instance that was chosen for it.
+    /// Queues the first exchange of a lease for its chosen instance.
     pub(super) fn offer(
         &mut self,
         name: &GroupName,
@@ -101,7 +103,7 @@
         self.dispatch_queued(name, group, io);
     }
 
-    /// Gives waiting exchanges to idle connections, and opens connections where that helps.
+    /// Runs queued exchanges on idle connections, and opens connections that the pools need.
     pub(super) fn dispatch_queued(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         let Some(state) = self.groups.get_mut(name) else { return };
         let mut assigned = Vec::new();
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Opens a connection, in place of another one where the pool has as many as it may.
+    /// Opens a connection, and closes the idle connection that it replaces, if any.
     fn open_connection(
         &mut self,
         name: &GroupName,
@@ -162,11 +164,11 @@
         self.groups.get_mut(&server.group)?.pools.get_mut(&server.instance)
     }
 
-    /// Whether the instance has reached the session bound, by its own last word. The front that
-    /// chose it knew less.
+    /// Whether the instance has reached the position that the session requires, according to its
+    /// last report. The front that chose the instance may have used an older report.
     fn has_reached_bound(&self, key: usize, exchange: &Exchange, io: &Io) -> bool {
-        let checked_there = io.context.protocol.traits().positions_in_answers;
-        if exchange.access.bound().is_none() || checked_there {
+        let checked_by_instance = io.context.protocol.traits().positions_in_answers;
+        if exchange.access.bound().is_none() || checked_by_instance {
             return true;
         }
         let server = &self.servers[key];
@@ -193,7 +195,7 @@
         }
         let Some(server) = self.servers.get_mut(key) else { return };
         let deadline = io.now + exchange.time_left;
-        // Read again: this process may have been paused since the event was taken up.
+        // Read the clock again: this process may have been paused since it received the event.
         if Instant::now() >= deadline {
             server.refuse_unsent(exchange, Fault::Deadline, io);
             return self.end_abandoned_lease(key, io);
--- a/crates/daemon/src/gateway/fencing.rs
+++ b/crates/daemon/src/gateway/fencing.rs
@@ -1,4 +1,4 @@
-//! Keeping work away from a primary that has been replaced, or that nothing confirms.
+//! Keeps work away from a primary that has been replaced, or that no majority confirms.
 
 use std::time::Duration;
 
@@ -15,12 +15,13 @@
 use crate::event::Io;
 use crate::policy::Policy;
 
-/// When a front may bring back a write that its primary cannot take now.
+/// Delay after which a front may retry a write that its primary cannot run now.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl GroupGateway {
     /// Refuses the first exchange of a writing lease while no majority follows the instance: its
-    /// commit could not be confirmed, so it is held by its front, unsent.
+    /// commit could not be confirmed. Its front keeps the exchange, which has not been sent to the
+    /// instance, and retries it. Returns whether the exchange was refused.
     pub(super) fn refuse_unconfirmable_write(
         &mut self,
         exchange: &Exchange,
@@ -37,18 +38,18 @@
         }
         let majority = group.majority();
         let instance = chosen_instance(exchange);
-        if instance.is_some_and(|one| self.monitor.may_take_writes(one, majority, io.now)) {
+        if instance.is_some_and(|name| self.monitor.may_take_writes(name, majority, io.now)) {
             return false;
         }
         refuse_for_retry(exchange, "no majority follows the instance as primary", io);
         true
     }
 
-    /// Refuses the first exchange of a writing lease at an instance that its platform does not tell
-    /// to be the primary any more.
+    /// Refuses the first exchange of a writing lease at an instance that its platform no longer
+    /// announces as the primary. Returns whether the exchange was refused.
     fn refuse_write_at_replica(&mut self, exchange: &Exchange, group: &Group, io: &mut Io) -> bool {
         let instance = chosen_instance(exchange).and_then(|name| group.instance(name));
-        let announced = instance.and_then(|one| one.announced_role);
+        let announced = instance.and_then(|instance| instance.announced_role);
         let leads = announced == Some(Role::Primary);
         if !leads {
             refuse_for_retry(exchange, "the instance is not the primary", io);
@@ -56,7 +57,7 @@
         !leads
     }
 
-    /// Gives what waits for an instance back to the fronts.
+    /// Returns all exchanges queued for an instance to their fronts.
     pub(super) fn return_queued(&mut self, instance: &InstanceName, io: &mut Io) {
         let Some(pool) = self.pools.get_mut(instance) else { return };
         for exchange in pool.drain_queue() {
@@ -71,8 +72,8 @@
 }
 
 impl Gateway {
-    /// A higher term has been seen: gives up every connection to the primaries of lower terms, and
-    /// gives back what waits for them.
+    /// Handles the appearance of a higher term: closes every connection to primaries of lower
+    /// terms, and returns the exchanges queued for them.
     pub(super) fn fence_outdated_primaries(&mut self, name: &GroupName, io: &mut Io) {
         let Some(state) = self.groups.get_mut(name) else { return };
         let outdated = state.monitor.outdated_primaries();
--- a/crates/daemon/src/gateway/instance_choice.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -1,4 +1,11 @@
-//! Which instance of a group runs a statement, by what answers told this node of the group.
+//! Chooses the instance of a group that runs a statement, from the statuses and evidence that this
+//! node has learned from the instances' answers.
+//!
+//! A read needs evidence that the primary still leads, because an old primary that does not know of
+//! its replacement serves stale data. The evidence may be as old as the data that the read accepts.
+//! The read then runs at the primary, or at a replica that has reached a position which the primary
+//! reported while the evidence was valid. A statement that reads nothing needs evidence only if the
+//! group has no synchronous replicas.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,34 +21,35 @@
 use crate::shared::answers::AnswerRecord;
 use crate::shared::statuses::GroupStatuses;
 
-/// Where an exchange may go now.
+/// The instance for an exchange, or why there is none now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InstanceChoice {
-    /// To this instance.
+    /// This instance runs the exchange.
     Instance(InstanceName),
-    /// Nowhere yet: no instance qualifies.
+    /// No instance qualifies now.
     NoneQualifies,
-    /// To the primary, once there is evidence that it still leads.
+    /// Evidence is missing that the primary still leads.
     NeedsEvidence,
-    /// The same; enough replicas have shown it, and the store has yet to say that nobody replaces it.
+    /// Enough replicas have shown that the primary still leads, but the store has yet to confirm
+    /// that the primary is not being replaced.
     NeedsStore,
 }
 
-/// What a request needs of the instance that runs it.
+/// What a statement requires of the instance that runs it.
 #[derive(Clone, Copy)]
 pub struct StatementNeeds<'a> {
-    /// When it arrived.
+    /// When the statement arrived.
     pub arrived: Instant,
-    /// How old what it reads may be; `None` if it reads nothing.
+    /// Maximum age of the data that it reads; `None` if it reads nothing.
     pub staleness: Option<Duration>,
-    /// An instance that could not run it a moment ago.
+    /// An instance that has just failed to run it.
     pub passed_over: Option<&'a InstanceName>,
-    /// The group's pools: what waits in one comes before it.
+    /// The group's pools; exchanges queued there run before it.
     pub pools: &'a HashMap<InstanceName, Pool>,
 }
 
-/// Chooses the instance for `access`. The position that a read needs is joined into the bound of
-/// `access`, since the instance itself checks it.
+/// Chooses the instance for `access`. For a read, the position that the instance must have reached
+/// is joined into the bound of `access`, because the instance itself checks the bound.
 pub fn choose_instance(
     group: &GroupName,
     configured: &Group,
@@ -56,7 +64,8 @@
     let synchronous = configured.synchronous_replicas;
     let (replication, life) = (configured.replication(), io.context.evidence_life());
     let covered = primary.and_then(|primary| known.covered_until(&primary.name, replication, life));
-    // What must be covered: a clock that has not run so long covers everything.
+    // The time that evidence must cover. If the clock starts later than that, use the arrival time,
+    // which is stricter.
     let moment = |staleness| needs.arrived.checked_sub(staleness).unwrap_or(needs.arrived);
     let missing = |moment: Instant| {
         let only_store = primary.is_some_and(|primary| {
@@ -85,22 +94,23 @@
             choose_reader(configured, &catalog, &known, bound, qualifies, needs, io)
         }
         Access::PrimaryRead { .. } | Access::Write { .. } => {
-            // While the primary is being replaced nothing new goes to it.
+            // A primary that is being replaced gets no new work.
             let intents = io.context.intents.load();
-            let former = intents.get(group).map(|intent| intent.former.as_ref());
-            if former.is_some_and(|former| former == primary.map(|primary| &primary.name)) {
+            let replaced = intents.get(group).map(|intent| intent.former.as_ref());
+            if replaced.is_some_and(|replaced| replaced == primary.map(|primary| &primary.name)) {
                 return InstanceChoice::NoneQualifies;
             }
-            // Its successor stands in another zone, and leads before long.
+            // An instance in another zone is about to replace a primary in a drained zone.
             if primary.is_some_and(|primary| catalog.drained_zones().contains(&primary.zone)) {
                 return InstanceChoice::NoneQualifies;
             }
             if primary.is_some_and(|primary| may_be_replaced(configured, primary, &known)) {
                 return InstanceChoice::NeedsEvidence;
             }
-            // Without synchronous replicas an old primary goes on committing.
-            let alone = (synchronous == 0).then_some(Duration::ZERO);
-            let staleness = needs.staleness.or(alone);
+            // Without synchronous replicas an old primary continues to commit after its
+            // replacement, so that even statements that read nothing need evidence.
+            let no_staleness = (synchronous == 0).then_some(Duration::ZERO);
+            let staleness = needs.staleness.or(no_staleness);
             let uncovered = staleness
                 .map(moment)
                 .filter(|moment| covered.is_none_or(|covered| *moment > covered));
@@ -115,8 +125,8 @@
     InstanceChoice::Instance(instance.name.clone())
 }
 
-/// Whether a newer primary than this one is known, or may have been promoted: nothing is written there before it
-/// has said which term it leads.
+/// Whether a newer primary than this one is known, or may have been promoted. In the second case
+/// the instance gets no writes until it has reported the term that it leads.
 fn may_be_replaced(configured: &Group, primary: &Instance, known: &GroupStatuses) -> bool {
     let leads = known.led_by(&primary.name);
     let is_unproven = leads.is_none() && !configured.is_newest(&primary.name);
@@ -126,9 +136,9 @@
 /// Which instances may serve a read.
 #[derive(Clone, Copy, Debug)]
 struct EligibleReaders<'a> {
-    /// The primary, if it may.
+    /// The primary, if it may serve the read.
     primary: Option<&'a InstanceName>,
-    /// Whether replicas may.
+    /// Whether replicas may serve the read.
     replicas: bool,
 }
 
@@ -147,9 +157,9 @@
             true => true,
             false => qualifies.replicas && is_replica,
         };
-        let is_there = !io.context.occupants.is_displaced(configured, instance);
+        let is_running = !io.context.occupants.is_displaced(configured, instance);
         let takes_work = catalog.takes_work(instance);
-        qualifies && is_there && takes_work && needs.passed_over != Some(&instance.name)
+        qualifies && is_running && takes_work && needs.passed_over != Some(&instance.name)
     };
     let queued = |name| needs.pools.get(name).map_or(0, |pool| pool.waiting() as u32);
     let readers: Vec<Reader> = configured
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -1,4 +1,5 @@
-//! Leases that end, or whose statement is cancelled, from the front's side: nobody waits any more.
+//! Ends leases that their fronts have abandoned or that belong to lost nodes, and forwards cancel
+//! requests.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,12 +14,13 @@
 use super::{Gateway, GroupGateway};
 use crate::event::Io;
 
-/// Time for which an exchange may arrive that was ruled out: longer than any cut through which bytes
-/// of a connection survive (the system gives up sending after a quarter of an hour).
+/// How long to remember a lease whose front was told that its exchange has not run. The exchange
+/// may still arrive late. This is longer than the longest network outage that a TCP connection
+/// survives: the kernel stops retransmitting after about 15 minutes.
 const NOT_RUN_RETENTION: Duration = Duration::from_secs(1_200);
 
 impl Gateway {
-    /// The front of `node` has exactly the leases `held`: its others are over.
+    /// Ends all leases of the front of `node` except `held`, which are those that it still has.
     pub fn retain_leases(&mut self, node: &NodeName, held: &[HeldLease], io: &mut Io) {
         let held: HashSet<&LeaseId> = held.iter().map(|held| &held.lease).collect();
         let mut known: Vec<LeaseId> = self.leases.keys().cloned().collect();
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Whether an exchange of the lease runs, waits, or has an answer that waits for confirmation.
+    /// Whether an exchange of the lease runs, is queued, or has an answer that awaits confirmation.
     pub fn is_lease_active(&self, lease: &LeaseId) -> bool {
         let runs = self.leases.get(lease).is_some_and(|key| !self.servers[*key].is_idle());
         let waits = |state: &GroupGateway| {
@@ -45,15 +47,17 @@
         runs || self.groups.values().any(waits)
     }
 
-    /// The front of a lease is told that its exchange has not run: from now on it must not. An older
-    /// connection that this node still reads may yet bring it.
+    /// Records that the front of a lease is told that its exchange has not run, so the exchange
+    /// must not run later either. It may still arrive on an older link that this node has not read
+    /// to its end; it is then dropped.
     pub fn mark_not_run(&mut self, lease: &LeaseId, io: &mut Io) {
         self.on_abandon(lease, io);
         self.reported_not_run.retain(|_, since| io.now < *since + NOT_RUN_RETENTION);
         self.reported_not_run.insert(lease.clone(), io.now);
     }
 
-    /// Nobody waits for what the lease has under way.
+    /// Drops the lease's queued exchange or waiting commit, and ends its use of a connection: the
+    /// front no longer waits for an answer.
     pub fn on_abandon(&mut self, lease: &LeaseId, io: &mut Io) {
         self.zone_drains.take_ended(lease);
         for state in self.groups.values_mut() {
@@ -66,8 +70,9 @@
         }
     }
 
-    /// Ends the lease of a connection that nobody waits for. An open transaction is rolled back
-    /// before the connection is used again; with an exchange under way it is closed instead.
+    /// Ends the lease of a connection after its front stopped waiting. An open transaction is
+    /// rolled back before the connection is reused; if an exchange is running, the connection is
+    /// closed.
     pub(super) fn end_abandoned_lease(&mut self, key: usize, io: &mut Io) {
         let Some(server) = self.servers.get_mut(key) else { return };
         if let Some(lease) = server.lease() {
@@ -78,8 +83,8 @@
         }
     }
 
-    /// Gives up everything on behalf of a node that cannot be reached: its fronts have told their
-    /// callers, and no message from them will end what they began.
+    /// Ends all work for the fronts of an unreachable node. These fronts have already answered
+    /// their clients, and no further message from them will end their leases.
     pub fn on_peer_lost(&mut self, node: &NodeName, io: &mut Io) {
         for state in self.groups.values_mut() {
             state.pools.values_mut().for_each(|pool| pool.forget_node(node));
@@ -97,7 +102,7 @@
         }
     }
 
-    /// Asks the back end to cancel what runs on a lease.
+    /// Asks the instance to cancel the statement that runs on a lease.
     pub(super) fn on_cancel(&mut self, group: &Group, lease: &LeaseId, io: &mut Io) {
         let Some(&key) = self.leases.get(lease) else { return };
         let Some(instance) = group.instance(&self.servers[key].instance) else { return };
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! The gateway: pooled connections to the instances this node owns, and what is known of them.
+//! The gateway: pooled connections to the instances that this node owns, and their known state.
 //!
-//! This module holds the state and takes in messages and ticks; what they lead to is in the modules
-//! below.
+//! This module defines the state of one shard's gateway and dispatches messages from fronts and
+//! timer ticks. The submodules implement the reactions.
 
 pub mod confirmation;
 mod connection_loss;
@@ -48,7 +48,7 @@
 use self::status_queries::StatusQueries;
 use self::zone_drains::ZoneDrains;
 
-/// What one group needs on this shard.
+/// State of one group on this shard.
 #[derive(Debug)]
 pub struct GroupGateway {
     monitor: Monitor,
@@ -61,21 +61,21 @@
     primary_tracker: PrimaryTracker,
 }
 
-/// Back-end connections of one shard.
+/// Connections of one shard to instances, and the leases that use them.
 #[derive(Debug, Default)]
 pub struct Gateway {
     servers: Slab<Server>,
     groups: HashMap<GroupName, GroupGateway>,
     leases: HashMap<LeaseId, usize>,
-    /// Leases whose fronts were told that they have not run, and since when.
+    /// Leases whose fronts were told that the exchange has not run, and when they were told.
     reported_not_run: HashMap<LeaseId, Instant>,
     applied_snapshot: Option<Arc<OwnershipSnapshot>>,
     zone_drains: ZoneDrains,
-    /// When another node's front last sent an exchange.
+    /// When the front of another node last sent an exchange.
     last_remote_exchange: Option<Instant>,
 }
 
-/// Tells the front of `lease` what happened.
+/// Sends an event of `lease` to its front.
 pub fn notify_front(lease: &LeaseId, sequence: u32, event: LeaseEvent, io: &mut Io) {
     let message = ToFront::Lease { lease: lease.clone(), sequence, event };
     io.outbox.push_back(Outgoing::Front {
@@ -95,14 +95,14 @@
 }
 
 impl Gateway {
-    /// Whether nothing is under way or waits, and no work from other nodes has come for `quiet`.
+    /// Whether no exchange runs or waits, and no exchange has arrived from another node for
+    /// `quiet`.
     pub fn is_drained(&self, quiet: Duration) -> bool {
         let is_quiet = self.last_remote_exchange.is_none_or(|last| last.elapsed() >= quiet);
         is_quiet && self.leases.is_empty() && !self.is_waiting()
     }
 
-    /// Whether statements wait for an instance, a connection or confirmation, or connections are being
-    /// opened.
+    /// Whether any statement waits for an instance, a connection or the confirmation of its commit.
     pub fn is_waiting(&self) -> bool {
         let is_waiting = |state: &GroupGateway| {
             let held = state.confirmations.is_waiting() || state.placements.is_waiting();
@@ -111,12 +111,12 @@
         self.groups.values().any(is_waiting)
     }
 
-    /// Number of open back-end connections.
+    /// Number of open connections to instances.
     pub fn connection_count(&self) -> usize {
         self.servers.len()
     }
 
-    /// Handles a front's message.
+    /// Handles a message from a front.
     pub fn on_call(&mut self, message: ToGateway, io: &mut Io) {
         let catalog = io.context.catalog.load();
         let Some(group) = catalog.groups.get(&message.group) else {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// What this shard holds of a group.
+    /// The shard's state of a group; creates it if necessary.
     fn group_state(&mut self, name: &GroupName, now: Instant) -> &mut GroupGateway {
         self.groups.entry(name.clone()).or_insert_with(|| GroupGateway {
             monitor: Monitor::new(name.clone(), now),
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Opens what this node owns, ends what is late, probes what is due.
+    /// Applies changes of ownership and primaries, expires what is overdue, and retries what waits.
     pub fn on_tick(&mut self, io: &mut Io) {
         self.apply_ownership(io);
         self.track_primaries(io);
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -1,4 +1,5 @@
-//! Watches the instances of one group by asking each for its position, and tells subscribers.
+//! Monitors the instances of one group: probes each for its position, and publishes the statuses to
+//! subscribed fronts.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -15,28 +16,28 @@
 use super::server::ProbeAnswer;
 use crate::event::{Io, Outgoing};
 
-/// Time between probes by a gateway that owns no instance of the group.
+/// Interval between probes by a gateway that owns no instance of the group.
 const STANDBY_PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two probes of an instance that has not reached a waiting commit yet.
+/// Interval between probes of an instance while a commit waits for it to catch up.
 const COMMIT_PROBE_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Lag of an instance of which it is not known.
+/// Lag that is reported for an instance whose lag is unknown.
 const UNKNOWN_LAG: Duration = Duration::from_secs(u32::MAX as u64);
 
-/// What to do about one instance's probe now.
+/// The next step of probing one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeStep {
     /// Nothing.
     Nothing,
     /// Open a probe connection.
     Connect,
-    /// Ask over this connection.
+    /// Send a probe over this connection.
     Query(usize),
 }
 
 #[derive(Debug)]
 enum Probe {
-    /// No attempt yet if `since` is `None`.
+    /// No open connection; `since` is `None` before the first attempt to connect.
     Closed {
         since: Option<Instant>,
     },
@@ -55,7 +56,7 @@
     asked: Instant,
     last_probe: ProbeNumber,
     status: Option<InstanceStatus>,
-    /// When the question was asked that `status` answers.
+    /// When the probe was sent that `status` answers.
     reported: Option<Instant>,
 }
 
@@ -68,7 +69,7 @@
     }
 }
 
-/// The instances of one group and who wants to know of them.
+/// The instances of one group and the nodes that subscribe to their statuses.
 #[derive(Debug)]
 pub struct Monitor {
     group: GroupName,
@@ -82,7 +83,7 @@
 }
 
 impl Monitor {
-    /// Knows nothing yet.
+    /// A monitor that has not probed any instance.
     pub fn new(group: GroupName, now: Instant) -> Self {
         let (instances, subscribers) = (HashMap::new(), HashMap::new());
         Self {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Whether the gateway only stands by: it keeps probe connections and probes rarely.
+    /// Sets whether the gateway is a standby: it keeps its probe connections, but probes rarely.
     pub fn set_standby(&mut self, standby: bool) {
         if self.is_standby && !standby {
             self.instances.values_mut().for_each(|watched| watched.asked = self.started);
@@ -105,12 +106,12 @@
         self.is_standby = standby;
     }
 
-    /// What an instance last said of itself.
+    /// The last reported status of an instance.
     pub fn status(&self, instance: &InstanceName) -> Option<&InstanceStatus> {
         self.instances.get(instance)?.status.as_ref()
     }
 
-    /// Whether any front asked for statuses lately.
+    /// Whether any front has a live subscription.
     pub fn has_subscribers(&self, now: Instant) -> bool {
         self.subscribers.values().any(|until| *until > now)
     }
@@ -126,7 +127,7 @@
         })
     }
 
-    /// A node's front wants statuses: sends those known now, and later ones.
+    /// Subscribes a node's front: sends the statuses known now, and later ones as they arrive.
     pub fn subscribe(&mut self, node: NodeName, io: &mut Io) {
         self.subscribers.insert(node.clone(), io.now + SUBSCRIPTION_LIFETIME);
         let statuses: Vec<InstanceStatus> =
@@ -139,8 +140,8 @@
         io.outbox.push_back(Outgoing::Front { node, shard: None, message });
     }
 
-    /// What to do about an instance's probe. Commits that wait count only answers to probes from
-    /// `wanted` on: one is sent at once, and again while they wait.
+    /// The next step of probing an instance. Waiting commits count only answers to probes from
+    /// `wanted` on: such a probe is sent at once, and repeated while they wait.
     pub fn next_step(
         &mut self,
         instance: &InstanceName,
@@ -166,22 +167,22 @@
         }
     }
 
-    /// A probe with this number is being sent.
+    /// Records the number of a probe that is being sent.
     pub fn on_probe_sent(&mut self, instance: &InstanceName, number: ProbeNumber) {
         self.monitored(instance).last_probe = number;
     }
 
-    /// A probe connection is being opened.
+    /// Records that a probe connection is being opened.
     pub fn on_probe_connecting(&mut self, instance: &InstanceName, key: usize, now: Instant) {
         self.monitored(instance).probe = Probe::Busy { key, since: now };
     }
 
-    /// A probe connection can be asked.
+    /// Records that a probe connection is idle.
     pub fn on_probe_ready(&mut self, key: usize, instance: &InstanceName) {
         self.monitored(instance).probe = Probe::Idle { key };
     }
 
-    /// Probe connections that have been silent for too long.
+    /// Probe connections that have not answered in time.
     pub fn overdue(&self, now: Instant) -> Vec<usize> {
         let timeout = self.watch.pace(now).probe_timeout();
         let late = |watched: &MonitoredInstance| match watched.probe {
@@ -191,12 +192,13 @@
         self.instances.values().filter_map(late).collect()
     }
 
-    /// A statement for the group arrived.
+    /// Handles the arrival of a statement for the group: it is probed more often for a while.
     pub fn on_statement(&mut self, now: Instant) {
         self.watch.on_statement(now);
     }
 
-    /// A connection to an instance was lost. If it led, its successor is searched for.
+    /// Handles the loss of a connection to an instance. If it was the primary, the search for the
+    /// next primary begins.
     pub fn on_connection_lost(&mut self, instance: &InstanceName, now: Instant) {
         let status = self.instances.get(instance).and_then(|watched| watched.status.as_ref());
         if status.is_some_and(|status| status.role == Role::Primary) {
@@ -204,13 +206,13 @@
         }
     }
 
-    /// Whether the group's primary is being searched for.
+    /// Whether the gateway searches for the group's primary.
     pub fn is_searching(&self, now: Instant) -> bool {
         self.watch.pace(now) == Pace::Searching
     }
 
-    /// A probe connection was lost. Fronts are told that the instance is out of reach by its owner
-    /// alone: others may only be cut off from it themselves.
+    /// Handles the loss of a probe connection. Only the owner of the instance tells fronts that it
+    /// is unreachable: any other node may just be cut off from it itself.
     pub fn on_probe_lost(&mut self, instance: &InstanceName, owned: bool, io: &mut Io) {
         self.on_connection_lost(instance, io.now);
         let watched = self.monitored(instance);
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Since when a majority has been known to follow `term`.
+    /// The latest time at which a majority is known to have followed `term`.
     fn confirmed_at(&self, term: Term, majority: usize) -> Option<Instant> {
         let sightings = self.instances.values().filter_map(|watched| {
             Some(Sighting { term: watched.status.as_ref()?.flushed.term, asked: watched.reported? })
@@ -233,7 +235,7 @@
         confirmed_at(term, sightings, majority)
     }
 
-    /// Whether an instance may be given a write now.
+    /// Whether writes may be sent to an instance now.
     pub fn may_take_writes(&self, instance: &InstanceName, majority: usize, now: Instant) -> bool {
         let watched = self.instances.get(instance);
         let Some(status) = watched.and_then(|watched| watched.status.as_ref()) else {
@@ -246,7 +248,7 @@
             && may_take_writes(term, self.highest_term, confirmed, pace, now)
     }
 
-    /// Instances that call themselves primary under a term that is over.
+    /// Instances that report themselves as primary in a term that has been superseded.
     pub fn outdated_primaries(&self) -> Vec<InstanceName> {
         let outdated = |status: &&InstanceStatus| {
             status.role == Role::Primary && status.applied.term < self.highest_term
@@ -255,8 +257,8 @@
         statuses.filter(outdated).map(|status| status.instance.clone()).collect()
     }
 
-    /// Takes in what an instance said; `queue_wait` is known where its pool is. Returns whether
-    /// it showed a higher term than any before.
+    /// Processes an instance's answer to a probe. `queue_wait` is `None` if this gateway has no
+    /// pool of the instance. Returns whether the answer supersedes an earlier term.
     pub fn on_report(
         &mut self,
         instance: &InstanceName,
@@ -296,7 +298,7 @@
         replaces
     }
 
-    /// How far the instance's data trails, now that it has answered.
+    /// The age of the instance's data, including its latest answer.
     fn lag(
         &mut self,
         instance: &InstanceName,
--- a/crates/daemon/src/gateway/ownership.rs
+++ b/crates/daemon/src/gateway/ownership.rs
@@ -1,8 +1,8 @@
-//! Adopting and releasing instances as ownership moves.
+//! Adopts and releases instances when their ownership changes.
 //!
-//! An owner keeps connections warm and takes work. A standby keeps a few, and takes work from a
-//! front that cannot reach the owner. A gateway that was the owner finishes its leases, sends new
-//! work on to its successor, and closes what is idle.
+//! The owner of an instance keeps warm connections and accepts exchanges. The standby keeps a few
+//! connections, and accepts exchanges from fronts that cannot reach the owner. A previous owner
+//! finishes its leases, redirects new exchanges to the new owner, and closes idle connections.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -17,12 +17,12 @@
 use crate::event::Io;
 use crate::ownership::OwnershipSnapshot;
 
-/// Tells the front which node to go to.
+/// Tells the front which node owns the instance.
 pub fn redirect(exchange: &Exchange, owner: Option<NodeName>, io: &mut Io) {
     notify_front(&exchange.lease, 0, LeaseEvent::NotOwner { owner }, io);
 }
 
-/// What `node` is to an instance.
+/// The role of `node` for an instance.
 fn pool_role(snapshot: &OwnershipSnapshot, instance: &Instance, node: &NodeName) -> PoolRole {
     match snapshot.get(&instance.name) {
         Some(ownership) if ownership.owner == *node => PoolRole::Owner,
@@ -32,7 +32,7 @@
 }
 
 impl Gateway {
-    /// Adopts and releases instances if nodes or catalog have changed.
+    /// Adopts and releases instances if the membership or the catalog has changed.
     pub(super) fn apply_ownership(&mut self, io: &mut Io) {
         let snapshot = io.context.ownerships();
         if self.applied_snapshot.as_ref().is_some_and(|known| Arc::ptr_eq(known, &snapshot)) {
@@ -79,8 +79,8 @@
         state.monitor.set_standby(!owns);
     }
 
-    /// The owner of an instance, as far as this gateway knows; `None` if no gateway gives the
-    /// instance new work.
+    /// The owner of an instance, as far as this gateway knows; `None` if the instance accepts no
+    /// new work.
     pub(super) fn owner_of_instance(&self, instance: &InstanceName) -> Option<NodeName> {
         let snapshot = self.applied_snapshot.as_ref()?;
         let (_, configured) = snapshot.catalog().instance(instance)?;
@@ -90,7 +90,7 @@
         snapshot.get(instance).map(|ownership| ownership.owner.clone())
     }
 
-    /// Closes connections that nothing needs any more, and forgets groups that are done with.
+    /// Closes surplus connections, and drops the state of groups that this node no longer serves.
     pub(super) fn close_surplus(&mut self, io: &mut Io) {
         let pools = self.groups.values_mut().flat_map(|state| state.pools.values_mut());
         let surplus: Vec<usize> =
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Releases instances that the group no longer has.
+    /// Releases instances that are no longer in the group.
     fn release_removed(&mut self, group: Option<&Group>, io: &mut Io) {
         for (name, pool) in &mut self.pools {
             if group.is_none_or(|group| group.instance(name).is_none()) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Whether nothing is left to do for the group.
+    /// Whether the group's state can be dropped: no connections, waiting commits or subscribers.
     fn is_done(&mut self, now: Instant) -> bool {
         self.pools.retain(|_, pool| pool.role() != PoolRole::Released || !pool.is_empty());
         self.pools.is_empty()
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -1,5 +1,8 @@
-//! First exchanges of leases for which this gateway chooses the instance: each goes to one at once,
-//! or is held until one qualifies, or until its caller had better try again elsewhere.
+//! Places the first exchanges of leases for which this gateway chooses the instance.
+//!
+//! An exchange goes to a qualifying instance at once. If none qualifies, it is held until one does,
+//! or until its deadline. For clients that repeat refused requests it is refused earlier, while
+//! they have time for another attempt, perhaps through another node.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -17,26 +20,27 @@
 use super::{Gateway, notify_front, ownership, zone_drains};
 use crate::event::Io;
 
-/// An exchange that was never sent puts nothing at stake.
+/// The stake of an exchange that has not been sent: nothing can be lost or in doubt.
 const NOTHING_AT_STAKE: Stake = Stake { effect: Effect::Read, continues_transaction: false };
 
-/// An exchange without an instance.
+/// An exchange that waits for a qualifying instance.
 #[derive(Debug)]
 struct HeldExchange {
     exchange: Exchange,
     need: PlacementNeed,
-    /// When the request arrived, or later: what needs the more evidence.
+    /// When the request arrived. It may be set too late, but never too early: a later time only
+    /// requires newer evidence.
     arrived: Instant,
     deadline: Instant,
-    /// When it is given back.
+    /// When the exchange is refused if it still waits.
     held_until: Instant,
-    /// Whether the log tells that it waits.
+    /// Whether its waiting has been logged.
     is_logged: bool,
 }
 
 impl HeldExchange {
     fn new(exchange: Exchange, need: PlacementNeed, io: &Io) -> Self {
-        // Read again: this process may have been paused since the event was taken up.
+        // Read the clock again: this process may have been paused since it received the event.
         let now = Instant::now();
         let arrived = now.checked_sub(need.waited).unwrap_or(now);
         let deadline = now + exchange.time_left;
@@ -66,7 +70,7 @@
         found
     }
 
-    /// The exchange for the instance that was found.
+    /// The exchange with the chosen instance as its placement.
     fn placed_at(self, instance: InstanceName, now: Instant) -> Exchange {
         let time_left = self.deadline.saturating_duration_since(now);
         Exchange { placement: Placement::Instance(instance), time_left, ..self.exchange }
@@ -78,7 +82,9 @@
         }
         let reason = match found {
             InstanceChoice::NeedsEvidence => "no evidence that the primary leads",
-            InstanceChoice::NeedsStore => "the store has not said that nobody replaces the primary",
+            InstanceChoice::NeedsStore => {
+                "the store has not confirmed that the primary is not being replaced"
+            }
             InstanceChoice::NoneQualifies | InstanceChoice::Instance(_) => "no instance qualifies",
         };
         let evidence = io.context.evidence_age(name, io.now);
@@ -101,14 +107,14 @@
     }
 }
 
-/// Exchanges of one group that are held.
+/// Held exchanges of one group.
 #[derive(Debug, Default)]
 pub struct Placements {
     held: Vec<HeldExchange>,
 }
 
 impl Placements {
-    /// Whether any is held.
+    /// Whether any exchange is held.
     pub fn is_waiting(&self) -> bool {
         !self.held.is_empty()
     }
@@ -118,19 +124,19 @@
         self.held.iter().map(|held| &held.exchange.lease)
     }
 
-    /// Drops an exchange whose caller is gone.
+    /// Drops an exchange whose client has disconnected.
     pub fn forget(&mut self, lease: &LeaseId) {
         self.held.retain(|held| held.exchange.lease != *lease);
     }
 
-    /// Drops the exchanges of a front that cannot be reached.
+    /// Drops the exchanges of an unreachable front.
     pub fn forget_node(&mut self, node: &NodeName) {
         self.held.retain(|held| held.exchange.lease.node != *node);
     }
 }
 
 impl Gateway {
-    /// Takes up an exchange for which the gateway chooses the instance.
+    /// Handles an exchange for which this gateway chooses the instance.
     pub(super) fn place(
         &mut self,
         name: &GroupName,
@@ -150,7 +156,7 @@
         self.try_place(name, group, held, io);
     }
 
-    /// Sends a held exchange to an instance, or goes on holding it.
+    /// Queues an exchange for a qualifying instance, or holds it and requests the missing evidence.
     fn try_place(&mut self, name: &GroupName, group: &Group, mut held: HeldExchange, io: &mut Io) {
         let pools = &self.group_state(name, io.now).pools;
         let found = held.choose(name, group, pools, io);
@@ -168,7 +174,7 @@
         }
     }
 
-    /// Tries again to place what is held, and gives back what has been held for too long.
+    /// Retries the placement of held exchanges, and refuses those that have been held for too long.
     pub(super) fn retry_placements(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         let Some(state) = self.groups.get_mut(name) else { return };
         for held in std::mem::take(&mut state.placements.held) {
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -1,5 +1,7 @@
-//! The pool of one instance: its connections, each in a known state, and the scheduler that says
-//! which exchange gets one. How many connections it opens and closes is in [`sizing`].
+//! The connection pool of one instance: the state of each connection, and the scheduler that
+//! assigns queued exchanges to idle connections.
+//!
+//! [`sizing`] decides how many connections the pool opens, keeps and closes.
 
 mod recent_use;
 mod sizing;
@@ -23,34 +25,35 @@
 
 use self::recent_use::RecentUse;
 
-/// Exchanges that may wait for one instance.
+/// Most exchanges that may be queued for one instance.
 const MAX_QUEUED_EXCHANGES: usize = 1024;
-/// Bytes of exchanges that may wait for one instance.
+/// Most bytes of exchanges that may be queued for one instance.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(10);
 const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(250);
-/// Time between attempts to connect to an instance at whose address another one listens. It is told for
-/// three heartbeats of the platform's, seconds, and does not come back under its name as a rule.
+/// Interval between attempts to connect to an instance at whose address another instance listens.
+/// The platform keeps announcing the old instance for three of its heartbeats, that is some
+/// seconds, and the instance does not normally return under its old name.
 const DISPLACED_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// For this long after a hand-over the old owner sends new work on to its successor: fronts that
-/// still come to it lag behind.
+/// How long a standby that was the owner before redirects new exchanges to the new owner. Fronts
+/// that send it exchanges in this period have not yet learned of the handover.
 const HANDOVER_REDIRECT_PERIOD: Duration = Duration::from_secs(5);
-/// When a caller refused for queue bytes may come back.
+/// Delay after which a client may retry that was refused because the queue holds too many bytes.
 const QUEUED_BYTES_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What this node is to an instance.
+/// The role of this node for an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PoolRole {
-    /// It takes work.
+    /// Accepts exchanges and keeps warm connections.
     #[default]
     Owner,
-    /// It keeps a few connections, ready to take over.
+    /// Keeps a few connections, so that it can replace the owner.
     Standby,
-    /// It finishes the leases it has and closes everything else.
+    /// Finishes open leases and closes all other connections.
     Released,
 }
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Debug)]
 enum State {
     Connecting {
@@ -59,23 +62,23 @@
     Idle {
         since: Instant,
     },
-    /// In use by a lease, from the first exchange to the end of its transaction.
+    /// Used by a lease, from its first exchange to the end of its transaction.
     Leased {
         ticket: Ticket,
     },
-    /// In use for a question of the gateway's own.
+    /// Used by the gateway for a status query.
     Borrowed,
 }
 
-/// A connection and whose exchanges it carries.
+/// A connection and the account whose exchanges it carries.
 #[derive(Debug)]
 struct PooledConnection {
-    /// Account that the back end was told; a connection keeps it for its life.
+    /// Account given to the instance at start-up; fixed for the lifetime of the connection.
     account: Option<AccountName>,
     state: State,
 }
 
-/// An exchange and the connection it goes to.
+/// An exchange and the connection that runs it.
 #[derive(Debug)]
 pub struct Assignment {
     /// Key of the connection.
@@ -84,53 +87,53 @@
     pub exchange: Exchange,
 }
 
-/// An exchange that did not run, and what its front is told.
+/// An exchange that did not run, and the refusal for its front.
 #[derive(Debug)]
 pub struct RefusedExchange {
     /// The exchange.
     pub exchange: Exchange,
-    /// Number and hint.
+    /// Result code, reason and retry delay.
     pub refusal: Refusal,
 }
 
-/// What the scheduler gave out for the idle connections.
+/// The scheduler's decisions for the idle connections.
 #[derive(Debug, Default)]
 pub struct Assignments {
     /// Exchanges to run.
     pub run: Vec<Assignment>,
-    /// Exchanges whose time no longer suffices.
+    /// Exchanges that can no longer finish before their deadline.
     pub refused: Vec<RefusedExchange>,
 }
 
-/// A waiting exchange.
+/// A queued exchange.
 #[derive(Debug)]
 struct Queued {
     exchange: Exchange,
     deadline: Instant,
 }
 
-/// Connections to one instance and the queue for them.
+/// The connections to one instance and the queue of exchanges for them.
 #[derive(Debug)]
 pub struct Pool {
     role: PoolRole,
-    /// When another node succeeded this one as the owner.
+    /// When another node replaced this one as the owner.
     handed_over: Option<Instant>,
     slots: u32,
-    /// Whether the instance is being taken out of use, or its zone is.
+    /// Whether the instance or its zone is being taken out of use.
     leaving: bool,
     scheduler: Scheduler<Queued>,
     concurrency: ConcurrencyLimit,
     queued_bytes: usize,
     connections: HashMap<usize, PooledConnection>,
-    /// Idle connections, the one used last at the end.
+    /// Idle connections, the most recently used one last.
     idle: Vec<usize>,
     connecting: u32,
     recent_use: Option<RecentUse>,
     budget: ConnectionBudget,
-    /// This node's part of the instance's connections, where every node has one.
+    /// This node's share of the instance's connections, if they are divided among several owners.
     share: Option<Share>,
-    /// Whether the newest exchanges were asked on behalf of accounts: a connection for nobody in
-    /// particular serves none of them.
+    /// Whether the newest exchange belongs to an account: a connection without an account cannot
+    /// run it.
     has_accounts: bool,
     connect_backoff: Backoff,
     connect_after: Option<Instant>,
@@ -140,15 +143,17 @@
     Limits { slots, queue_length: MAX_QUEUED_EXCHANGES }
 }
 
-/// The owner and the standby of every instance of the group may probe all of them.
+/// Most connections of this node to an instance. Without shares, two connections per instance of
+/// the group are left for probes: the owner and the standby of each instance may probe all
+/// instances.
 fn connection_limit(group: &Group, instance: &Instance, share: Option<Share>) -> u32 {
     let owned = || owner_limit(instance.connections, 2 * group.instances.len() as u32);
     share.map_or_else(owned, |share| share.most)
 }
 
 impl Pool {
-    /// An empty pool of an instance; `share` is this node's part of its connections, where every
-    /// node has one.
+    /// An empty pool of an instance; `share` is this node's share of its connections, if they are
+    /// divided among several owners.
     pub fn new(group: &Group, instance: &Instance, role: PoolRole, share: Option<Share>) -> Self {
         Self {
             role,
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Puts the instance's parameters in force.
+    /// Applies the instance's configured parameters.
     pub fn configure(&mut self, group: &Group, instance: &Instance, share: Option<Share>) {
         self.slots = instance.slots;
         self.leaving = instance.leaving;
@@ -180,12 +185,12 @@
         self.share = share;
     }
 
-    /// Says whether the instance gets no new work: it is being taken out of use, or its zone is.
+    /// Sets whether the instance gets no new work because it or its zone is being taken out of use.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Changes what this node is to the instance.
+    /// Changes the role of this node for the instance.
     pub fn set_role(&mut self, role: PoolRole, now: Instant) {
         if self.role == PoolRole::Owner && role != PoolRole::Owner {
             self.handed_over = Some(now);
@@ -193,8 +198,9 @@
         self.role = role;
     }
 
-    /// Whether it takes new work: the owner does, and a standby for fronts that cannot reach the
-    /// owner, unless it was the owner itself just before. Nobody does for a leaving instance.
+    /// Whether the pool accepts new exchanges. The owner does, and so does a standby for fronts
+    /// that cannot reach the owner, unless it was the owner itself until just before. No pool
+    /// accepts new exchanges for an instance that is being taken out of use.
     pub fn accepts(&self, now: Instant) -> bool {
         match self.role {
             _ if self.leaving => false,
@@ -206,12 +212,12 @@
         }
     }
 
-    /// What this node is to the instance.
+    /// The role of this node for the instance.
     pub fn role(&self) -> PoolRole {
         self.role
     }
 
-    /// Queues the first exchange of a lease, or gives it back refused.
+    /// Queues the first exchange of a lease, or returns it with a refusal.
     pub fn offer(
         &mut self,
         exchange: Exchange,
@@ -242,7 +248,7 @@
         }
     }
 
-    /// Takes out exchanges that can no longer finish in time.
+    /// Removes queued exchanges that can no longer finish before their deadline.
     pub fn remove_late(&mut self, now: Instant) -> Vec<RefusedExchange> {
         let late = self.scheduler.give_up_late(now);
         late.into_iter().map(|refused| self.on_left_queue(refused)).collect()
@@ -253,8 +259,8 @@
         refused_exchange(refused)
     }
 
-    /// Pairs waiting exchanges with idle connections while slots are free. Their time left is what
-    /// remains at `now`.
+    /// Assigns queued exchanges to idle connections while slots are free. The remaining time of the
+    /// exchanges is updated to `now`.
     pub fn assign(&mut self, now: Instant) -> Assignments {
         let mut assigned = Assignments::default();
         let reserved = self.reserved_connection(now);
@@ -266,9 +272,10 @@
                 }
                 Dispatch::Run { ticket, work: Queued { mut exchange, deadline } } => {
                     let account = exchange.account.as_ref();
-                    let place =
-                        self.idle_index_for(account, reserved).expect("it has an idle connection");
-                    let key = self.idle.remove(place);
+                    let index = self
+                        .idle_index_for(account, reserved)
+                        .expect("the scheduler only returns exchanges with an idle connection");
+                    let key = self.idle.remove(index);
                     exchange.time_left = deadline.saturating_duration_since(now);
                     self.queued_bytes -= exchange.frames.len();
                     self.set_state(key, State::Leased { ticket });
@@ -285,7 +292,7 @@
         self.recent_use.get_or_insert_with(|| RecentUse::new(now)).on_use(in_use, now);
     }
 
-    /// The next exchange of those whose account has an idle connection.
+    /// The next exchange whose account has an idle connection.
     fn next_dispatch(&mut self, reserved: Option<usize>, now: Instant) -> Option<Dispatch<Queued>> {
         let (connections, idle) = (&self.connections, &self.idle);
         let has_idle = |account: Option<&AccountName>| {
@@ -298,7 +305,7 @@
         self.scheduler.take_next_where(now, has_idle)
     }
 
-    /// Where the account's connection that was used last stands among the idle ones.
+    /// Index in `idle` of the account's most recently used connection.
     fn idle_index_for(
         &self,
         account: Option<&AccountName>,
@@ -313,16 +320,16 @@
         Some(std::mem::replace(&mut pooled.state, state))
     }
 
-    /// A connection for `account` is being opened.
+    /// Adds a connection for `account` that is being opened.
     pub fn on_connecting(&mut self, key: usize, account: Option<AccountName>, now: Instant) {
         self.connections
             .insert(key, PooledConnection { account, state: State::Connecting { since: now } });
         self.connecting += 1;
     }
 
-    /// A connection finished its start-up, or its lease ended cleanly.
+    /// Handles a connection that finished its start-up, its lease or its status query.
     pub fn on_idle(&mut self, key: usize, now: Instant) {
-        // A connection that the pool does not know stands for nobody: nothing is given to it.
+        // A connection that is not in the pool must not get any work.
         let Some(before) = self.set_state(key, State::Idle { since: now }) else { return };
         if matches!(before, State::Connecting { .. }) {
             self.connect_backoff.on_success();
@@ -332,15 +339,15 @@
         self.idle.push(key);
     }
 
-    /// Takes an idle connection for a question of the gateway's own; it is given back by
-    /// [`Pool::on_idle`].
+    /// Takes an idle connection for a status query of the gateway; [`Pool::on_idle`] returns it.
     pub fn borrow_idle(&mut self) -> Option<usize> {
         let key = self.idle.pop()?;
         self.set_state(key, State::Borrowed);
         Some(key)
     }
 
-    /// A connection is gone, whatever it was doing. `random` spreads the next attempt.
+    /// Removes a closed connection, whatever its state. `random` adds jitter to the next attempt to
+    /// connect.
     pub fn on_lost(&mut self, key: usize, now: Instant, random: u64) {
         let before = self.connections.remove(&key).map(|pooled| pooled.state);
         if matches!(before, Some(State::Connecting { .. })) {
@@ -349,7 +356,7 @@
         self.leave_state(key, before, now);
     }
 
-    /// Accounts for the end of a connection's former state.
+    /// Updates the pool's counts and lists when a connection leaves the state `before`.
     fn leave_state(&mut self, key: usize, before: Option<State>, now: Instant) {
         match before {
             None | Some(State::Borrowed) => {}
@@ -359,48 +366,49 @@
         }
     }
 
-    /// A connection could not be made.
+    /// Delays the next attempt after a failure to connect.
     pub fn on_connect_failed(&mut self, now: Instant, random: u64) {
         self.connect_after = Some(now + self.connect_backoff.on_failure(random));
     }
 
-    /// Another instance listens at the instance's address. Whether that has changed is looked at now and
-    /// then: each attempt costs the other instance a connection.
+    /// Handles an address at which another instance listens. The pool checks only now and then
+    /// whether that has changed, because each attempt uses a connection of the other instance.
     pub fn on_displaced(&mut self, now: Instant) {
         self.connect_after = Some(now + DISPLACED_RETRY_INTERVAL);
     }
 
-    /// The back end refused another connection because it has too many.
+    /// Shrinks the connection budget after the instance refused a connection because it has too
+    /// many.
     pub fn on_connection_refused(&mut self, now: Instant, random: u64) {
         let established = self.connections.len() as u32 - self.connecting;
         self.budget.on_refused(established, now, random);
     }
 
-    /// The open transaction on a connection waits for its caller: its slot is free meanwhile.
+    /// Frees the slot of an open transaction while it waits for the client's next statement.
     pub fn on_paused(&mut self, key: usize, now: Instant) {
         if let Some(State::Leased { ticket }) = state_of(&mut self.connections, key) {
             self.scheduler.pause(ticket, now);
         }
     }
 
-    /// The open transaction on a connection runs its next exchange.
+    /// Takes a slot again for an open transaction that runs its next exchange.
     pub fn on_resumed(&mut self, key: usize, now: Instant) {
         if let Some(State::Leased { ticket }) = state_of(&mut self.connections, key) {
             self.scheduler.resume(ticket, now);
         }
     }
 
-    /// Leases whose first exchange waits.
+    /// Leases whose first exchange is queued.
     pub fn queued_leases(&self) -> impl Iterator<Item = &LeaseId> {
         self.scheduler.waiting_work().map(|queued| &queued.exchange.lease)
     }
 
-    /// Drops a waiting exchange whose caller is gone.
+    /// Drops a queued exchange whose client has disconnected.
     pub fn forget(&mut self, lease: &LeaseId) {
         self.remove_first(|exchange| exchange.lease == *lease);
     }
 
-    /// Drops the waiting exchanges of a front that cannot be reached.
+    /// Drops the queued exchanges of an unreachable front.
     pub fn forget_node(&mut self, node: &NodeName) {
         while self.remove_first(|exchange| exchange.lease.node == *node) {}
     }
@@ -411,13 +419,13 @@
         removed.is_some()
     }
 
-    /// Takes out everything that waits.
+    /// Removes and returns all queued exchanges.
     pub fn drain_queue(&mut self) -> Vec<Exchange> {
         self.queued_bytes = 0;
         self.scheduler.drain().into_iter().map(|queued| queued.exchange).collect()
     }
 
-    /// Exchanges that wait.
+    /// Number of queued exchanges.
     pub fn waiting(&self) -> usize {
         self.scheduler.waiting()
     }
@@ -427,9 +435,9 @@
         self.scheduler.expected_wait()
     }
 
-    /// The instance has answered an exchange, or had no room for it.
-    pub fn on_answer(&mut self, had_room: bool, now: Instant) {
-        match had_room {
+    /// Adapts the concurrency limit after the instance accepted an exchange, or refused it as busy.
+    pub fn on_answer(&mut self, accepted: bool, now: Instant) {
+        match accepted {
             true => self.concurrency.on_answered(),
             false => self.concurrency.on_refused(now),
         }
@@ -441,12 +449,12 @@
         self.connections.is_empty()
     }
 
-    /// Open connections, those being opened among them.
+    /// Number of open connections, including those that are being opened.
     pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// Leases in progress.
+    /// Number of connections that run a lease or a status query.
     pub fn active_leases(&self) -> usize {
         self.connections.len() - self.idle.len() - self.connecting as usize
     }
--- a/crates/daemon/src/gateway/pool/recent_use.rs
+++ b/crates/daemon/src/gateway/pool/recent_use.rs
@@ -1,12 +1,13 @@
-//! How many connections of a pool were in use at once lately.
+//! The recent peak of connections of a pool that were in use at the same time.
 
 use std::time::{Duration, Instant};
 
-/// The time that is looked back on, at the least; twice as long at the most. A pool that gets a statement every
-/// few seconds, as those of hundreds of small groups do, keeps the connection for the next one.
+/// Length of a measuring window. The peak covers between one and two windows, so that a pool that
+/// gets a statement every few seconds, as those of hundreds of small groups do, keeps its
+/// connection for the next statement.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Peaks of the period under way and the one before.
+/// Peaks of the current and the previous window.
 #[derive(Clone, Copy, Debug)]
 pub struct RecentUse {
     window_start: Instant,
@@ -15,18 +16,18 @@
 }
 
 impl RecentUse {
-    /// Nothing was in use so far.
+    /// Starts a window in which no connection has been used.
     pub fn new(now: Instant) -> Self {
         Self { window_start: now, peak: 0, previous_peak: 0 }
     }
 
-    /// As many connections are in use now.
+    /// Records that `in_use` connections are in use now.
     pub fn on_use(&mut self, in_use: u32, now: Instant) {
         self.advance_window(now);
         self.peak = self.peak.max(in_use);
     }
 
-    /// The most that were in use at once lately.
+    /// The most connections in use at the same time in the current and the previous window.
     pub fn peak(&self, now: Instant) -> u32 {
         let mut current = *self;
         current.advance_window(now);
--- a/crates/daemon/src/gateway/pool/sizing.rs
+++ b/crates/daemon/src/gateway/pool/sizing.rs
@@ -1,4 +1,4 @@
-//! How many connections a pool opens, keeps and closes.
+//! Decides how many connections a pool opens, keeps and closes.
 
 use std::time::{Duration, Instant};
 
@@ -8,34 +8,36 @@
 
 use super::{Pool, PoolRole, PooledConnection, State};
 
-/// An idle connection beyond the warm ones is closed after this time.
+/// Time after which an idle connection beyond the retained ones is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The same where every node holds a share of the instance's connections: what one node keeps,
-/// others cannot open.
+/// The same for a shared instance, whose connections are divided among several owners: a connection
+/// that one owner keeps is not available to the others.
 const SHARED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections kept open without work where they belong to accounts: one for the gateway's own questions.
+/// Connections without an account that are kept warm in a pool whose exchanges belong to accounts:
+/// one for the gateway's status queries.
 const WARM_WITHOUT_ACCOUNT: u32 = 1;
-/// Connections kept open where nothing was needed lately.
+/// Connections to a shared instance that are kept open if none was needed recently.
 const MIN_WARM_SHARED: u32 = 1;
-/// Time that an account without a connection waits before a connection for which another account has
-/// work is closed in its favour. A new connection costs about as much of a slot as a short statement,
-/// so where many accounts wait each keeps its connection for a few statements.
+/// How long an account without a connection waits until a connection is closed in its favor
+/// although that connection's account has work. Opening a connection takes about as much slot time
+/// as a short statement, so that with many waiting accounts each keeps its connection for a few
+/// statements.
 const ACCOUNT_WAIT_LIMIT: Duration = Duration::from_millis(60);
-/// A connection that is not established after this time is given up.
+/// Time after which a connection attempt is abandoned.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A connection to open.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionToOpen {
-    /// Account that it is for; `None`: nobody in particular.
+    /// Account of the connection, if any.
     pub account: Option<AccountName>,
-    /// Idle connection to close first, because the pool has as many as it may.
+    /// Idle connection to close first, because the pool has reached its limit.
     pub replaces: Option<usize>,
 }
 
 impl Pool {
-    /// The connections to open now: for exchanges that could run if their account had one, and to
-    /// keep enough warm that work need not wait for set-up.
+    /// The connections to open now: for exchanges that could run if their account had a connection,
+    /// and to keep enough warm connections that exchanges need not wait for one to be opened.
     pub fn connections_to_open(&mut self, now: Instant) -> Vec<ConnectionToOpen> {
         if self.connect_after.is_some_and(|after| now < after) {
             return Vec::new();
@@ -66,8 +68,8 @@
         openings
     }
 
-    /// Accounts of exchanges that could run if their account had a connection, one for each connection;
-    /// those that have waited longest come first.
+    /// Accounts of exchanges that could run if their account had a connection, one entry for each
+    /// missing connection. Accounts that have waited longest come first.
     fn unserved_accounts(&self, now: Instant) -> Vec<Option<AccountName>> {
         let free = self.scheduler.free_slots();
         let mut unserved = Vec::new();
@@ -79,8 +81,8 @@
         unserved
     }
 
-    /// The idle connection that is kept from its own account's next exchange, because another account
-    /// has none and has waited for so long that it is its turn.
+    /// The idle connection that its own account must not use, because another account has waited
+    /// longer than [`ACCOUNT_WAIT_LIMIT`] without a connection and gets this one's place.
     pub(super) fn reserved_connection(&mut self, now: Instant) -> Option<usize> {
         let longest_unused = *self.idle.first()?;
         if !self.has_accounts || self.budget.allowed(now) > self.connections.len() as u32 {
@@ -93,7 +95,7 @@
         startable.iter().any(starves).then_some(longest_unused)
     }
 
-    /// Connections of an account that take its next exchanges: idle, or being opened.
+    /// Number of connections that can run an account's next exchanges: idle, or being opened.
     fn usable_by(&self, account: Option<&AccountName>) -> u32 {
         let usable = |pooled: &&PooledConnection| {
             let usable = matches!(pooled.state, State::Idle { .. } | State::Connecting { .. });
@@ -102,14 +104,15 @@
         self.connections.values().filter(usable).count() as u32
     }
 
-    /// Connections that may be opened at once where all nodes share the instance: as many again as
-    /// stand. After a failure of many nodes each gets its first one before any gets its last.
+    /// Most connections to a shared instance that may be opened at the same time: as many as are
+    /// established, so that the number at most doubles. When many nodes reconnect after a failure,
+    /// each of them gets its first connection before any of them gets its last.
     fn max_concurrent_opens(&self) -> u32 {
         let established = self.connections.len() as u32 - self.connecting;
         established.max(1).saturating_sub(self.connecting)
     }
 
-    /// Connections opened without work.
+    /// Number of connections to open ahead of work.
     fn warm_target(&self, now: Instant) -> u32 {
         match self.role {
             PoolRole::Owner if self.has_accounts => {
@@ -119,9 +122,11 @@
         }
     }
 
-    /// Connections kept open without work: of a shared instance no more than were in use at once lately, and one
-    /// for whatever comes first. With as many as the instance has slots, nine owners of each of 1,000 groups
-    /// opened 81,000 connections for 15,000 statements.
+    /// Number of connections to keep open without work.
+    ///
+    /// For a shared instance these are no more than were recently in use at the same time, and at
+    /// least one for the next exchange. When owners kept as many as the instance has slots, the
+    /// nine owners of each of 1,000 groups opened 81,000 connections for 15,000 statements.
     fn retained_target(&self, now: Instant) -> u32 {
         match self.role {
             _ if self.leaving => 0,
@@ -134,7 +139,8 @@
         }
     }
 
-    /// The most connections that work without an account may need at once, by what it needed lately.
+    /// Most connections that exchanges without an account need at the same time, judged by their
+    /// recent use.
     fn recent_demand(&self, now: Instant) -> u32 {
         if self.share.is_none() || self.has_accounts {
             return u32::MAX;
@@ -142,26 +148,27 @@
         self.recent_use.map_or(0, |recent_use| recent_use.peak(now)).max(MIN_WARM_SHARED)
     }
 
-    /// Idle connections to close: all beyond the warm ones that have been idle for long, and at
-    /// once those that a change of role leaves over.
+    /// Idle connections to close: those beyond the retained number that have been idle for too
+    /// long. After a change of role, or if the instance is being taken out of use, surplus
+    /// connections are closed at once.
     pub fn connections_to_close(&mut self, now: Instant) -> Vec<usize> {
         let over_budget = (self.connections.len() as u32).saturating_sub(self.budget.limit());
         if over_budget > 0 {
             return self.idle.iter().take(over_budget as usize).copied().collect();
         }
         let stays = self.role == PoolRole::Owner && !self.leaving;
-        let kept = if self.share.is_some() { SHARED_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
-        let limit = if stays { kept } else { Duration::ZERO };
+        let idle_timeout = if self.share.is_some() { SHARED_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
+        let timeout = if stays { idle_timeout } else { Duration::ZERO };
         let surplus =
             (self.connections.len() as u32).saturating_sub(self.retained_target(now)) as usize;
         let old = |key: &&usize| match self.connections.get(key).map(|pooled| &pooled.state) {
-            Some(State::Idle { since }) => now.saturating_duration_since(*since) >= limit,
+            Some(State::Idle { since }) => now.saturating_duration_since(*since) >= timeout,
             _ => false,
         };
         self.idle.iter().filter(old).take(surplus).copied().collect()
     }
 
-    /// Connections whose set-up takes too long.
+    /// Connections that have not been established within [`CONNECT_TIMEOUT`].
     pub fn overdue(&self, now: Instant) -> Vec<usize> {
         let late = |pooled: &PooledConnection| match &pooled.state {
             State::Connecting { since } => now.saturating_duration_since(*since) > CONNECT_TIMEOUT,
--- a/crates/daemon/src/gateway/primary_tracker.rs
+++ b/crates/daemon/src/gateway/primary_tracker.rs
@@ -1,5 +1,8 @@
-//! Follows who leads a group whose primary the proxy replaces: work on an old primary is given up,
-//! and what waits for it goes back to its front.
+//! Tracks the primaries of groups whose primary the proxy replaces.
+//!
+//! When a replacement begins, exchanges queued for the old primary are returned to their fronts.
+//! Its open leases are ended too, unless the replacement is planned. Once another instance leads,
+//! both happen in any case.
 
 use std::collections::HashSet;
 
@@ -11,25 +14,26 @@
 use super::{Gateway, GroupGateway};
 use crate::event::Io;
 
-/// Who led a group when it was last looked at.
+/// The last known primary of a group, and the old primaries that have been handled.
 #[derive(Debug, Default)]
 pub struct PrimaryTracker {
     primary: Option<InstanceName>,
-    /// Instances whose work was given up, because they are being replaced.
+    /// Instances that are being replaced and whose work has been returned or ended.
     abandoned: HashSet<InstanceName>,
 }
 
-/// What becomes of the work on an instance.
+/// What to do with the work on an old primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OldPrimaryStep {
-    /// What waits goes back to its front.
+    /// Return queued exchanges to their fronts.
     GiveBack,
-    /// So it does, and what is under way is given up.
+    /// Return queued exchanges, and close the connections of open leases.
     GiveUp,
 }
 
 impl PrimaryTracker {
-    /// What to do about which instance, now that `primary` leads and `intent` is recorded.
+    /// The steps that become due now that `primary` leads and `intent` is recorded: the reason of
+    /// the replacement and the primary that it replaces.
     fn next_steps(
         &mut self,
         primary: Option<&InstanceName>,
@@ -44,23 +48,23 @@
             }
             self.abandoned.clear();
         }
-        let Some((reason, Some(former))) = intent else {
+        let Some((reason, Some(old_primary))) = intent else {
             self.abandoned.clear();
             return steps;
         };
-        if self.abandoned.insert(former.clone()) {
+        if self.abandoned.insert(old_primary.clone()) {
             let step = match reason {
                 Reason::Leaving => OldPrimaryStep::GiveBack,
                 Reason::Suspected | Reason::Missing | Reason::Unfinished => OldPrimaryStep::GiveUp,
             };
-            steps.push((former.clone(), step));
+            steps.push((old_primary.clone(), step));
         }
         steps
     }
 }
 
 impl Gateway {
-    /// Looks who leads each group whose primary the proxy replaces.
+    /// Checks the primary and the replacement intent of each group, and leaves old primaries.
     pub(super) fn track_primaries(&mut self, io: &mut Io) {
         if !io.context.protocol.traits().positions_in_answers {
             return;
@@ -72,8 +76,8 @@
             let Some(group) = catalog.groups.get(name) else { continue };
             let primary = io.context.leader(name, group).map(|instance| &instance.name);
             let intent = intents.get(name).map(|intent| (intent.reason, intent.former.as_ref()));
-            let followed = state.primary_tracker.next_steps(primary, intent);
-            steps.extend(followed.into_iter().map(|(one, step)| (name.clone(), one, step)));
+            let due = state.primary_tracker.next_steps(primary, intent);
+            steps.extend(due.into_iter().map(|(instance, step)| (name.clone(), instance, step)));
         }
         for (group, instance, step) in steps {
             self.leave_old_primary(&group, &instance, step, io);
--- a/crates/daemon/src/gateway/probing.rs
+++ b/crates/daemon/src/gateway/probing.rs
@@ -1,5 +1,5 @@
-//! Sends the probes that are due: on ticks, and at once where commits, held writes or questions wait
-//! for their answers.
+//! Sends due probes: on ticks, and without delay while commits, held writes or requests for the
+//! current position wait for their answers.
 
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
 
 impl Gateway {
     pub(super) fn send_due_probes(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
-        // Where answers tell positions, nothing is asked for them.
+        // With this protocol every answer carries the position, so no probes are necessary.
         if io.context.protocol.traits().positions_in_answers {
             return;
         }
@@ -37,7 +37,7 @@
                         state.monitor.on_probe_sent(&instance.name, number);
                         io.context.metrics.probes.count(ProbeEvent::Sent);
                         server.query_position(number);
-                        // A broken connection shows as readable and is handled there.
+                        // A broken connection becomes readable, and its loss is handled then.
                         let _ = server.flush(io);
                     }
                 }
@@ -45,12 +45,13 @@
         }
     }
 
-    /// Whether probes must not wait for the next tick, because commits or held writes do.
+    /// Whether due probes must be sent before the next tick, because statements wait for the
+    /// answers.
     pub fn is_urgent(&self, now: Instant) -> bool {
         self.groups.values().any(|state| state.is_urgent(now))
     }
 
-    /// Sends the probes that are due in groups for which something waits.
+    /// Sends due probes in groups in which a statement waits for the answers.
     pub fn on_urgent(&mut self, io: &mut Io) {
         let catalog = io.context.catalog.load();
         let urgent = |(_, state): &(&GroupName, &GroupGateway)| state.is_urgent(io.now);
--- a/crates/daemon/src/gateway/running_exchange.rs
+++ b/crates/daemon/src/gateway/running_exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange under way on one back-end connection: its answer as far as it has come, and what
-//! it may have committed.
+//! The exchange that runs on a server connection: the part of its answer that has arrived, and
+//! whether it may have committed.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 use kestrellock_peer::message::{Exchange, LeaseEvent, TransactionState};
 use kestrellock_protocol::backend::{BackendProtocol, Failure, Passage, Reply, ReplyKind, Report};
 
-/// What an exchange puts at stake.
+/// What is lost or in doubt if the exchange fails.
 pub fn stake_of(exchange: &Exchange) -> Stake {
     let effect = match (&exchange.access, exchange.may_commit) {
         (Access::Read { .. } | Access::PrimaryRead { .. }, _) => Effect::Read,
@@ -22,65 +22,66 @@
     Stake { effect, continues_transaction: exchange.number > 0 }
 }
 
-/// What remains to be done after a message.
+/// What to do after a message of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// More messages follow.
     Await,
-    /// The answer is whole, but something may have committed unexpectedly: ask for the position.
+    /// The answer is complete, but the exchange may have committed unexpectedly: query the
+    /// position.
     AskPosition,
-    /// The exchange is over.
+    /// The exchange is complete.
     Finished,
 }
 
-/// One `ReadyForQuery`'s worth of an answer.
+/// The part of an answer up to the next `ReadyForQuery`.
 #[derive(Clone, Copy, Debug, Default)]
 struct Segment {
     failed: bool,
     committed: bool,
 }
 
-/// How far the position query behind the exchange is.
+/// State of the position query that follows the exchange.
 #[derive(Clone, Copy, Debug)]
 enum PositionQuery {
     NotDue,
     Awaited(Option<Report>),
 }
 
-/// The exchange under way.
+/// The exchange that runs on a connection.
 #[derive(Debug)]
 pub struct RunningExchange {
-    /// Lease it belongs to.
+    /// Lease that the exchange belongs to.
     pub lease: LeaseId,
-    /// What it puts at stake.
+    /// What is lost or in doubt if it fails.
     pub stake: Stake,
     /// When it was sent.
     pub sent: Instant,
-    /// Latest time to answer.
+    /// Latest time to answer the client.
     pub deadline: Instant,
-    /// Bytes written for it, position query included.
+    /// Bytes written for the exchange, including the position query.
     pub bytes: usize,
     /// Transaction state after the last `ReadyForQuery`.
     pub transaction: TransactionState,
-    /// Messages of the answer that have not been passed on.
+    /// Messages of the answer that have not been forwarded to the front.
     pub answer: BytesMut,
-    /// Whether parts of the answer have been passed on.
+    /// Whether parts of the answer have been forwarded to the front.
     pub is_partly_forwarded: bool,
     asks_position: bool,
-    /// Whether it commits something that wrote, if it succeeds.
+    /// Whether the exchange, if it succeeds, commits a transaction that wrote.
     commits_write: bool,
-    /// Position that the answer told.
+    /// Position that the answer carried.
     answer_position: Option<Position>,
     ready_remaining: u32,
     position_query: PositionQuery,
     segment: Segment,
     has_committed: bool,
-    /// Why its first failed statement failed.
+    /// Why the first failed statement failed.
     first_failure: Option<Failure>,
 }
 
 impl RunningExchange {
-    /// An exchange that is about to be sent as `bytes` bytes.
+    /// An exchange that is about to be sent and takes `bytes` bytes on the wire.
     pub fn new(exchange: &Exchange, asks_position: bool, bytes: usize, deadline: Instant) -> Self {
         Self {
             lease: exchange.lease.clone(),
@@ -102,33 +103,34 @@
         }
     }
 
-    /// Position after a commit that wrote, if the answer shows one.
+    /// Position after a commit of a write, if the answer shows that it succeeded.
     pub fn write_commit_position(&self) -> Option<Position> {
         let succeeded = self.first_failure.is_none() && self.transaction == TransactionState::Idle;
         self.answer_position.filter(|_| self.commits_write && succeeded)
     }
 
-    /// Whether something may have committed, by the answer so far.
+    /// Whether the exchange may have committed, according to the answer so far.
     pub fn has_committed(&self) -> bool {
         self.has_committed
     }
 
-    /// Position that the answer told, where answers do.
+    /// Position that the answer carried, if the protocol's answers carry positions.
     pub fn answer_position(&self) -> Option<Position> {
         self.answer_position
     }
 
-    /// Whether the instance had no room for it.
+    /// Whether the instance refused the exchange because it was busy.
     pub fn found_instance_busy(&self) -> bool {
         self.first_failure == Some(Failure::Busy)
     }
 
-    /// Whether the answer is whole.
+    /// Whether the answer is complete.
     pub fn is_answered(&self) -> bool {
         self.ready_remaining == 0
     }
 
-    /// What the instance said of its position after the exchange, if it was asked and answered.
+    /// The instance's report of its position after the exchange, if it was queried and has
+    /// answered.
     pub fn report(&self) -> Option<Report> {
         match self.position_query {
             PositionQuery::Awaited(report) => report,
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Takes in one message.
+    /// Processes one message from the instance.
     pub fn on_reply(&mut self, reply: &Reply, protocol: &mut dyn BackendProtocol) -> Next {
         if let PositionQuery::Awaited(report) = &mut self.position_query {
             match reply.kind {
@@ -173,7 +175,7 @@
         self.transaction = transaction;
         self.answer_position = position;
         let segment = std::mem::take(&mut self.segment);
-        // An error rolls back what no explicit commit has ended before it.
+        // An error rolls back the implicit transaction; earlier explicit commits remain.
         let ended = self.transaction == TransactionState::Idle && !segment.failed;
         let implicit = ended && self.stake.effect == Effect::MayCommit;
         self.has_committed |= segment.committed || implicit;
@@ -182,7 +184,7 @@
             return Next::Await;
         }
         if let Some(position) = position {
-            // Only a primary commits.
+            // Only a primary commits, so a committing instance has that role.
             let report = Report {
                 role: Role::Primary,
                 flushed: position,
@@ -203,8 +205,8 @@
         Next::Finished
     }
 
-    /// The answer to give when nothing waits for confirmation. Where the instance has not run the
-    /// first exchange of a lease, it becomes a code on which the front looks for another one.
+    /// The answer for the front when no commit needs confirmation. If the instance has not run the
+    /// first exchange of a lease, this is a refusal upon which the front tries another instance.
     pub fn final_event(&mut self, instance: &InstanceName) -> LeaseEvent {
         let starts =
             !self.stake.continues_transaction && !self.has_committed && !self.is_partly_forwarded;
@@ -220,7 +222,7 @@
         LeaseEvent::Done { frames, transaction, confirmed: None, instance }
     }
 
-    /// The refusal that says why the instance has not run the exchange, if it has not.
+    /// The refusal that says why the instance has not run the exchange; `None` if it may have run.
     fn not_run_refusal(&self) -> Option<Refusal> {
         let (code, detail) = match self.first_failure? {
             Failure::ReadOnly if self.stake.effect != Effect::Read => {
@@ -241,13 +243,13 @@
         Some(Refusal::new(code, detail))
     }
 
-    /// The rest of the answer.
+    /// Takes the part of the answer that has not been forwarded.
     pub fn take_answer(&mut self) -> Bytes {
         self.answer.split().freeze()
     }
 
-    /// What the caller is told now that the connection cannot be used any more; `unsent` is the
-    /// number of bytes at the end of the exchange that the kernel has not taken.
+    /// The event for the front when the connection is lost. `unsent` is the number of bytes of the
+    /// exchange that the kernel has not accepted for sending.
     pub fn failure_event(
         &mut self,
         fault: Fault,
@@ -266,7 +268,8 @@
             Progress::Sent
         };
         let stake = match self.is_answered() && !idle && !self.has_committed {
-            // The transaction was still open after the answer: it ends with its connection.
+            // The transaction was still open after the answer: closing the connection rolls it
+            // back.
             true => Stake { effect: Effect::InsideTransaction, ..self.stake },
             false => self.stake,
         };
@@ -277,9 +280,9 @@
 
 fn fault_detail(fault: Fault) -> &'static str {
     match fault {
-        Fault::Deadline => "the back end did not answer in time",
+        Fault::Deadline => "the instance did not answer in time",
         Fault::Superseded => "the primary has been replaced",
-        Fault::BackendLost => "the connection to the back end was lost",
+        Fault::BackendLost => "the connection to the instance was lost",
         Fault::GatewayLost | Fault::GatewaySilent | Fault::AnswerLost => "the gateway was lost",
     }
 }
--- a/crates/daemon/src/gateway/server.rs
+++ b/crates/daemon/src/gateway/server.rs
@@ -1,5 +1,7 @@
-//! One connection to a back end: start-up, one exchange at a time, answers in order. What it makes of
-//! the back end's messages is in [`replies`].
+//! A connection to an instance. It starts up, runs one exchange, status query or probe at a time,
+//! and sends the events of a lease to its front in order.
+//!
+//! [`replies`] processes the messages of the instance.
 
 mod replies;
 
@@ -27,18 +29,18 @@
 use crate::net::connection::{Connection, ReadOutcome};
 use crate::net::liveness::TO_INSTANCES;
 
-/// Time an exchange gets beyond its deadline before its connection is given up; less than the
-/// front's own patience, so that the caller hears the more exact outcome.
+/// Time beyond the deadline of an exchange after which its connection is closed. It is shorter than
+/// the front's own grace period, so that the client gets the more exact outcome from the gateway.
 const DEADLINE_GRACE_PERIOD: Duration = Duration::from_millis(50);
-/// Time in which a replica must say whether it follows its primary.
+/// Time within which an instance must answer a status query.
 const STATUS_QUERY_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time a connection gets to roll an abandoned transaction back.
+/// Time within which a connection must roll back an abandoned transaction or discard session state.
 const CLEANUP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// Callers' statements.
+    /// Statements of clients, and status queries.
     Pooled,
     /// Position probes.
     Probe,
@@ -46,44 +48,45 @@
     Cancel,
 }
 
-/// What came of reading a connection.
+/// An event that results from the messages of an instance.
 #[derive(Debug)]
 pub enum ServerEvent {
-    /// Start-up is over; the instance told this position.
+    /// Start-up is complete; the instance may have reported its position.
     Started(Option<Position>),
-    /// The connection can be used again.
+    /// The connection is idle after start-up, a probe or a status query.
     Ready,
-    /// The back end broke the protocol, or its answer to the start-up was an error.
+    /// The connection must be closed: the instance violated the protocol, or refused the start-up,
+    /// the session's settings or the clean-up.
     Unusable,
-    /// The back end accepts no further connection now.
+    /// The instance accepts no further connections now.
     Refused,
     /// Another instance listens at the instance's address.
     Displaced,
     /// The instance has answered an exchange.
     Answered,
-    /// The instance had no room for an exchange.
+    /// The instance refused an exchange because it was busy.
     InstanceBusy,
-    /// The exchange is over and its transaction still open.
+    /// The exchange is complete and its transaction is still open.
     TransactionOpen,
-    /// The transaction is over and the connection free.
+    /// The transaction has ended and the connection is idle.
     LeaseEnded {
         /// The lease that ended.
         lease: LeaseId,
     },
-    /// A commit was answered and its answer waits for confirmation.
+    /// The instance has answered a commit, whose answer waits for confirmation.
     CommitAnswered(Commit),
-    /// A position probe was answered.
+    /// The instance has answered a probe or a status query.
     Probed(ProbeAnswer),
 }
 
-/// An answered probe and when it was asked.
+/// The answer to a probe or a status query.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeAnswer {
     /// Number of the probe.
     pub number: ProbeNumber,
-    /// What the instance said.
+    /// What the instance reported.
     pub report: Report,
-    /// When the question was sent.
+    /// When the probe was sent.
     pub asked: Instant,
 }
 
@@ -91,14 +94,14 @@
 enum State {
     StartingUp,
     Idle,
-    /// Puts the caller's settings in force.
+    /// Applies the session's settings before an exchange.
     Preparing {
         exchange: Box<Exchange>,
         deadline: Instant,
         failed: bool,
     },
     Running(Box<RunningExchange>),
-    /// Removes what the last caller left behind, until this time at the latest.
+    /// Discards the session state of the last lease, or waits for the end of a cancel request.
     DiscardingSession {
         until: Instant,
     },
@@ -107,13 +110,13 @@
         asked: Instant,
         report: Option<Report>,
     },
-    /// Rolls an abandoned transaction back, until this time at the latest.
+    /// Rolls back an abandoned transaction.
     RollingBack {
         until: Instant,
     },
 }
 
-/// One connection to a back end.
+/// A connection to an instance.
 #[derive(Debug)]
 pub struct Server {
     connection: Connection,
@@ -121,24 +124,25 @@
     pub group: GroupName,
     /// The instance.
     pub instance: InstanceName,
-    /// What it is for.
+    /// The purpose of the connection.
     pub purpose: Purpose,
-    /// Account whose exchanges it carries.
+    /// Account whose exchanges it runs.
     account: Option<AccountName>,
     state: State,
     lease: Option<LeaseId>,
     next_sequence: u32,
     next_exchange: u32,
     protocol: Box<dyn BackendProtocol>,
-    /// Key with which the back end cancels what runs here.
+    /// Key of cancel requests for statements on this connection.
     cancel_key: Option<CancelKey>,
-    /// A cancel request may still arrive, so no other lease may use the connection.
+    /// Whether the connection must be closed after this lease, because a cancel request may still
+    /// arrive.
     is_last_lease: bool,
-    /// Whether each answer tells the instance's position.
+    /// Whether each answer carries the instance's position.
     positions_in_answers: bool,
-    /// Whether the instance does not run: nothing listened at its address, or another instance.
+    /// Whether the instance does not run: nothing listens at its address, or another instance does.
     is_instance_down: bool,
-    /// Number under which the status board knows the exchange under way.
+    /// Number of the running exchange in the node's shared statuses.
     status_exchange_number: u64,
 }
 
@@ -169,7 +173,7 @@
         }
     }
 
-    /// Opens a connection and sends the start-up message. Returns its key.
+    /// Opens a connection and sends the start-up message. Returns the key of the connection.
     pub fn connect(
         servers: &mut Slab<Server>,
         name: &GroupName,
@@ -204,8 +208,9 @@
         Ok(key)
     }
 
-    /// Opens a connection that carries nothing but a request to cancel what runs on `target`. A
-    /// request may arrive late, so `target` is closed when its lease ends.
+    /// Opens a connection that carries only a request to cancel the statement on `target`. The
+    /// request may arrive late and must not cancel a later lease, so `target` is closed when its
+    /// lease ends.
     pub fn cancel(servers: &mut Slab<Server>, target: usize, address: SocketAddr, io: &mut Io) {
         let Some(server) = servers.get_mut(target) else { return };
         let Some(cancel_key) = server.cancel_key else { return };
@@ -225,17 +230,18 @@
         entry.insert(server);
     }
 
-    /// The instance does not run: nothing listens at its address, or another instance.
+    /// Records that the instance does not run: nothing listens at its address, or another instance
+    /// does.
     pub fn mark_instance_down(&mut self) {
         self.is_instance_down = true;
     }
 
-    /// Whether the instance was found not to run.
+    /// Whether the connection has shown that the instance does not run.
     pub fn is_instance_down(&self) -> bool {
         self.is_instance_down
     }
 
-    /// Whether nothing is under way on the connection.
+    /// Whether the connection runs nothing.
     pub fn is_idle(&self) -> bool {
         matches!(self.state, State::Idle)
     }
@@ -245,23 +251,23 @@
         self.lease.as_ref()
     }
 
-    /// Reads what the back end sent.
+    /// Reads from the socket.
     pub fn fill(&mut self) -> ReadOutcome {
         self.connection.fill()
     }
 
-    /// Sends what is queued.
+    /// Writes queued output to the socket.
     pub fn flush(&mut self, io: &mut Io) -> io::Result<()> {
         self.connection.flush(io.registry)
     }
 
-    /// Takes the connection out of the event loop.
+    /// Removes the connection from the event loop.
     pub fn deregister(&mut self, io: &mut Io) {
         self.connection.deregister(io.registry);
     }
 
-    /// Whether `exchange` may be run now: the connection is at rest, the number is the next of its lease,
-    /// and the account the one that the back end was told.
+    /// Whether `exchange` can run now: the connection is idle, the exchange is the next of its
+    /// lease, and its account is that of the connection.
     pub fn can_run(&self, exchange: &Exchange) -> bool {
         let is_next = matches!(self.state, State::Idle) && exchange.number == self.next_exchange;
         is_next && exchange.account == self.account
@@ -274,7 +280,7 @@
         self.next_exchange = 0;
     }
 
-    /// Runs an exchange, once what it needs is in force on the connection.
+    /// Applies the settings that an exchange needs, and then runs it.
     pub fn run(&mut self, exchange: &Exchange, deadline: Instant, io: &Io) {
         if !self.protocol.put_preparation(exchange, &mut self.connection.output) {
             return self.send(exchange, deadline, io);
@@ -283,7 +289,7 @@
         self.state = State::Preparing { exchange, deadline, failed: false };
     }
 
-    /// Sends an exchange, with a position query behind it if it may commit.
+    /// Sends an exchange, followed by a position query if it may commit.
     fn send(&mut self, exchange: &Exchange, deadline: Instant, io: &Io) {
         let output = &mut self.connection.output;
         let before = output.len();
@@ -303,27 +309,28 @@
         }
     }
 
-    /// Refuses an exchange of this connection's lease without sending it. The lease is over.
+    /// Refuses an exchange of this connection's lease without sending it. The caller must end the
+    /// lease.
     pub fn refuse_unsent(&mut self, exchange: &Exchange, fault: Fault, io: &mut Io) {
         let code = failure_code(stake_of(exchange), Progress::Queued, fault);
         let event = LeaseEvent::Refused(Refusal::new(code, "the statement was not sent"));
         notify_front(&exchange.lease, self.next_sequence, event, io);
     }
 
-    /// Number of the next message to the front of the lease.
+    /// Sequence number of the next event for the front of the lease.
     pub fn next_sequence(&self) -> u32 {
         self.next_sequence
     }
 
-    /// Asks the instance for its position.
+    /// Queries the position of the instance.
     pub fn query_position(&mut self, number: ProbeNumber) {
         self.protocol.put_position_query(&mut self.connection.output);
-        // Later than any request that waits for the answer arrived.
+        // Read the clock now: every request that waits for the answer arrived before this time.
         self.state = State::Probing { number, asked: Instant::now(), report: None };
     }
 
-    /// Rolls the transaction of an abandoned lease back so that the connection can be used again;
-    /// false if it has to be closed instead, because an exchange is under way.
+    /// Rolls back the transaction of an abandoned lease so that the connection can be reused.
+    /// Returns false if it must be closed instead, because an exchange is running.
     pub fn roll_back(&mut self, io: &mut Io) -> bool {
         if !matches!(self.state, State::Idle) {
             return false;
@@ -333,7 +340,7 @@
         true
     }
 
-    /// Whether what the connection does is overdue.
+    /// Whether the current operation has exceeded its time limit.
     pub fn is_overdue(&self, now: Instant) -> bool {
         match &self.state {
             State::Running(running) => now > running.deadline + DEADLINE_GRACE_PERIOD,
@@ -346,7 +353,7 @@
         }
     }
 
-    /// The connection is given up: tells the front of the exchange under way. Returns the lease.
+    /// Refuses the running exchange, if any, because the connection is lost. Returns the lease.
     pub fn fail_exchange(&mut self, fault: Fault, io: &mut Io) -> Option<LeaseId> {
         let state = std::mem::replace(&mut self.state, State::Idle);
         if let State::Preparing { exchange, .. } = &state {
--- a/crates/daemon/src/gateway/server/replies.rs
+++ b/crates/daemon/src/gateway/server/replies.rs
@@ -1,4 +1,4 @@
-//! What a connection makes of the messages of its back end.
+//! Processes the messages that a connection receives from its instance.
 
 use std::time::Instant;
 
@@ -14,11 +14,11 @@
 use crate::gateway::running_exchange::{Next, RunningExchange};
 use crate::shared::statuses::Answered;
 
-/// Bytes of an answer gathered before a part of it is passed on.
+/// Size from which a partial answer is forwarded to the front.
 const FORWARD_THRESHOLD_BYTES: usize = 64 * 1024;
 
 impl Server {
-    /// Handles the whole messages received so far.
+    /// Processes the complete messages received so far.
     pub fn take_events(&mut self, io: &mut Io) -> Vec<ServerEvent> {
         let mut events = Vec::new();
         loop {
@@ -35,7 +35,7 @@
         events
     }
 
-    /// Answers what the back end asks of a login; false where no answer is known.
+    /// Answers an authentication challenge; returns false if that is not possible.
     fn answer_challenge(&mut self, challenge: &Reply, io: &Io) -> bool {
         let catalog = io.context.catalog.load();
         let Some(group) = catalog.groups.get(&self.group) else { return false };
@@ -110,19 +110,20 @@
         }
     }
 
-    /// The caller's settings were put in force, or refused by the back end.
+    /// Runs the exchange after the instance has applied the session's settings, or refuses it if
+    /// the instance rejected them.
     fn on_prepared(&mut self, events: &mut Vec<ServerEvent>, io: &mut Io) {
         let state = std::mem::replace(&mut self.state, State::Idle);
         let State::Preparing { exchange, deadline, failed } = state else { return };
         if failed {
-            let detail = "the back end does not accept the session's settings";
+            let detail = "the instance does not accept the session's settings";
             let refusal = Refusal::new(ResultCode::NotSupported, detail);
             notify_front(&exchange.lease, self.next_sequence, LeaseEvent::Refused(refusal), io);
             events.push(ServerEvent::Unusable);
             return;
         }
         self.protocol.on_prepared(&exchange);
-        // Read again: this process may have been paused since the preparation was sent.
+        // Read the clock again: this process may have been paused since the preparation was sent.
         if Instant::now() >= deadline {
             self.refuse_unsent(&exchange, Fault::Deadline, io);
             events.push(ServerEvent::Unusable);
@@ -136,7 +137,7 @@
         self.end_lease(events, io);
     }
 
-    /// Frees the connection for another lease, once it is clean.
+    /// Ends the lease; its session state is discarded before another lease uses the connection.
     fn end_lease(&mut self, events: &mut Vec<ServerEvent>, io: &mut Io) {
         if self.is_last_lease {
             self.state = State::Idle;
@@ -152,7 +153,7 @@
         events.extend(lease.map(|lease| ServerEvent::LeaseEnded { lease }));
     }
 
-    /// Ends the exchange whose last message has arrived.
+    /// Completes the exchange whose last message has arrived.
     fn finish_exchange(&mut self, events: &mut Vec<ServerEvent>, io: &mut Io) {
         let State::Running(mut running) = std::mem::replace(&mut self.state, State::Idle) else {
             return;
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Lets the node know what the answer tells of the instance.
+    /// Records in the node's shared statuses what the answer shows about the instance.
     fn record_answer(&self, running: &RunningExchange, io: &Io) {
         if !self.positions_in_answers {
             return;
@@ -210,7 +211,8 @@
         }
     }
 
-    /// Passes a large answer on before its end; a write's answer is kept whole until confirmed.
+    /// Forwards part of a large answer before its end. The answer of an exchange that may commit is
+    /// kept whole until the commit is confirmed.
     fn forward_partial_answer(&mut self, io: &mut Io) {
         let State::Running(running) = &mut self.state else { return };
         if running.stake.effect == Effect::MayCommit
--- a/crates/daemon/src/gateway/server_events.rs
+++ b/crates/daemon/src/gateway/server_events.rs
@@ -1,5 +1,5 @@
-//! What back-end connections report, passed on to the pool, the monitor and the confirmations of
-//! their group.
+//! Dispatches the events of connections to the pool, the monitor, the pending confirmations and the
+//! status queries of their group.
 
 use std::time::Instant;
 
@@ -16,7 +16,8 @@
 use crate::net::connection::ReadOutcome;
 use crate::shared::statuses::Reachability;
 
-/// An instance has accepted a connection under its name: whoever else is told at its address has ended.
+/// Records that an instance accepted a connection under its name: any other instance that the
+/// platform announces at the same address no longer runs.
 fn record_occupant(name: &GroupName, group: &Group, instance: &InstanceName, io: &Io) {
     let Some(configured) = group.instance(instance) else { return };
     let before = io.context.occupants.on_answered(configured.address, instance);
@@ -26,13 +27,13 @@
             group = name.as_str(),
             instance = before.as_str(),
             by = instance.as_str();
-            "another instance answers at the address of one that is still told"
+            "another instance answers at the address of an instance that is still announced"
         );
     }
 }
 
 impl Gateway {
-    /// Handles readiness of a back-end connection.
+    /// Handles the readiness of a connection to an instance.
     pub fn on_ready(&mut self, key: usize, io: &mut Io) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let outcome = server.fill();
@@ -59,8 +60,8 @@
         let Some(configured) = catalog.groups.get(&group) else { return };
         match event {
             ServerEvent::Started(position) => {
-                let made = Reachability::Made(position);
-                io.context.statuses.on_connection(&group, &instance, made);
+                let reachability = Reachability::Made(position);
+                io.context.statuses.on_connection(&group, &instance, reachability);
                 record_occupant(&group, configured, &instance, io);
                 return;
             }
@@ -128,8 +129,8 @@
                 let majority = configured.majority();
                 let replaced = state.monitor.on_report(&instance, &report, wait, majority, io);
                 state.confirmations.on_report(&instance, &report, configured, io);
-                let questions = &mut state.current_positions;
-                questions.on_report(&group, &instance, &report, configured, io);
+                let requests = &mut state.current_positions;
+                requests.on_report(&group, &instance, &report, configured, io);
                 if replaced {
                     self.fence_outdated_primaries(&group, io);
                 }
--- a/crates/daemon/src/gateway/status_queries.rs
+++ b/crates/daemon/src/gateway/status_queries.rs
@@ -1,5 +1,8 @@
-//! Asks instances how they stand: whether replicas still follow their primary, which makes evidence
-//! for reads at the primary. Questions that come while one is under way share the next one.
+//! Queries the replication status of instances over pooled connections.
+//!
+//! Replicas that still follow their primary are evidence that reads at the primary are current.
+//! Each instance has at most one query in flight; requests that arrive meanwhile share the next
+//! one.
 
 use std::collections::HashMap;
 
@@ -14,45 +17,45 @@
 use crate::event::Io;
 use crate::metrics::ProbeEvent;
 
-/// Questions to one instance.
+/// The status query of one instance.
 #[derive(Debug, Default)]
 struct InstanceQuery {
-    /// Whether one waits to be sent.
+    /// Whether a query is to be sent.
     is_requested: bool,
-    /// The pooled connection that carries one.
+    /// The pooled connection that carries the query in flight.
     in_flight: Option<usize>,
-    /// Whether that one has been answered by a row.
+    /// Whether the query in flight has returned a row.
     is_answered: bool,
 }
 
-/// Questions to the instances of one group.
+/// Status queries to the instances of one group.
 #[derive(Debug, Default)]
 pub struct StatusQueries {
     instances: HashMap<InstanceName, InstanceQuery>,
 }
 
 impl StatusQueries {
-    /// The instance is to be asked.
+    /// Requests a query of the instance.
     pub fn request(&mut self, instance: InstanceName) {
         self.instances.entry(instance).or_default().is_requested = true;
     }
 
-    /// A pooled connection is idle again, or gone. Whether it carried a question that was not
-    /// answered.
+    /// Handles a pooled connection that is idle again, or closed. Returns whether it carried a
+    /// query that was not answered.
     pub fn on_connection_ready(&mut self, instance: &InstanceName, key: usize, io: &Io) -> bool {
-        let Some(questions) = self.instances.get_mut(instance) else { return false };
-        if questions.in_flight != Some(key) {
+        let Some(query) = self.instances.get_mut(instance) else { return false };
+        if query.in_flight != Some(key) {
             return false;
         }
-        questions.in_flight = None;
-        let failed = !questions.is_answered;
+        query.in_flight = None;
+        let failed = !query.is_answered;
         if failed {
             io.context.metrics.probes.count(ProbeEvent::Failed);
         }
         failed
     }
 
-    /// An instance said how it stands.
+    /// Records the replication status that an instance reported.
     pub fn on_answer(
         &mut self,
         group: &GroupName,
@@ -61,20 +64,19 @@
         io: &Io,
     ) {
         io.context.metrics.probes.count(ProbeEvent::Answered);
-        if let Some(questions) = self.instances.get_mut(instance) {
-            questions.is_answered = true;
+        if let Some(query) = self.instances.get_mut(instance) {
+            query.is_answered = true;
         }
         io.context.statuses.on_standing(group, instance, &answer.report, answer.asked);
     }
 }
 
 impl Gateway {
-    /// Asks instances in doubt how they stand, where connections to them are open: an answer takes the
-    /// doubt back.
+    /// Queries instances that are in doubt and have open connections. An answer clears the doubt.
     pub(super) fn query_instances_in_doubt(&mut self, name: &GroupName, io: &mut Io) {
-        let doubted = io.context.statuses.questions_in_doubt(name, io.now);
-        let Some(state) = self.groups.get_mut(name).filter(|_| !doubted.is_empty()) else { return };
-        for instance in doubted {
+        let targets = io.context.statuses.questions_in_doubt(name, io.now);
+        let Some(state) = self.groups.get_mut(name).filter(|_| !targets.is_empty()) else { return };
+        for instance in targets {
             let is_open =
                 state.pools.get(&instance).is_some_and(|pool| pool.open_connections() > 0);
             if is_open {
@@ -84,7 +86,8 @@
         self.send_status_queries(name, io);
     }
 
-    /// Answers commits that wait for the word of replicas, and asks those for it where some still do.
+    /// Resolves commits that wait for replication statuses of replicas, and queries the replicas if
+    /// some commits still wait.
     pub(super) fn confirm_by_replica_statuses(
         &mut self,
         name: &GroupName,
@@ -97,28 +100,28 @@
             return;
         }
         let leader = io.context.leader(name, group).map(|leader| &leader.name);
-        let replicas = group.instances.iter().filter(|one| leader != Some(&one.name));
+        let replicas = group.instances.iter().filter(|instance| leader != Some(&instance.name));
         replicas.for_each(|replica| state.status_queries.request(replica.name.clone()));
         self.send_status_queries(name, io);
     }
 
-    /// Sends the questions that wait, over idle connections of the instances' pools.
+    /// Sends the requested queries over idle connections of the instances' pools.
     pub(super) fn send_status_queries(&mut self, name: &GroupName, io: &mut Io) {
         let Some(state) = self.groups.get_mut(name) else { return };
         let mut broken = Vec::new();
-        for (instance, questions) in &mut state.status_queries.instances {
-            if !questions.is_requested || questions.in_flight.is_some() {
+        for (instance, query) in &mut state.status_queries.instances {
+            if !query.is_requested || query.in_flight.is_some() {
                 continue;
             }
-            questions.is_requested = false;
+            query.is_requested = false;
             let Some(key) = state.pools.get_mut(instance).and_then(Pool::borrow_idle) else {
-                // No connection is idle: another instance may be asked.
+                // No connection is idle: end the round so that another instance can be queried.
                 state.evidence_queries.on_answer();
                 continue;
             };
             let Some(server) = self.servers.get_mut(key) else { continue };
-            questions.in_flight = Some(key);
-            questions.is_answered = false;
+            query.in_flight = Some(key);
+            query.is_answered = false;
             io.context.metrics.probes.count(ProbeEvent::Sent);
             server.query_position(ProbeNumber::default());
             if server.flush(io).is_err() {
--- a/crates/daemon/src/gateway/zone_drains.rs
+++ b/crates/daemon/src/gateway/zone_drains.rs
@@ -1,7 +1,8 @@
-//! Zones that are being drained: how long transactions that are open there may go on.
+//! Ends open transactions at instances in zones that are being drained.
 //!
-//! New work goes elsewhere as soon as the word of operators is in force. A transaction stays on the connection
-//! that it began on; at the end of its time it is rolled back, and its caller is told when it goes on.
+//! New work goes to other zones as soon as this node has activated the operators' configuration. An
+//! open transaction stays on its connection for a limited time. After that it is rolled back while
+//! it is idle, and its client is told so with the next statement.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -15,35 +16,37 @@
 use super::{Gateway, notify_front};
 use crate::event::Io;
 
-/// Share of the limit of the settings for which open transactions go on, from the moment at which this node
-/// heard of the drain. The limit runs from the operators' word: the rest of it, 3 s of 5, covers the time that
-/// the word may take to a node.
+/// Fraction of the configured drain limit for which open transactions may continue after this node
+/// has learned of the drain. The limit counts from the operators' request; the remaining fraction,
+/// 3 s of 5 s, covers the time until the configuration reaches a node.
 const TRANSACTION_TIME_FRACTION: f64 = 0.4;
-/// When callers may come back whose group has no instance outside drained zones: operators take a zone back
-/// after minutes, and one that comes back sooner gains nothing.
+/// Delay after which a client may retry if its group has no instance outside drained zones.
+/// Operators withdraw a drain after minutes, so that earlier retries would not succeed.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How long it is remembered that a transaction was rolled back: longer than platforms let one rest.
+/// How long to remember that a transaction was rolled back; longer than platforms allow
+/// transactions to be idle.
 const ENDED_RETENTION: Duration = Duration::from_secs(600);
 
-/// Since when zones have been drained, by this node's clock, and the transactions that ended with that.
+/// Since when this node has known zones to be drained, and the transactions that it has rolled back
+/// for that reason.
 #[derive(Debug, Default)]
 pub struct ZoneDrains {
     drained_since: BTreeMap<ZoneName, Instant>,
-    /// Leases of transactions that were rolled back at rest.
+    /// Leases whose transactions were rolled back while idle.
     ended: HashMap<LeaseId, EndedTransaction>,
 }
 
-/// A transaction that was rolled back while its caller rested.
+/// A transaction that was rolled back while it was idle.
 #[derive(Debug)]
 struct EndedTransaction {
     at: Instant,
-    /// Number of the next message to its front.
+    /// Sequence number of the next event for its front.
     sequence: u32,
 }
 
 impl ZoneDrains {
-    /// Takes in a catalog that has come into force.
+    /// Updates the drained zones from a newly activated catalog.
     pub fn apply_catalog(&mut self, catalog: &IndexedCatalog, now: Instant) {
         let drained = catalog.drained_zones();
         self.drained_since.retain(|zone, _| drained.contains(zone));
@@ -55,19 +58,19 @@
         }
     }
 
-    /// Whether open transactions in a zone have had their time, of which `limit` is the whole.
+    /// Whether open transactions in a zone must end, given the configured drain `limit`.
     pub fn is_over(&self, zone: &ZoneName, limit: Duration, now: Instant) -> bool {
         let since = self.drained_since.get(zone);
         since.is_some_and(|since| now >= *since + limit.mul_f64(TRANSACTION_TIME_FRACTION))
     }
 
-    /// Whether any zone is drained.
+    /// Whether no zone is drained.
     pub fn is_empty(&self) -> bool {
         self.drained_since.is_empty()
     }
 
-    /// The caller of a transaction that was rolled back goes on with it, or has left. Returns the number of the
-    /// next message to its front, if there was such a transaction.
+    /// Removes the record of a rolled-back transaction that its client continues or abandons.
+    /// Returns the sequence number of the next event for its front, if there is a record.
     pub fn take_ended(&mut self, lease: &LeaseId) -> Option<u32> {
         self.ended.remove(lease).map(|ended| ended.sequence)
     }
@@ -78,15 +81,16 @@
     }
 }
 
-/// Refuses at once what no instance can run until a zone is taken back.
+/// Refuses an exchange that no instance can run until the drain of a zone is withdrawn.
 pub(super) fn refuse_without_zone(exchange: &Exchange, io: &mut Io) {
-    let detail = "every instance of the group stands in a zone that is being drained";
+    let detail = "every instance of the group is in a zone that is being drained";
     let refusal = Refusal::new(ResultCode::NoPrimary, detail).retry_after(RETRY_DELAY);
     notify_front(&exchange.lease, 0, LeaseEvent::Refused(refusal), io);
 }
 
 impl Gateway {
-    /// Whether a transaction at an instance must not go on, because its zone has been drained for long.
+    /// Whether open transactions at an instance must end, because the time limit of its zone's
+    /// drain has passed.
     pub(super) fn is_drain_over(&self, instance: &InstanceName, io: &Io) -> bool {
         !self.zone_drains.is_empty()
             && self.is_drain_over_in(instance, &io.context.catalog.load(), io)
@@ -98,8 +102,8 @@
         zone.is_some_and(|zone| self.zone_drains.is_over(zone, limit, io.now))
     }
 
-    /// Rolls back open transactions that have had their time: closing the connection does so. One that has a
-    /// statement under way is looked at again when that has ended.
+    /// Rolls back open transactions whose drain limit has passed, by closing their connections. A
+    /// transaction that runs a statement is left until the statement has ended.
     pub(super) fn end_drained_transactions(&mut self, io: &mut Io) {
         if self.zone_drains.is_empty() {
             return;
@@ -120,7 +124,8 @@
         }
     }
 
-    /// Says that a transaction has been rolled back at rest, if that is so.
+    /// Refuses an exchange whose transaction was rolled back while it was idle. Returns whether it
+    /// was.
     pub(super) fn refuse_drained_transaction(&mut self, exchange: &Exchange, io: &mut Io) -> bool {
         let Some(sequence) = self.zone_drains.take_ended(&exchange.lease) else { return false };
         let refusal = Refusal::new(ResultCode::TransactionLost, "its zone is being drained");
@@ -128,7 +133,7 @@
         true
     }
 
-    /// Whether no instance of the group may run anything now.
+    /// Whether all instances of the group are in drained zones.
     pub(super) fn has_only_drained_zones(&self, group: &Group, io: &Io) -> bool {
         !self.zone_drains.is_empty() && io.context.catalog.load().is_drained_out(group)
     }
