--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -47,9 +47,9 @@
     pub transaction: TransactionState,
 }
 
-/// What has to show that a commit cannot be lost.
+/// How a pending commit is confirmed.
 #[derive(Debug)]
-enum Proof {
+enum ConfirmationMethod {
     /// Answers to probes that were sent after the commit.
     Probes(Confirmation),
     /// Replication statuses queried after the answer arrived, and a replacement check by the store
@@ -65,15 +65,15 @@
 #[derive(Debug)]
 struct PendingCommit {
     commit: Commit,
-    proof: Proof,
+    method: ConfirmationMethod,
 }
 
 impl PendingCommit {
     /// When the answer of the commit arrived, if it waits for replication statuses.
     fn awaits_replica_statuses_since(&self) -> Option<Instant> {
-        match &self.proof {
-            Proof::Probes(_) => None,
-            Proof::ReplicaStatuses { answered, .. } => Some(*answered),
+        match &self.method {
+            ConfirmationMethod::Probes(_) => None,
+            ConfirmationMethod::ReplicaStatuses { answered, .. } => Some(*answered),
         }
     }
 }
@@ -81,7 +81,7 @@
 /// Commits of one group that wait for confirmation.
 #[derive(Debug, Default)]
 pub struct Confirmations {
-    waiting: Vec<PendingCommit>,
+    pending: Vec<PendingCommit>,
     highest_term: Term,
     last_probe: ProbeNumber,
     /// When the replicas were last queried.
@@ -91,16 +91,16 @@
 impl Confirmations {
     /// Whether any commit waits.
     pub fn is_waiting(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.pending.is_empty()
     }
 
     /// The first probe that counts for the newest waiting commit.
     pub fn wanted_probe(&self) -> Option<ProbeNumber> {
-        let first_probe = |waiting: &PendingCommit| match &waiting.proof {
-            Proof::Probes(confirmation) => Some(confirmation.first_probe()),
-            Proof::ReplicaStatuses { .. } => None,
+        let first_probe = |pending: &PendingCommit| match &pending.method {
+            ConfirmationMethod::Probes(confirmation) => Some(confirmation.first_probe()),
+            ConfirmationMethod::ReplicaStatuses { .. } => None,
         };
-        self.waiting.iter().filter_map(first_probe).max()
+        self.pending.iter().filter_map(first_probe).max()
     }
 
     /// Highest term that any instance has reported.
@@ -140,8 +140,8 @@
         let instance = commit.instance.clone();
         let confirmation = Confirmation::new(instance, position, group.confirmation, first_probe);
         if confirmation.verdict(group.majority()) != Verdict::Confirmed {
-            let proof = Proof::Probes(confirmation);
-            return self.waiting.push(PendingCommit { commit, proof });
+            let method = ConfirmationMethod::Probes(confirmation);
+            return self.pending.push(PendingCommit { commit, method });
         }
         if group.elector == Elector::Group || io.context.is_waited_for() {
             return acknowledge(commit, Some(position), io);
@@ -154,14 +154,14 @@
             offset = position.offset.0;
             "the machine list does not name this node yet; querying replicas to confirm the commit"
         );
-        let proof = Proof::ReplicaStatuses { position, answered: Instant::now() };
-        self.waiting.push(PendingCommit { commit, proof });
+        let method = ConfirmationMethod::ReplicaStatuses { position, answered: Instant::now() };
+        self.pending.push(PendingCommit { commit, method });
     }
 
     /// Whether the replicas are due to be queried now.
     pub fn should_query_replicas(&mut self, now: Instant) -> bool {
         let newest =
-            self.waiting.iter().filter_map(PendingCommit::awaits_replica_statuses_since).max();
+            self.pending.iter().filter_map(PendingCommit::awaits_replica_statuses_since).max();
         let Some(newest) = newest else { return false };
         let is_due = |asked: Instant| asked <= newest || now >= asked + STATUS_QUERY_INTERVAL;
         let asks = self.last_status_query.is_none_or(is_due);
@@ -176,44 +176,44 @@
     /// Answers the commits that the replication statuses of the replicas decide.
     pub fn resolve_by_replica_statuses(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         let mut kept = Vec::new();
-        for waiting in std::mem::take(&mut self.waiting) {
-            let Proof::ReplicaStatuses { position, answered } = waiting.proof else {
-                kept.push(waiting);
+        for pending in std::mem::take(&mut self.pending) {
+            let ConfirmationMethod::ReplicaStatuses { position, answered } = pending.method else {
+                kept.push(pending);
                 continue;
             };
             let (term, replication) = (position.term, group.replication());
             let statuses = &io.context.statuses;
             match statuses.word_on_commit(name, term, replication, answered, Instant::now()) {
-                WordOnCommit::Confirmed => acknowledge(waiting.commit, Some(position), io),
+                WordOnCommit::Confirmed => acknowledge(pending.commit, Some(position), io),
                 WordOnCommit::Replaced => {
-                    refuse(waiting.commit, Progress::Unconfirmed, Fault::Superseded, io);
+                    refuse(pending.commit, Progress::Unconfirmed, Fault::Superseded, io);
                 }
                 WordOnCommit::LacksTheStore => {
                     io.context.store_looks.want(name);
-                    kept.push(waiting);
+                    kept.push(pending);
                 }
-                WordOnCommit::Missing => kept.push(waiting),
+                WordOnCommit::Missing => kept.push(pending),
             }
         }
-        self.waiting = kept;
+        self.pending = kept;
     }
 
     /// Leases whose commits wait.
     pub fn leases(&self) -> impl Iterator<Item = &LeaseId> {
-        self.waiting.iter().map(|waiting| &waiting.commit.lease)
+        self.pending.iter().map(|pending| &pending.commit.lease)
     }
 
     /// Drops a commit whose client has disconnected.
     pub fn forget(&mut self, lease: &LeaseId) {
-        self.waiting.retain(|waiting| waiting.commit.lease != *lease);
+        self.pending.retain(|pending| pending.commit.lease != *lease);
     }
 
     /// Ends the wait for the commits of an unreachable front. They have taken effect, so the front
     /// is told that their outcome is in doubt: it may reconnect and ask for it.
     pub fn fail_commits_of_node(&mut self, node: &NodeName, io: &mut Io) {
-        let of_node = |waiting: &mut PendingCommit| waiting.commit.lease.node == *node;
-        for waiting in self.waiting.extract_if(.., of_node) {
-            refuse(waiting.commit, Progress::Unconfirmed, Fault::GatewayLost, io);
+        let of_node = |pending: &mut PendingCommit| pending.commit.lease.node == *node;
+        for pending in self.pending.extract_if(.., of_node) {
+            refuse(pending.commit, Progress::Unconfirmed, Fault::GatewayLost, io);
         }
     }
 
@@ -229,33 +229,33 @@
         self.highest_term = self.highest_term.max(flushed.term);
         let evidence = Evidence { instance, probe: answer.number, flushed };
         let mut kept = Vec::new();
-        for mut waiting in std::mem::take(&mut self.waiting) {
-            let Proof::Probes(confirmation) = &mut waiting.proof else {
-                kept.push(waiting);
+        for mut pending in std::mem::take(&mut self.pending) {
+            let ConfirmationMethod::Probes(confirmation) = &mut pending.method else {
+                kept.push(pending);
                 continue;
             };
             match confirmation.on_evidence(evidence, group.majority()) {
-                Verdict::Waiting => kept.push(waiting),
+                Verdict::Waiting => kept.push(pending),
                 Verdict::Confirmed => {
                     let position = confirmation.position();
-                    acknowledge(waiting.commit, Some(position), io);
+                    acknowledge(pending.commit, Some(position), io);
                 }
                 Verdict::Superseded(_) => {
-                    refuse(waiting.commit, Progress::Unconfirmed, Fault::Superseded, io);
+                    refuse(pending.commit, Progress::Unconfirmed, Fault::Superseded, io);
                 }
             }
         }
-        self.waiting = kept;
+        self.pending = kept;
     }
 
     /// Answers the commits whose deadline has passed: their outcome is in doubt.
     pub fn expire(&mut self, io: &mut Io) {
-        let (late, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting)
+        let (late, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(|waiting| waiting.commit.deadline <= io.now);
-        self.waiting = kept;
-        for waiting in late {
-            refuse(waiting.commit, Progress::Unconfirmed, Fault::Deadline, io);
+            .partition(|pending| pending.commit.deadline <= io.now);
+        self.pending = kept;
+        for pending in late {
+            refuse(pending.commit, Progress::Unconfirmed, Fault::Deadline, io);
         }
     }
 }
--- a/crates/daemon/src/gateway/current_position.rs
+++ b/crates/daemon/src/gateway/current_position.rs
@@ -28,7 +28,7 @@
 /// Pending requests for one group's current position.
 #[derive(Debug, Default)]
 pub struct CurrentPositions {
-    waiting: Vec<PendingRequest>,
+    pending: Vec<PendingRequest>,
 }
 
 impl CurrentPositions {
@@ -44,7 +44,7 @@
     ) {
         let until = now + REQUEST_LIFETIME;
         let same = |pending: &&mut PendingRequest| pending.node == node && pending.shard == shard;
-        match self.waiting.iter_mut().find(same) {
+        match self.pending.iter_mut().find(same) {
             Some(known) if known.number == number => known.until = until,
             Some(known) => {
                 let query = CurrentPosition::new(first_probe);
@@ -52,19 +52,19 @@
             }
             None => {
                 let query = CurrentPosition::new(first_probe);
-                self.waiting.push(PendingRequest { node, shard, number, until, query });
+                self.pending.push(PendingRequest { node, shard, number, until, query });
             }
         }
     }
 
     /// Whether any request is pending.
     pub fn is_waiting(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.pending.is_empty()
     }
 
     /// The first probe that counts for the newest request.
     pub fn wanted_probe(&self) -> Option<ProbeNumber> {
-        self.waiting.iter().map(|waiting| waiting.query.first_probe()).max()
+        self.pending.iter().map(|pending| pending.query.first_probe()).max()
     }
 
     /// Processes an instance's answer to a probe, and answers the requests that it completes.
@@ -78,12 +78,12 @@
     ) {
         let report = answer.report;
         let evidence = Evidence { instance, probe: answer.number, flushed: report.flushed };
-        self.waiting.retain_mut(|waiting| {
-            let position = waiting.query.on_evidence(evidence, report.role, group.majority());
+        self.pending.retain_mut(|pending| {
+            let position = pending.query.on_evidence(evidence, report.role, group.majority());
             let Some(position) = position else { return true };
-            let number = waiting.number;
+            let number = pending.number;
             let message = ToFront::CurrentPosition { group: name.clone(), number, position };
-            let (node, shard) = (waiting.node.clone(), Some(waiting.shard));
+            let (node, shard) = (pending.node.clone(), Some(pending.shard));
             io.outbox.push_back(Outgoing::Front { node, shard, message });
             false
         });
@@ -91,6 +91,6 @@
 
     /// Drops requests that are older than [`REQUEST_LIFETIME`].
     pub fn expire(&mut self, now: Instant) {
-        self.waiting.retain(|waiting| waiting.until > now);
+        self.pending.retain(|pending| pending.until > now);
     }
 }
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -14,8 +14,8 @@
 
 /// Time after which instances that have not answered are queried again.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// Delays between rounds whose answers did not help. Helpful evidence lasts much longer than these
-/// delays, so they apply only while evidence is missing.
+/// Delays between rounds whose answers did not help. They start over after 500 ms without a round.
+/// After a round that helped, the evidence lasts much longer than any of these delays.
 const QUERY_REPETITION: Repetition = Repetition::new(
     Backoff::new(Duration::from_millis(8), Duration::from_millis(60)),
     Duration::from_millis(500),
@@ -59,8 +59,8 @@
         }
         let chosen = instances_lacking_evidence(name, group, io);
         if !chosen.is_empty() {
-            let pause = self.repetition.on_asked(io.now, rand::random());
-            self.latest = Some(QueryRound { asked: Instant::now(), answered: false, delay: pause });
+            let delay = self.repetition.on_asked(io.now, rand::random());
+            self.latest = Some(QueryRound { asked: Instant::now(), answered: false, delay });
         }
         chosen
     }
--- a/crates/daemon/src/gateway/instance_choice.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -6,6 +6,9 @@
 //! The read then runs at the primary, or at a replica that has reached a position which the primary
 //! reported while the evidence was valid. A statement that reads nothing needs evidence only if the
 //! group has no synchronous replicas.
+//!
+//! A statement that must run at the primary never goes to an instance that is being replaced, that
+//! is in a drained zone, or that may have been replaced without this node's knowledge.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -62,34 +65,36 @@
     let known = board.read().expect("a holder of the status lock panicked");
     let primary = io.context.leader(group, configured);
     let synchronous = configured.synchronous_replicas;
-    let (replication, life) = (configured.replication(), io.context.evidence_life());
-    let covered = primary.and_then(|primary| known.covered_until(&primary.name, replication, life));
-    // The time that evidence must cover. If the clock starts later than that, use the arrival time,
+    let (replication, lifetime) = (configured.replication(), io.context.evidence_life());
+    let covered_until =
+        primary.and_then(|primary| known.covered_until(&primary.name, replication, lifetime));
+    // The time that evidence must cover. If the clock cannot represent it, use the arrival time,
     // which is stricter.
     let moment = |staleness| needs.arrived.checked_sub(staleness).unwrap_or(needs.arrived);
-    let missing = |moment: Instant| {
+    let missing_evidence = |moment: Instant| {
         let only_store = primary.is_some_and(|primary| {
-            known.lacks_only_the_store(&primary.name, replication, life, moment, io.now)
+            known.lacks_only_the_store(&primary.name, replication, lifetime, moment, io.now)
         });
         if only_store { InstanceChoice::NeedsStore } else { InstanceChoice::NeedsEvidence }
     };
     let chosen = match access {
         Access::Read { bound, max_staleness } => {
             let moment = moment(*max_staleness);
-            let at_primary = covered.is_some_and(|covered| moment <= covered);
-            let covering = covered.and_then(|covered| known.primary.covering(moment, covered));
+            let at_primary = covered_until.is_some_and(|covered_until| moment <= covered_until);
+            let read_position = covered_until
+                .and_then(|covered_until| known.primary.covering(moment, covered_until));
             let same_term = known.primary.term() == known.evidence.term();
-            let covering = covering.filter(|_| same_term);
-            if !at_primary && covering.is_none() {
-                return missing(moment);
+            let read_position = read_position.filter(|_| same_term);
+            if !at_primary && read_position.is_none() {
+                return missing_evidence(moment);
             }
-            if let Some(covering) = covering {
-                *bound = Some(bound.map_or(covering, |bound| bound.join(covering)));
+            if let Some(read_position) = read_position {
+                *bound = Some(bound.map_or(read_position, |bound| bound.join(read_position)));
             }
             let primary = primary.map(|primary| &primary.name);
             let qualifies = EligibleReaders {
                 primary: primary.filter(|_| at_primary),
-                replicas: covering.is_some(),
+                replicas: read_position.is_some(),
             };
             choose_reader(configured, &catalog, &known, bound, qualifies, needs, io)
         }
@@ -113,9 +118,9 @@
             let staleness = needs.staleness.or(no_staleness);
             let uncovered = staleness
                 .map(moment)
-                .filter(|moment| covered.is_none_or(|covered| *moment > covered));
+                .filter(|moment| covered_until.is_none_or(|covered_until| *moment > covered_until));
             if let (Some(moment), Some(_)) = (uncovered, primary) {
-                return missing(moment);
+                return missing_evidence(moment);
             }
             primary
         }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -167,6 +167,7 @@
         })
     }
 
+    /// Retries placements, runs queued exchanges and sends due probes.
     fn advance_group(&mut self, name: &GroupName, io: &mut Io) {
         let catalog = io.context.catalog.load();
         if let Some(group) = catalog.groups.get(name) {
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -101,7 +101,7 @@
     /// Sets whether the gateway is a standby: it keeps its probe connections, but probes rarely.
     pub fn set_standby(&mut self, standby: bool) {
         if self.is_standby && !standby {
-            self.instances.values_mut().for_each(|watched| watched.asked = self.started);
+            self.instances.values_mut().for_each(|monitored| monitored.asked = self.started);
         }
         self.is_standby = standby;
     }
@@ -131,7 +131,7 @@
     pub fn subscribe(&mut self, node: NodeName, io: &mut Io) {
         self.subscribers.insert(node.clone(), io.now + SUBSCRIPTION_LIFETIME);
         let statuses: Vec<InstanceStatus> =
-            self.instances.values().filter_map(|watched| watched.status.clone()).collect();
+            self.instances.values().filter_map(|monitored| monitored.status.clone()).collect();
         self.send(node, statuses, io);
     }
 
@@ -151,16 +151,16 @@
         let pace = self.watch.pace(now);
         let idle = self.is_standby && pace == Pace::Idle;
         let interval = if idle { STANDBY_PROBE_INTERVAL } else { pace.probe_interval() };
-        let watched = self.monitored(instance);
-        match watched.probe {
+        let monitored = self.monitored(instance);
+        match monitored.probe {
             Probe::Closed { since }
                 if since.is_none_or(|since| now >= since + pace.reconnect_interval()) =>
             {
                 ProbeStep::Connect
             }
-            Probe::Idle { key } if watched.is_due(wanted, interval, now) => {
-                watched.probe = Probe::Busy { key, since: now };
-                watched.asked = now;
+            Probe::Idle { key } if monitored.is_due(wanted, interval, now) => {
+                monitored.probe = Probe::Busy { key, since: now };
+                monitored.asked = now;
                 ProbeStep::Query(key)
             }
             _ => ProbeStep::Nothing,
@@ -185,7 +185,7 @@
     /// Probe connections that have not answered in time.
     pub fn overdue(&self, now: Instant) -> Vec<usize> {
         let timeout = self.watch.pace(now).probe_timeout();
-        let late = |watched: &MonitoredInstance| match watched.probe {
+        let late = |monitored: &MonitoredInstance| match monitored.probe {
             Probe::Busy { key, since } if now > since + timeout => Some(key),
             _ => None,
         };
@@ -200,7 +200,7 @@
     /// Handles the loss of a connection to an instance. If it was the primary, the search for the
     /// next primary begins.
     pub fn on_connection_lost(&mut self, instance: &InstanceName, now: Instant) {
-        let status = self.instances.get(instance).and_then(|watched| watched.status.as_ref());
+        let status = self.instances.get(instance).and_then(|monitored| monitored.status.as_ref());
         if status.is_some_and(|status| status.role == Role::Primary) {
             self.watch.on_primary_lost(now);
         }
@@ -215,10 +215,10 @@
     /// is unreachable: any other node may just be cut off from it itself.
     pub fn on_probe_lost(&mut self, instance: &InstanceName, owned: bool, io: &mut Io) {
         self.on_connection_lost(instance, io.now);
-        let watched = self.monitored(instance);
-        watched.probe = Probe::Closed { since: Some(io.now) };
-        watched.reported = None;
-        if let Some(status) = &mut watched.status {
+        let monitored = self.monitored(instance);
+        monitored.probe = Probe::Closed { since: Some(io.now) };
+        monitored.reported = None;
+        if let Some(status) = &mut monitored.status {
             status.reachable = false;
             let status = status.clone();
             if owned {
@@ -229,16 +229,19 @@
 
     /// The latest time at which a majority is known to have followed `term`.
     fn confirmed_at(&self, term: Term, majority: usize) -> Option<Instant> {
-        let sightings = self.instances.values().filter_map(|watched| {
-            Some(Sighting { term: watched.status.as_ref()?.flushed.term, asked: watched.reported? })
+        let sightings = self.instances.values().filter_map(|monitored| {
+            Some(Sighting {
+                term: monitored.status.as_ref()?.flushed.term,
+                asked: monitored.reported?,
+            })
         });
         confirmed_at(term, sightings, majority)
     }
 
     /// Whether writes may be sent to an instance now.
     pub fn may_take_writes(&self, instance: &InstanceName, majority: usize, now: Instant) -> bool {
-        let watched = self.instances.get(instance);
-        let Some(status) = watched.and_then(|watched| watched.status.as_ref()) else {
+        let monitored = self.instances.get(instance);
+        let Some(status) = monitored.and_then(|monitored| monitored.status.as_ref()) else {
             return false;
         };
         let term = status.applied.term;
@@ -253,7 +256,7 @@
         let outdated = |status: &&InstanceStatus| {
             status.role == Role::Primary && status.applied.term < self.highest_term
         };
-        let statuses = self.instances.values().filter_map(|watched| watched.status.as_ref());
+        let statuses = self.instances.values().filter_map(|monitored| monitored.status.as_ref());
         statuses.filter(outdated).map(|status| status.instance.clone()).collect()
     }
 
@@ -277,8 +280,8 @@
         }
         let leads = report.role == Role::Primary && term >= self.highest_term;
         let lag = self.lag(instance, answer, majority, io.now);
-        let watched = self.monitored(instance);
-        watched.reported = Some(answer.asked);
+        let monitored = self.monitored(instance);
+        monitored.reported = Some(answer.asked);
         let status = InstanceStatus {
             instance: instance.clone(),
             role: report.role,
@@ -289,7 +292,7 @@
             lag,
             unconfirmed_for: None,
         };
-        watched.status = Some(status.clone());
+        monitored.status = Some(status.clone());
         let unconfirmed_for = self.unconfirmed_for(&status, majority, io.now);
         self.publish(InstanceStatus { unconfirmed_for, ..status }, io);
         if leads && self.may_take_writes(instance, majority, io.now) {
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -288,7 +288,7 @@
     }
 
     fn record_use(&mut self, now: Instant) {
-        let in_use = self.active_leases() as u32;
+        let in_use = self.connections_in_use() as u32;
         self.recent_use.get_or_insert_with(|| RecentUse::new(now)).on_use(in_use, now);
     }
 
@@ -455,7 +455,7 @@
     }
 
     /// Number of connections that run a lease or a status query.
-    pub fn active_leases(&self) -> usize {
+    pub fn connections_in_use(&self) -> usize {
         self.connections.len() - self.idle.len() - self.connecting as usize
     }
 }
--- a/crates/daemon/src/gateway/pool/sizing.rs
+++ b/crates/daemon/src/gateway/pool/sizing.rs
@@ -55,8 +55,8 @@
                 continue;
             }
             let is_of_another = |key: &usize| self.connections[key].account != account;
-            let Some(place) = replaceable.iter().position(is_of_another) else { continue };
-            openings.push(ConnectionToOpen { replaces: Some(replaceable.remove(place)), account });
+            let Some(index) = replaceable.iter().position(is_of_another) else { continue };
+            openings.push(ConnectionToOpen { replaces: Some(replaceable.remove(index)), account });
         }
         let left = room.saturating_sub(openings.len());
         let warm =
@@ -131,8 +131,8 @@
         match self.role {
             _ if self.leaving => 0,
             PoolRole::Owner => {
-                let most = self.share.map_or(self.budget.limit(), |share| share.warm);
-                self.slots.min(most).min(self.recent_demand(now))
+                let limit = self.share.map_or(self.budget.limit(), |share| share.warm);
+                self.slots.min(limit).min(self.recent_demand(now))
             }
             PoolRole::Standby => STANDBY_CONNECTIONS.min(self.slots),
             PoolRole::Released => 0,
@@ -161,11 +161,12 @@
         let timeout = if stays { idle_timeout } else { Duration::ZERO };
         let surplus =
             (self.connections.len() as u32).saturating_sub(self.retained_target(now)) as usize;
-        let old = |key: &&usize| match self.connections.get(key).map(|pooled| &pooled.state) {
+        let has_expired = |key: &&usize| match self.connections.get(key).map(|pooled| &pooled.state)
+        {
             Some(State::Idle { since }) => now.saturating_duration_since(*since) >= timeout,
             _ => false,
         };
-        self.idle.iter().filter(old).take(surplus).copied().collect()
+        self.idle.iter().filter(has_expired).take(surplus).copied().collect()
     }
 
     /// Connections that have not been established within [`CONNECT_TIMEOUT`].
--- a/crates/daemon/src/gateway/primary_tracker.rs
+++ b/crates/daemon/src/gateway/primary_tracker.rs
@@ -91,7 +91,7 @@
         step: OldPrimaryStep,
         io: &mut Io,
     ) {
-        log::info!(event = "primary_left", group = group.as_str(), instance = instance.as_str(), step:? = step; "work on the old primary ends");
+        log::info!(event = "primary_left", group = group.as_str(), instance = instance.as_str(), step:? = step; "ending work on the old primary");
         if let Some(state) = self.groups.get_mut(group) {
             GroupGateway::return_queued(state, instance, io);
         }
--- a/crates/daemon/src/gateway/zone_drains.rs
+++ b/crates/daemon/src/gateway/zone_drains.rs
@@ -93,10 +93,10 @@
     /// drain has passed.
     pub(super) fn is_drain_over(&self, instance: &InstanceName, io: &Io) -> bool {
         !self.zone_drains.is_empty()
-            && self.is_drain_over_in(instance, &io.context.catalog.load(), io)
+            && self.is_drain_over_at(instance, &io.context.catalog.load(), io)
     }
 
-    fn is_drain_over_in(&self, instance: &InstanceName, catalog: &IndexedCatalog, io: &Io) -> bool {
+    fn is_drain_over_at(&self, instance: &InstanceName, catalog: &IndexedCatalog, io: &Io) -> bool {
         let Some(limit) = io.context.zone_drain_limit else { return false };
         let zone = catalog.instance(instance).map(|(_, instance)| &instance.zone);
         zone.is_some_and(|zone| self.zone_drains.is_over(zone, limit, io.now))
@@ -113,7 +113,7 @@
             .leases
             .iter()
             .filter(|(_, key)| self.servers[**key].is_idle())
-            .filter(|(_, key)| self.is_drain_over_in(&self.servers[**key].instance, &catalog, io))
+            .filter(|(_, key)| self.is_drain_over_at(&self.servers[**key].instance, &catalog, io))
             .map(|(lease, key)| (lease.clone(), *key))
             .collect();
         for (lease, key) in over {
--- a/crates/daemon/tests/pool.rs
+++ b/crates/daemon/tests/pool.rs
@@ -167,7 +167,7 @@
             let running = account.leased.values().filter(|paused| !**paused).count();
             prop_assert!(account.resumed || running <= SLOTS as usize);
             prop_assert_eq!(pool.open_connections(), account.open());
-            prop_assert_eq!(pool.active_leases(), account.leased.len());
+            prop_assert_eq!(pool.connections_in_use(), account.leased.len());
             prop_assert!(account.open() <= owner_limit(CONNECTIONS, 2) as usize);
         }
     }
@@ -299,7 +299,7 @@
     assert!(!closed.contains(&leased));
     closed.into_iter().for_each(|key| pool.on_lost(key, now, 0));
     assert_eq!(pool.connections_to_open(now).len(), 0);
-    assert_eq!(pool.active_leases(), 1);
+    assert_eq!(pool.connections_in_use(), 1);
 }
 
 /// A node's share of an instance's connections, of which it keeps one without work.
