--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -203,7 +203,7 @@
         self.pending.iter().map(|pending| &pending.commit.lease)
     }
 
-    /// Drops a commit whose client has disconnected.
+    /// Drops the pending commit of an abandoned lease.
     pub fn forget(&mut self, lease: &LeaseId) {
         self.pending.retain(|pending| pending.commit.lease != *lease);
     }
--- a/crates/daemon/src/gateway/exchanges.rs
+++ b/crates/daemon/src/gateway/exchanges.rs
@@ -191,14 +191,14 @@
                 false => ResultCode::NoFreshInstance,
             };
             refuse(exchange, code, "the instance has not reached the session's position", io);
-            return self.end_abandoned_lease(key, io);
+            return self.terminate_lease(key, io);
         }
         let Some(server) = self.servers.get_mut(key) else { return };
         let deadline = io.now + exchange.time_left;
         // Read the clock again: this process may have been paused since it received the event.
         if Instant::now() >= deadline {
             server.refuse_unsent(exchange, Fault::Deadline, io);
-            return self.end_abandoned_lease(key, io);
+            return self.terminate_lease(key, io);
         }
         server.run(exchange, deadline, io);
         if server.flush(io).is_err() {
--- a/crates/daemon/src/gateway/instance_choice.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -2,10 +2,10 @@
 //! node has learned from the instances' answers.
 //!
 //! A read needs evidence that the primary still leads, because an old primary that does not know of
-//! its replacement serves stale data. The evidence may be as old as the data that the read accepts.
-//! The read then runs at the primary, or at a replica that has reached a position which the primary
-//! reported while the evidence was valid. A statement that reads nothing needs evidence only if the
-//! group has no synchronous replicas.
+//! its replacement serves stale data. The evidence must be no older than the staleness that the
+//! read accepts. The read then runs at the primary, or at a replica that has reached a position
+//! which the primary reported while the evidence was valid. A statement that reads nothing needs
+//! evidence only if the group has no synchronous replicas.
 //!
 //! A statement that must run at the primary never goes to an instance that is being replaced, that
 //! is in a drained zone, or that may have been replaced without this node's knowledge.
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -66,14 +66,14 @@
             state.placements.forget(lease);
         }
         if let Some(&key) = self.leases.get(lease) {
-            self.end_abandoned_lease(key, io);
+            self.terminate_lease(key, io);
         }
     }
 
-    /// Ends the lease of a connection after its front stopped waiting. An open transaction is
-    /// rolled back before the connection is reused; if an exchange is running, the connection is
-    /// closed.
-    pub(super) fn end_abandoned_lease(&mut self, key: usize, io: &mut Io) {
+    /// Ends the lease of a connection after its exchange was abandoned or refused. An open
+    /// transaction is rolled back before the connection is reused; if an exchange is running, the
+    /// connection is closed.
+    pub(super) fn terminate_lease(&mut self, key: usize, io: &mut Io) {
         let Some(server) = self.servers.get_mut(key) else { return };
         if let Some(lease) = server.lease() {
             self.leases.remove(lease);
@@ -98,7 +98,7 @@
             .map(|(_, key)| *key)
             .collect();
         for key in orphans {
-            self.end_abandoned_lease(key, io);
+            self.terminate_lease(key, io);
         }
     }
 
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -95,8 +95,8 @@
 }
 
 impl Gateway {
-    /// Whether no exchange runs or waits, and no exchange has arrived from another node for
-    /// `quiet`.
+    /// Whether no lease is open, no statement waits, and no exchange has arrived from another node
+    /// for `quiet`.
     pub fn is_drained(&self, quiet: Duration) -> bool {
         let is_quiet = self.last_remote_exchange.is_none_or(|last| last.elapsed() >= quiet);
         is_quiet && self.leases.is_empty() && !self.is_waiting()
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -124,7 +124,7 @@
         self.held.iter().map(|held| &held.exchange.lease)
     }
 
-    /// Drops an exchange whose client has disconnected.
+    /// Drops the held exchange of an abandoned lease.
     pub fn forget(&mut self, lease: &LeaseId) {
         self.held.retain(|held| held.exchange.lease != *lease);
     }
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -25,9 +25,9 @@
 
 use self::recent_use::RecentUse;
 
-/// Most exchanges that may be queued for one instance.
+/// Maximum number of exchanges queued for one instance.
 const MAX_QUEUED_EXCHANGES: usize = 1024;
-/// Most bytes of exchanges that may be queued for one instance.
+/// Maximum total size of the exchanges queued for one instance, in bytes.
 const MAX_QUEUED_BYTES: usize = 32 * 1024 * 1024;
 const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(10);
 const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(250);
@@ -143,9 +143,9 @@
     Limits { slots, queue_length: MAX_QUEUED_EXCHANGES }
 }
 
-/// Most connections of this node to an instance. Without shares, two connections per instance of
-/// the group are left for probes: the owner and the standby of each instance may probe all
-/// instances.
+/// Maximum number of connections of this node to an instance. Without shares, two connections per
+/// instance of the group are left for probes: the owner and the standby of each instance may probe
+/// all instances.
 fn connection_limit(group: &Group, instance: &Instance, share: Option<Share>) -> u32 {
     let owned = || owner_limit(instance.connections, 2 * group.instances.len() as u32);
     share.map_or_else(owned, |share| share.most)
@@ -403,7 +403,7 @@
         self.scheduler.waiting_work().map(|queued| &queued.exchange.lease)
     }
 
-    /// Drops a queued exchange whose client has disconnected.
+    /// Drops the queued exchange of an abandoned lease.
     pub fn forget(&mut self, lease: &LeaseId) {
         self.remove_first(|exchange| exchange.lease == *lease);
     }
--- a/crates/daemon/src/gateway/pool/sizing.rs
+++ b/crates/daemon/src/gateway/pool/sizing.rs
@@ -104,9 +104,9 @@
         self.connections.values().filter(usable).count() as u32
     }
 
-    /// Most connections to a shared instance that may be opened at the same time: as many as are
-    /// established, so that the number at most doubles. When many nodes reconnect after a failure,
-    /// each of them gets its first connection before any of them gets its last.
+    /// Maximum number of connections to a shared instance that may be opened at the same time: as
+    /// many as are established, so that the number at most doubles. When many nodes reconnect after
+    /// a failure, each of them gets its first connection before any of them gets its last.
     fn max_concurrent_opens(&self) -> u32 {
         let established = self.connections.len() as u32 - self.connecting;
         established.max(1).saturating_sub(self.connecting)
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Most connections that exchanges without an account need at the same time, judged by their
-    /// recent use.
+    /// Maximum number of connections that exchanges without an account need at the same time,
+    /// judged by their recent use.
     fn recent_demand(&self, now: Instant) -> u32 {
         if self.share.is_none() || self.has_accounts {
             return u32::MAX;
--- a/crates/daemon/src/gateway/server.rs
+++ b/crates/daemon/src/gateway/server.rs
@@ -55,8 +55,8 @@
     Started(Option<Position>),
     /// The connection is idle after start-up, a probe or a status query.
     Ready,
-    /// The connection must be closed: the instance violated the protocol, or refused the start-up,
-    /// the session's settings or the clean-up.
+    /// The connection must be closed, for example because the instance violated the protocol or
+    /// refused the start-up.
     Unusable,
     /// The instance accepts no further connections now.
     Refused,
--- a/crates/daemon/src/gateway/server_events.rs
+++ b/crates/daemon/src/gateway/server_events.rs
@@ -20,12 +20,12 @@
 /// platform announces at the same address no longer runs.
 fn record_occupant(name: &GroupName, group: &Group, instance: &InstanceName, io: &Io) {
     let Some(configured) = group.instance(instance) else { return };
-    let before = io.context.occupants.on_answered(configured.address, instance);
-    if let Some(before) = before.filter(|before| group.instance(before).is_some()) {
+    let displaced = io.context.occupants.on_answered(configured.address, instance);
+    if let Some(displaced) = displaced.filter(|name| group.instance(name).is_some()) {
         log::info!(
             event = "instance_displaced",
             group = name.as_str(),
-            instance = before.as_str(),
+            instance = displaced.as_str(),
             by = instance.as_str();
             "another instance answers at the address of an instance that is still announced"
         );
@@ -123,14 +123,14 @@
                 }
                 self.confirm_by_replica_statuses(&group, configured, io);
             }
-            ServerEvent::Probed(report) => {
+            ServerEvent::Probed(answer) => {
                 io.context.metrics.probes.count(ProbeEvent::Answered);
                 let wait = state.pools.get(&instance).map(Pool::expected_wait);
                 let majority = configured.majority();
-                let replaced = state.monitor.on_report(&instance, &report, wait, majority, io);
-                state.confirmations.on_report(&instance, &report, configured, io);
+                let replaced = state.monitor.on_report(&instance, &answer, wait, majority, io);
+                state.confirmations.on_report(&instance, &answer, configured, io);
                 let requests = &mut state.current_positions;
-                requests.on_report(&group, &instance, &report, configured, io);
+                requests.on_report(&group, &instance, &answer, configured, io);
                 if replaced {
                     self.fence_outdated_primaries(&group, io);
                 }
