--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -1,4 +1,5 @@
-//! Watches the instances of one group by asking each for its position, and tells subscribers.
+//! Monitors the instances of one group: probes each for its position, and publishes the statuses to
+//! subscribed fronts.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -15,28 +16,28 @@
 use super::server::ProbeAnswer;
 use crate::event::{Io, Outgoing};
 
-/// Time between probes by a gateway that owns no instance of the group.
+/// Interval between probes by a gateway that owns no instance of the group.
 const STANDBY_PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two probes of an instance that has not reached a waiting commit yet.
-const RETRY_INTERVAL: Duration = Duration::from_millis(1);
+/// Interval between probes of an instance while a commit waits for it to catch up.
+const COMMIT_PROBE_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Lag of an instance of which it is not known.
+/// Lag that is reported for an instance whose lag is unknown.
 const UNKNOWN_LAG: Duration = Duration::from_secs(u32::MAX as u64);
 
-/// What to do about one instance's probe now.
+/// The next step of probing one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ProbeStep {
     /// Nothing.
     Nothing,
     /// Open a probe connection.
     Connect,
-    /// Ask over this connection.
-    Ask(usize),
+    /// Send a probe over this connection.
+    Query(usize),
 }
 
 #[derive(Debug)]
 enum Probe {
-    /// No attempt yet if `since` is `None`.
+    /// No open connection; `since` is `None` before the first attempt to connect.
     Closed {
         since: Option<Instant>,
     },
@@ -50,38 +51,39 @@
 }
 
 #[derive(Debug)]
-struct Watched {
+struct MonitoredInstance {
     probe: Probe,
     asked: Instant,
     last_probe: ProbeNumber,
     status: Option<InstanceStatus>,
-    /// When the question was asked that `status` answers.
+    /// When the probe was sent that `status` answers.
     reported: Option<Instant>,
 }
 
-impl Watched {
+impl MonitoredInstance {
     fn is_due(&self, wanted: Option<ProbeNumber>, interval: Duration, now: Instant) -> bool {
-        let urgent = wanted
-            .is_some_and(|wanted| wanted > self.last_probe || now >= self.asked + RETRY_INTERVAL);
+        let urgent = wanted.is_some_and(|wanted| {
+            wanted > self.last_probe || now >= self.asked + COMMIT_PROBE_INTERVAL
+        });
         urgent || self.reported.is_none() || now >= self.asked + interval
     }
 }
 
-/// The instances of one group and who wants to know of them.
+/// The instances of one group and the nodes that subscribe to their statuses.
 #[derive(Debug)]
 pub struct Monitor {
     group: GroupName,
-    instances: HashMap<InstanceName, Watched>,
+    instances: HashMap<InstanceName, MonitoredInstance>,
     subscribers: HashMap<NodeName, Instant>,
     started: Instant,
-    standby: bool,
+    is_standby: bool,
     watch: Watch,
     highest_term: Term,
     freshness: Freshness,
 }
 
 impl Monitor {
-    /// Knows nothing yet.
+    /// A monitor that has not probed any instance.
     pub fn new(group: GroupName, now: Instant) -> Self {
         let (instances, subscribers) = (HashMap::new(), HashMap::new());
         Self {
@@ -89,34 +91,34 @@
             instances,
             subscribers,
             started: now,
-            standby: false,
+            is_standby: false,
             watch: Watch::default(),
             highest_term: Term::default(),
             freshness: Freshness::default(),
         }
     }
 
-    /// Whether the gateway only stands by: it keeps probe connections and probes rarely.
+    /// Sets whether the gateway is a standby: it keeps its probe connections, but probes rarely.
     pub fn set_standby(&mut self, standby: bool) {
-        if self.standby && !standby {
-            self.instances.values_mut().for_each(|watched| watched.asked = self.started);
+        if self.is_standby && !standby {
+            self.instances.values_mut().for_each(|monitored| monitored.asked = self.started);
         }
-        self.standby = standby;
+        self.is_standby = standby;
     }
 
-    /// What an instance last said of itself.
+    /// The last reported status of an instance.
     pub fn status(&self, instance: &InstanceName) -> Option<&InstanceStatus> {
         self.instances.get(instance)?.status.as_ref()
     }
 
-    /// Whether any front asked for statuses lately.
+    /// Whether any front has a live subscription.
     pub fn has_subscribers(&self, now: Instant) -> bool {
         self.subscribers.values().any(|until| *until > now)
     }
 
-    fn watched(&mut self, instance: &InstanceName) -> &mut Watched {
+    fn monitored(&mut self, instance: &InstanceName) -> &mut MonitoredInstance {
         let started = self.started;
-        self.instances.entry(instance.clone()).or_insert_with(|| Watched {
+        self.instances.entry(instance.clone()).or_insert_with(|| MonitoredInstance {
             probe: Probe::Closed { since: None },
             asked: started,
             last_probe: ProbeNumber::default(),
@@ -125,11 +127,11 @@
         })
     }
 
-    /// A node's front wants statuses: sends those known now, and later ones.
+    /// Subscribes a node's front: sends the statuses known now, and later ones as they arrive.
     pub fn subscribe(&mut self, node: NodeName, io: &mut Io) {
         self.subscribers.insert(node.clone(), io.now + SUBSCRIPTION_LIFETIME);
         let statuses: Vec<InstanceStatus> =
-            self.instances.values().filter_map(|watched| watched.status.clone()).collect();
+            self.instances.values().filter_map(|monitored| monitored.status.clone()).collect();
         self.send(node, statuses, io);
     }
 
@@ -138,84 +140,85 @@
         io.outbox.push_back(Outgoing::Front { node, shard: None, message });
     }
 
-    /// What to do about an instance's probe. Commits that wait count only answers to probes from
-    /// `wanted` on: one is sent at once, and again while they wait.
+    /// The next step of probing an instance. Waiting commits count only answers to probes from
+    /// `wanted` on: such a probe is sent at once, and repeated while they wait.
     pub fn next_step(
         &mut self,
         instance: &InstanceName,
         wanted: Option<ProbeNumber>,
         now: Instant,
-    ) -> Step {
+    ) -> ProbeStep {
         let pace = self.watch.pace(now);
-        let idle = self.standby && pace == Pace::Idle;
+        let idle = self.is_standby && pace == Pace::Idle;
         let interval = if idle { STANDBY_PROBE_INTERVAL } else { pace.probe_interval() };
-        let watched = self.watched(instance);
-        match watched.probe {
+        let monitored = self.monitored(instance);
+        match monitored.probe {
             Probe::Closed { since }
                 if since.is_none_or(|since| now >= since + pace.reconnect_interval()) =>
             {
-                Step::Connect
+                ProbeStep::Connect
             }
-            Probe::Idle { key } if watched.is_due(wanted, interval, now) => {
-                watched.probe = Probe::Busy { key, since: now };
-                watched.asked = now;
-                Step::Ask(key)
+            Probe::Idle { key } if monitored.is_due(wanted, interval, now) => {
+                monitored.probe = Probe::Busy { key, since: now };
+                monitored.asked = now;
+                ProbeStep::Query(key)
             }
-            _ => Step::Nothing,
+            _ => ProbeStep::Nothing,
         }
     }
 
-    /// A probe with this number is being sent.
-    pub fn on_asked(&mut self, instance: &InstanceName, number: ProbeNumber) {
-        self.watched(instance).last_probe = number;
+    /// Records the number of a probe that is being sent.
+    pub fn on_probe_sent(&mut self, instance: &InstanceName, number: ProbeNumber) {
+        self.monitored(instance).last_probe = number;
     }
 
-    /// A probe connection is being opened.
+    /// Records that a probe connection is being opened.
     pub fn on_probe_connecting(&mut self, instance: &InstanceName, key: usize, now: Instant) {
-        self.watched(instance).probe = Probe::Busy { key, since: now };
+        self.monitored(instance).probe = Probe::Busy { key, since: now };
     }
 
-    /// A probe connection can be asked.
+    /// Records that a probe connection is idle.
     pub fn on_probe_ready(&mut self, key: usize, instance: &InstanceName) {
-        self.watched(instance).probe = Probe::Idle { key };
+        self.monitored(instance).probe = Probe::Idle { key };
     }
 
-    /// Probe connections that have been silent for too long.
+    /// Probe connections that have not answered in time.
     pub fn overdue(&self, now: Instant) -> Vec<usize> {
         let timeout = self.watch.pace(now).probe_timeout();
-        let late = |watched: &Watched| match watched.probe {
+        let late = |monitored: &MonitoredInstance| match monitored.probe {
             Probe::Busy { key, since } if now > since + timeout => Some(key),
             _ => None,
         };
         self.instances.values().filter_map(late).collect()
     }
 
-    /// A statement for the group arrived.
+    /// Handles the arrival of a statement for the group: it is probed more often for a while.
     pub fn on_statement(&mut self, now: Instant) {
         self.watch.on_statement(now);
     }
 
-    /// A connection to an instance was lost. If it led, its successor is searched for.
+    /// Handles the loss of a connection to an instance. If it was the primary, the search for the
+    /// next primary begins.
     pub fn on_connection_lost(&mut self, instance: &InstanceName, now: Instant) {
-        let status = self.instances.get(instance).and_then(|watched| watched.status.as_ref());
+        let status = self.instances.get(instance).and_then(|monitored| monitored.status.as_ref());
         if status.is_some_and(|status| status.role == Role::Primary) {
             self.watch.on_primary_lost(now);
         }
     }
 
-    /// Whether the group's primary is being searched for.
+    /// Whether the gateway searches for the group's primary.
     pub fn is_searching(&self, now: Instant) -> bool {
         self.watch.pace(now) == Pace::Searching
     }
 
-    /// A probe connection was lost. Fronts are told that the instance is out of reach by its owner
-    /// alone: others may only be cut off from it themselves.
+    /// Handles the loss of a probe connection. Only the owner of the instance tells fronts that it
+    /// is unreachable: any other node may just be cut off from it itself.
     pub fn on_probe_lost(&mut self, instance: &InstanceName, owned: bool, io: &mut Io) {
         self.on_connection_lost(instance, io.now);
-        let watched = self.watched(instance);
-        watched.probe = Probe::Closed { since: Some(io.now) };
-        watched.reported = None;
-        if let Some(status) = &mut watched.status {
+        let monitored = self.monitored(instance);
+        monitored.probe = Probe::Closed { since: Some(io.now) };
+        monitored.reported = None;
+        if let Some(status) = &mut monitored.status {
             status.reachable = false;
             let status = status.clone();
             if owned {
@@ -224,18 +227,21 @@
         }
     }
 
-    /// Since when a majority has been known to follow `term`.
+    /// The latest time at which a majority is known to have followed `term`.
     fn confirmed_at(&self, term: Term, majority: usize) -> Option<Instant> {
-        let sightings = self.instances.values().filter_map(|watched| {
-            Some(Sighting { term: watched.status.as_ref()?.flushed.term, asked: watched.reported? })
+        let sightings = self.instances.values().filter_map(|monitored| {
+            Some(Sighting {
+                term: monitored.status.as_ref()?.flushed.term,
+                asked: monitored.reported?,
+            })
         });
         confirmed_at(term, sightings, majority)
     }
 
-    /// Whether an instance may be given a write now.
+    /// Whether writes may be sent to an instance now.
     pub fn may_take_writes(&self, instance: &InstanceName, majority: usize, now: Instant) -> bool {
-        let watched = self.instances.get(instance);
-        let Some(status) = watched.and_then(|watched| watched.status.as_ref()) else {
+        let monitored = self.instances.get(instance);
+        let Some(status) = monitored.and_then(|monitored| monitored.status.as_ref()) else {
             return false;
         };
         let term = status.applied.term;
@@ -245,17 +251,17 @@
             && may_take_writes(term, self.highest_term, confirmed, pace, now)
     }
 
-    /// Instances that call themselves primary under a term that is over.
+    /// Instances that report themselves as primary in a term that has been superseded.
     pub fn outdated_primaries(&self) -> Vec<InstanceName> {
         let outdated = |status: &&InstanceStatus| {
             status.role == Role::Primary && status.applied.term < self.highest_term
         };
-        let statuses = self.instances.values().filter_map(|watched| watched.status.as_ref());
+        let statuses = self.instances.values().filter_map(|monitored| monitored.status.as_ref());
         statuses.filter(outdated).map(|status| status.instance.clone()).collect()
     }
 
-    /// Takes in what an instance said; `queue_wait` is known where its pool is. Returns whether
-    /// it showed a higher term than any before.
+    /// Processes an instance's answer to a probe. `queue_wait` is `None` if this gateway has no
+    /// pool of the instance. Returns whether the answer supersedes an earlier term.
     pub fn on_report(
         &mut self,
         instance: &InstanceName,
@@ -274,8 +280,8 @@
         }
         let leads = report.role == Role::Primary && term >= self.highest_term;
         let lag = self.lag(instance, answer, majority, io.now);
-        let watched = self.watched(instance);
-        watched.reported = Some(answer.asked);
+        let monitored = self.monitored(instance);
+        monitored.reported = Some(answer.asked);
         let status = InstanceStatus {
             instance: instance.clone(),
             role: report.role,
@@ -286,7 +292,7 @@
             lag,
             unconfirmed_for: None,
         };
-        watched.status = Some(status.clone());
+        monitored.status = Some(status.clone());
         let unconfirmed_for = self.unconfirmed_for(&status, majority, io.now);
         self.publish(InstanceStatus { unconfirmed_for, ..status }, io);
         if leads && self.may_take_writes(instance, majority, io.now) {
@@ -295,7 +301,7 @@
         replaces
     }
 
-    /// How far the instance's data trails, now that it has answered.
+    /// The age of the instance's data, including its latest answer.
     fn lag(
         &mut self,
         instance: &InstanceName,
--- a/crates/daemon/src/gateway/running.rs
+++ b/crates/daemon/src/gateway/running_exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange under way on one back-end connection: its answer as far as it has come, and what
-//! it may have committed.
+//! The exchange that runs on a server connection: the part of its answer that has arrived, and
+//! whether it may have committed.
 
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
 use kestrellock_peer::message::{Exchange, LeaseEvent, TransactionState};
 use kestrellock_protocol::backend::{BackendProtocol, Failure, Passage, Reply, ReplyKind, Report};
 
-/// What an exchange puts at stake.
+/// What is lost or in doubt if the exchange fails.
 pub fn stake_of(exchange: &Exchange) -> Stake {
     let effect = match (&exchange.access, exchange.may_commit) {
         (Access::Read { .. } | Access::PrimaryRead { .. }, _) => Effect::Read,
@@ -22,65 +22,66 @@
     Stake { effect, continues_transaction: exchange.number > 0 }
 }
 
-/// What remains to be done after a message.
+/// What to do after a message of the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
     /// More messages follow.
     Await,
-    /// The answer is whole, but something may have committed unexpectedly: ask for the position.
+    /// The answer is complete, but the exchange may have committed unexpectedly: query the
+    /// position.
     AskPosition,
-    /// The exchange is over.
+    /// The exchange is complete.
     Finished,
 }
 
-/// One `ReadyForQuery`'s worth of an answer.
+/// The part of an answer up to the next `ReadyForQuery`.
 #[derive(Clone, Copy, Debug, Default)]
 struct Segment {
     failed: bool,
     committed: bool,
 }
 
-/// How far the position query behind the exchange is.
+/// State of the position query that follows the exchange.
 #[derive(Clone, Copy, Debug)]
-enum PositionAnswer {
+enum PositionQuery {
     NotDue,
     Awaited(Option<Report>),
 }
 
-/// The exchange under way.
+/// The exchange that runs on a connection.
 #[derive(Debug)]
-pub struct Running {
-    /// Lease it belongs to.
+pub struct RunningExchange {
+    /// Lease that the exchange belongs to.
     pub lease: LeaseId,
-    /// What it puts at stake.
+    /// What is lost or in doubt if it fails.
     pub stake: Stake,
     /// When it was sent.
     pub sent: Instant,
-    /// Latest time to answer.
+    /// Latest time to answer the client.
     pub deadline: Instant,
-    /// Bytes written for it, position query included.
+    /// Bytes written for the exchange, including the position query.
     pub bytes: usize,
     /// Transaction state after the last `ReadyForQuery`.
     pub transaction: TransactionState,
-    /// Messages of the answer that have not been passed on.
+    /// Messages of the answer that have not been forwarded to the front.
     pub answer: BytesMut,
-    /// Whether parts of the answer have been passed on.
-    pub passed_on: bool,
+    /// Whether parts of the answer have been forwarded to the front.
+    pub is_partly_forwarded: bool,
     asks_position: bool,
-    /// Whether it commits something that wrote, if it succeeds.
+    /// Whether the exchange, if it succeeds, commits a transaction that wrote.
     commits_write: bool,
-    /// Position that the answer told.
-    told: Option<Position>,
-    ready_left: u32,
-    position: PositionAnswer,
+    /// Position that the answer carried.
+    answer_position: Option<Position>,
+    ready_remaining: u32,
+    position_query: PositionQuery,
     segment: Segment,
     has_committed: bool,
-    /// Why its first failed statement failed.
-    refused_for: Option<Failure>,
+    /// Why the first failed statement failed.
+    first_failure: Option<Failure>,
 }
 
-impl Running {
-    /// An exchange that is about to be sent as `bytes` bytes.
+impl RunningExchange {
+    /// An exchange that is about to be sent and takes `bytes` bytes on the wire.
     pub fn new(exchange: &Exchange, asks_position: bool, bytes: usize, deadline: Instant) -> Self {
         Self {
             lease: exchange.lease.clone(),
@@ -90,55 +91,56 @@
             bytes,
             transaction: TransactionState::Idle,
             answer: BytesMut::new(),
-            passed_on: false,
+            is_partly_forwarded: false,
             asks_position,
             commits_write: exchange.commits_write,
-            told: None,
-            ready_left: exchange.ready_expected,
-            position: PositionAnswer::NotDue,
+            answer_position: None,
+            ready_remaining: exchange.ready_expected,
+            position_query: PositionQuery::NotDue,
             segment: Segment::default(),
             has_committed: false,
-            refused_for: None,
+            first_failure: None,
         }
     }
 
-    /// Position after a commit that wrote, if the answer shows one.
-    pub fn shown_commit(&self) -> Option<Position> {
-        let succeeded = self.refused_for.is_none() && self.transaction == TransactionState::Idle;
-        self.told.filter(|_| self.commits_write && succeeded)
+    /// Position after a commit of a write, if the answer shows that it succeeded.
+    pub fn write_commit_position(&self) -> Option<Position> {
+        let succeeded = self.first_failure.is_none() && self.transaction == TransactionState::Idle;
+        self.answer_position.filter(|_| self.commits_write && succeeded)
     }
 
-    /// Whether something may have committed, by the answer so far.
+    /// Whether the exchange may have committed, according to the answer so far.
     pub fn has_committed(&self) -> bool {
         self.has_committed
     }
 
-    /// Position that the answer told, where answers do.
-    pub fn position(&self) -> Option<Position> {
-        self.told
+    /// Position that the answer carried, if the protocol's answers carry positions.
+    pub fn answer_position(&self) -> Option<Position> {
+        self.answer_position
     }
 
-    /// Whether the instance had no room for it.
-    pub fn found_no_room(&self) -> bool {
-        self.refused_for == Some(Failure::Busy)
+    /// Whether the instance refused the exchange because it was busy.
+    pub fn found_instance_busy(&self) -> bool {
+        self.first_failure == Some(Failure::Busy)
     }
 
-    /// Whether the answer is whole.
+    /// Whether the answer is complete.
     pub fn is_answered(&self) -> bool {
-        self.ready_left == 0
+        self.ready_remaining == 0
     }
 
-    /// What the instance said of its position after the exchange, if it was asked and answered.
+    /// The instance's report of its position after the exchange, if it was queried and has
+    /// answered.
     pub fn report(&self) -> Option<Report> {
-        match self.position {
-            PositionAnswer::Awaited(report) => report,
-            PositionAnswer::NotDue => None,
+        match self.position_query {
+            PositionQuery::Awaited(report) => report,
+            PositionQuery::NotDue => None,
         }
     }
 
-    /// Takes in one message.
+    /// Processes one message from the instance.
     pub fn on_reply(&mut self, reply: &Reply, protocol: &mut dyn BackendProtocol) -> Next {
-        if let PositionAnswer::Awaited(report) = &mut self.position {
+        if let PositionQuery::Awaited(report) = &mut self.position_query {
             match reply.kind {
                 ReplyKind::Row => *report = protocol.report(reply),
                 ReplyKind::Ready { .. } => return Next::Finished,
@@ -146,7 +148,7 @@
             }
             return Next::Await;
         }
-        self.watch(&reply.kind);
+        self.track_outcome(&reply.kind);
         match protocol.passage(reply) {
             Passage::Pass => self.answer.extend_from_slice(&reply.bytes),
             Passage::Replace(message) => self.answer.extend_from_slice(&message),
@@ -158,11 +160,11 @@
         }
     }
 
-    fn watch(&mut self, kind: &ReplyKind) {
+    fn track_outcome(&mut self, kind: &ReplyKind) {
         match kind {
             ReplyKind::Failed(failure) => {
                 self.segment.failed = true;
-                self.refused_for.get_or_insert(*failure);
+                self.first_failure.get_or_insert(*failure);
             }
             ReplyKind::Completed { commits } => self.segment.committed |= commits,
             _ => {}
@@ -171,46 +173,47 @@
 
     fn on_ready(&mut self, transaction: TransactionState, position: Option<Position>) -> Next {
         self.transaction = transaction;
-        self.told = position;
+        self.answer_position = position;
         let segment = std::mem::take(&mut self.segment);
-        // An error rolls back what no explicit commit has ended before it.
+        // An error rolls back the implicit transaction; earlier explicit commits remain.
         let ended = self.transaction == TransactionState::Idle && !segment.failed;
         let implicit = ended && self.stake.effect == Effect::MayCommit;
         self.has_committed |= segment.committed || implicit;
-        self.ready_left = self.ready_left.saturating_sub(1);
-        if self.ready_left > 0 {
+        self.ready_remaining = self.ready_remaining.saturating_sub(1);
+        if self.ready_remaining > 0 {
             return Next::Await;
         }
         if let Some(position) = position {
-            // Only a primary commits.
+            // Only a primary commits, so a committing instance has that role.
             let report = Report {
                 role: Role::Primary,
                 flushed: position,
                 applied: position,
                 held: Term::default(),
             };
-            self.position = PositionAnswer::Awaited(Some(report));
+            self.position_query = PositionQuery::Awaited(Some(report));
             return Next::Finished;
         }
         if self.asks_position {
-            self.position = PositionAnswer::Awaited(None);
+            self.position_query = PositionQuery::Awaited(None);
             return Next::Await;
         }
         if self.has_committed {
-            self.position = PositionAnswer::Awaited(None);
+            self.position_query = PositionQuery::Awaited(None);
             return Next::AskPosition;
         }
         Next::Finished
     }
 
-    /// The answer to give when nothing waits for confirmation. Where the instance has not run the
-    /// first exchange of a lease, it becomes a code on which the front looks for another one.
+    /// The answer for the front when no commit needs confirmation. If the instance has not run the
+    /// first exchange of a lease, this is a refusal upon which the front tries another instance.
     pub fn final_event(&mut self, instance: &InstanceName) -> LeaseEvent {
-        let starts = !self.stake.continues_transaction && !self.has_committed && !self.passed_on;
+        let starts =
+            !self.stake.continues_transaction && !self.has_committed && !self.is_partly_forwarded;
         let idle = self.transaction == TransactionState::Idle;
         if starts
             && idle
-            && let Some(refusal) = self.not_run()
+            && let Some(refusal) = self.not_run_refusal()
         {
             return LeaseEvent::Refused(refusal.at(instance));
         }
@@ -219,9 +222,9 @@
         LeaseEvent::Done { frames, transaction, confirmed: None, instance }
     }
 
-    /// The refusal that says why the instance has not run the exchange, if it has not.
-    fn not_run(&self) -> Option<Refusal> {
-        let (code, detail) = match self.refused_for? {
+    /// The refusal that says why the instance has not run the exchange; `None` if it may have run.
+    fn not_run_refusal(&self) -> Option<Refusal> {
+        let (code, detail) = match self.first_failure? {
             Failure::ReadOnly if self.stake.effect != Effect::Read => {
                 (ResultCode::NotPrimary, "the instance is read-only")
             }
@@ -240,14 +243,19 @@
         Some(Refusal::new(code, detail))
     }
 
-    /// The rest of the answer.
+    /// Takes the part of the answer that has not been forwarded.
     pub fn take_answer(&mut self) -> Bytes {
         self.answer.split().freeze()
     }
 
-    /// What the caller is told now that the connection cannot be used any more; `unsent` is the
-    /// number of bytes at the end of the exchange that the kernel has not taken.
-    pub fn failure(&mut self, fault: Fault, unsent: usize, instance: &InstanceName) -> LeaseEvent {
+    /// The event for the front when the connection is lost. `unsent` is the number of bytes of the
+    /// exchange that the kernel has not accepted for sending.
+    pub fn failure_event(
+        &mut self,
+        fault: Fault,
+        unsent: usize,
+        instance: &InstanceName,
+    ) -> LeaseEvent {
         let idle = self.transaction == TransactionState::Idle;
         if self.is_answered() && !self.has_committed && idle {
             return self.final_event(instance);
@@ -260,20 +268,21 @@
             Progress::Sent
         };
         let stake = match self.is_answered() && !idle && !self.has_committed {
-            // The transaction was still open after the answer: it ends with its connection.
+            // The transaction was still open after the answer: closing the connection rolls it
+            // back.
             true => Stake { effect: Effect::InsideTransaction, ..self.stake },
             false => self.stake,
         };
         let code = failure_code(stake, progress, fault);
-        LeaseEvent::Refused(Refusal::new(code, detail_of(fault)).at(instance))
+        LeaseEvent::Refused(Refusal::new(code, fault_detail(fault)).at(instance))
     }
 }
 
-fn detail_of(fault: Fault) -> &'static str {
+fn fault_detail(fault: Fault) -> &'static str {
     match fault {
-        Fault::Deadline => "the back end did not answer in time",
+        Fault::Deadline => "the instance did not answer in time",
         Fault::Superseded => "the primary has been replaced",
-        Fault::BackendLost => "the connection to the back end was lost",
+        Fault::BackendLost => "the connection to the instance was lost",
         Fault::GatewayLost | Fault::GatewaySilent | Fault::AnswerLost => "the gateway was lost",
     }
 }
