--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -284,7 +284,7 @@
     let detail = match fault {
         Fault::Superseded => "a new primary appeared before a majority confirmed the commit",
         Fault::Deadline => "no majority confirmed the commit in time",
-        _ => "the primary did not report the position of the commit",
+        _ => "the primary did not say where the commit stands",
     };
     let refusal = Refusal::new(failure_code(stake, progress, fault), detail);
     notify_front(&commit.lease, commit.sequence, LeaseEvent::Refused(refusal), io);
--- a/crates/daemon/src/gateway/running_exchange.rs
+++ b/crates/daemon/src/gateway/running_exchange.rs
@@ -280,9 +280,9 @@
 
 fn fault_detail(fault: Fault) -> &'static str {
     match fault {
-        Fault::Deadline => "the instance did not answer in time",
+        Fault::Deadline => "the back end did not answer in time",
         Fault::Superseded => "the primary has been replaced",
-        Fault::BackendLost => "the connection to the instance was lost",
+        Fault::BackendLost => "the connection to the back end was lost",
         Fault::GatewayLost | Fault::GatewaySilent | Fault::AnswerLost => "the gateway was lost",
     }
 }
--- a/crates/daemon/src/gateway/server/replies.rs
+++ b/crates/daemon/src/gateway/server/replies.rs
@@ -116,7 +116,7 @@
         let state = std::mem::replace(&mut self.state, State::Idle);
         let State::Preparing { exchange, deadline, failed } = state else { return };
         if failed {
-            let detail = "the instance does not accept the session's settings";
+            let detail = "the back end does not accept the session's settings";
             let refusal = Refusal::new(ResultCode::NotSupported, detail);
             notify_front(&exchange.lease, self.next_sequence, LeaseEvent::Refused(refusal), io);
             events.push(ServerEvent::Unusable);
--- a/crates/daemon/src/gateway/zone_drains.rs
+++ b/crates/daemon/src/gateway/zone_drains.rs
@@ -83,7 +83,7 @@
 
 /// Refuses an exchange that no instance can run until the drain of a zone is withdrawn.
 pub(super) fn refuse_without_zone(exchange: &Exchange, io: &mut Io) {
-    let detail = "every instance of the group is in a zone that is being drained";
+    let detail = "every instance of the group stands in a zone that is being drained";
     let refusal = Refusal::new(ResultCode::NoPrimary, detail).retry_after(RETRY_DELAY);
     notify_front(&exchange.lease, 0, LeaseEvent::Refused(refusal), io);
 }
