--- a/crates/daemon/src/admin/configuration.rs
+++ b/crates/daemon/src/admin/configuration.rs
@@ -101,9 +101,9 @@
 
 /// Asks the nodes that are not known to be up to date, and gives them a moment.
 fn wait_for_answers(admin: &Admin) {
-    admin.configuration.ask_revisions();
+    admin.configuration.request_revisions();
     let end = Instant::now() + ANSWER_LIMIT;
-    while !admin.configuration.behind().is_empty() && Instant::now() < end {
+    while !admin.configuration.nodes_behind().is_empty() && Instant::now() < end {
         std::thread::sleep(ANSWER_STEP);
     }
 }
--- a/crates/daemon/src/agent/configuration/confirming.rs
+++ b/crates/daemon/src/agent/configuration/confirmation_queries.rs
@@ -12,12 +12,12 @@
 
 /// What is asked and answered between this node and its peers.
 #[derive(Debug, Default)]
-pub(super) struct Confirming {
+pub(super) struct ConfirmationQueries {
     /// None where no limit is set.
     seeker: Option<EvidenceSeeker>,
 }
 
-impl Confirming {
+impl ConfirmationQueries {
     /// For the limit of the node's settings.
     pub fn new(own: &Configuration) -> Self {
         Self { seeker: own.context.revocation_limit.map(EvidenceSeeker::new) }
@@ -60,7 +60,7 @@
         let Some(seeker) = &mut self.seeker else { return };
         let Some(asked) = seeker.on_answer(&peer.node, EvidenceQuestion(number)) else { return };
         let confirmation = newest.and_then(|(version, age)| {
-            own.context.revisions.hear(&peer.node, version.revision);
+            own.context.revisions.record(&peer.node, version.revision);
             Some(Confirmation { version, at: asked.checked_sub(age)? })
         });
         seeker.on_evidence(&peer.node, asked, confirmation.map(|known| known.at));
--- a/crates/daemon/src/agent/configuration/fetching.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -8,12 +8,12 @@
 use kestrellock_peer::catalog_transfer::{self, Incoming, Part, TransferError};
 use kestrellock_peer::message::ConfigurationMessage;
 
-use super::{Configuration, Offer, Origin, Peer};
+use super::{Configuration, OfferOutcome, Origin, Peer};
 use crate::metrics::ConfigurationEvent;
 
 /// What is being fetched.
 #[derive(Debug, Default)]
-pub(super) struct Fetching {
+pub(super) struct DeltaReceiver {
     current: Option<Fetch>,
 }
 
@@ -26,7 +26,7 @@
     incoming: Option<Incoming>,
 }
 
-impl Fetching {
+impl DeltaReceiver {
     /// Asks `node` for what `summary` lacks; whatever was being fetched from another is dropped.
     pub fn begin(&mut self, own: &Configuration, peer: &Peer, summary: CatalogSummary) {
         let fetch = Fetch {
@@ -132,16 +132,16 @@
         delta: CatalogDelta,
         puller: &mut Puller,
     ) {
-        own.context.revisions.hear(&peer.node, delta.changed.revision);
+        own.context.revisions.record(&peer.node, delta.changed.revision);
         let is_whole = delta.base.is_none();
         let catalog = own.context.catalog.load();
         match catalog.with(delta) {
             Ok(catalog) => {
                 own.context.metrics.configuration.count(ConfigurationEvent::Pulled);
                 match own.offer(catalog, Origin::Peer) {
-                    Offer::InForce => own.announce_if_follower(),
-                    Offer::NotNewer => {}
-                    Offer::Refused => puller.on_refused(&peer.node, Instant::now()),
+                    OfferOutcome::Activated => own.announce_if_store_watcher(),
+                    OfferOutcome::NotNewer => {}
+                    OfferOutcome::Rejected => puller.on_refused(&peer.node, Instant::now()),
                 }
             }
             Err(DeltaError::NotNewer) => {}
--- a/crates/daemon/src/agent/configuration/serving.rs
+++ b/crates/daemon/src/agent/configuration/delta_server.rs
@@ -33,13 +33,13 @@
 
 /// Who is served, and with what.
 #[derive(Debug, Default)]
-pub(super) struct Serving {
+pub(super) struct DeltaServer {
     queue: TransferQueue<(u16, CatalogSummary)>,
     packed: VecDeque<PackedDelta>,
     next_transfer: u64,
 }
 
-impl Serving {
+impl DeltaServer {
     /// A node wants what it lacks.
     pub fn on_fetch(&mut self, own: &Configuration, peer: &Peer, have: CatalogSummary) {
         let revision = own.revision();
--- a/crates/daemon/src/agent/configuration/exchange.rs
+++ b/crates/daemon/src/agent/configuration/distribution.rs
@@ -7,9 +7,9 @@
 use kestrellock_core::spreading::{Puller, View};
 use kestrellock_peer::message::ConfigurationMessage;
 
-use super::confirming::Confirming;
-use super::fetching::Fetching;
-use super::serving::Serving;
+use super::confirmation_queries::ConfirmationQueries;
+use super::delta_receiver::DeltaReceiver;
+use super::delta_server::DeltaServer;
 use super::{Configuration, Peer};
 use crate::shared::inbox::Received;
 use crate::supervisor::StopFlag;
@@ -18,8 +18,8 @@
 const STEP: Duration = Duration::from_millis(100);
 
 /// Exchanges configuration with peers until told to stop.
-pub fn exchange(configuration: &Configuration, stop: &StopFlag) {
-    let mut exchange = Exchange::new(configuration);
+pub fn distribute(configuration: &Configuration, stop: &StopFlag) {
+    let mut exchange = Distribution::new(configuration);
     while !stop.is_stopping() {
         stop.wait_while_paused();
         if let Ok(received) = configuration.context.configuration.receiver.recv_timeout(STEP) {
@@ -34,19 +34,25 @@
 }
 
 /// What is under way between this node and its peers.
-struct Exchange<'a> {
+struct Distribution<'a> {
     own: &'a Configuration,
     puller: Puller,
-    serving: Serving,
-    fetching: Fetching,
-    confirming: Confirming,
+    serving: DeltaServer,
+    fetching: DeltaReceiver,
+    confirming: ConfirmationQueries,
 }
 
-impl<'a> Exchange<'a> {
+impl<'a> Distribution<'a> {
     fn new(own: &'a Configuration) -> Self {
         let puller = Puller::new(own.own());
-        let confirming = Confirming::new(own);
-        Self { own, puller, serving: Serving::default(), fetching: Fetching::default(), confirming }
+        let confirming = ConfirmationQueries::new(own);
+        Self {
+            own,
+            puller,
+            serving: DeltaServer::default(),
+            fetching: DeltaReceiver::default(),
+            confirming,
+        }
     }
 
     fn ask_if_due(&mut self) {
@@ -76,18 +82,18 @@
         let peer = Peer { node: from, shard };
         match message {
             ConfigurationMessage::Request { have } => {
-                own.context.revisions.hear(&peer.node, have);
+                own.context.revisions.record(&peer.node, have);
                 let revision = own.revision();
                 own.send(&peer, ConfigurationMessage::InForce { revision });
             }
             ConfigurationMessage::InForce { revision } => {
-                own.context.revisions.hear(&peer.node, revision);
+                own.context.revisions.record(&peer.node, revision);
                 if self.puller.on_revision(&peer.node, revision) {
                     self.fetching.on_nothing(&peer.node, revision);
                 }
             }
             ConfigurationMessage::Fetch { have } => {
-                own.context.revisions.hear(&peer.node, have.revision);
+                own.context.revisions.record(&peer.node, have.revision);
                 self.serving.on_fetch(own, &peer, have);
             }
             ConfigurationMessage::Queued => self.puller.on_queued(&peer.node, Instant::now()),
--- a/crates/daemon/src/agent/configuration/left_out.rs
+++ b/crates/daemon/src/agent/configuration/excluded_entries.rs
@@ -9,11 +9,11 @@
 
 /// What is left out of the configuration in force, by subject: what is wrong with it.
 #[derive(Debug, Default)]
-pub(super) struct LeftOut {
+pub(super) struct ExcludedEntries {
     told: BTreeMap<String, String>,
 }
 
-impl LeftOut {
+impl ExcludedEntries {
     /// A configuration of that revision comes into force without what has these faults. What peers send
     /// has been through this before: that nothing is left out of it says nothing.
     pub fn tell(
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -1,13 +1,13 @@
 //! Keeps the node's configuration: follows the store where that is this node's part, exchanges
 //! revisions with peers, and puts only newer catalogs in force, without what is faulty in them.
 
-mod confirming;
-mod exchange;
-mod fetching;
-mod follow;
-mod left_out;
+mod confirmation_queries;
+mod delta_receiver;
+mod delta_server;
+mod distribution;
+mod excluded_entries;
 mod role;
-mod serving;
+mod source_watch;
 
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
@@ -22,10 +22,10 @@
 use crate::metrics::ConfigurationEvent;
 use crate::shard::mailbox::{Mailboxes, ShardMessage};
 
-use self::left_out::LeftOut;
+use self::excluded_entries::ExcludedEntries;
 
-pub use exchange::exchange;
-pub use follow::follow;
+pub use distribution::distribute;
+pub use source_watch::watch_source;
 
 /// Shard whose connections carry messages that this node begins.
 const FIRST_SHARD: u16 = 0;
@@ -56,13 +56,13 @@
 
 /// What became of a catalog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// It is in force.
-    InForce,
+    Activated,
     /// One as new is in force already.
     NotNewer,
     /// It cannot be used; the one in force stays.
-    Refused,
+    Rejected,
 }
 
 /// The node's configuration and the way to its peers.
@@ -73,7 +73,7 @@
     has_machine_list: bool,
     started: Instant,
     /// Held while a catalog replaces another, so that an older one never replaces a newer.
-    replacing: Mutex<LeftOut>,
+    replacing: Mutex<ExcludedEntries>,
 }
 
 impl Configuration {
@@ -90,11 +90,11 @@
     /// Puts a catalog in force if it is newer than the one in force. Entries and instances that cannot be
     /// used are left out, each by itself: what an instance says of itself holds no change of the operators
     /// back, nor one entry another.
-    pub fn offer(&self, catalog: VersionedCatalog, origin: Origin) -> Offer {
+    pub fn offer(&self, catalog: VersionedCatalog, origin: Origin) -> OfferOutcome {
         let mut left_out = self.replacing.lock().expect("a holder of the lock panicked");
         let revision = catalog.revision;
         if revision <= self.revision() {
-            return Offer::NotNewer;
+            return OfferOutcome::NotNewer;
         }
         let catalog = self.with_newest_edition(catalog);
         let metrics = &self.context.metrics;
@@ -106,13 +106,13 @@
             // Leaving out what is faulty leaves a valid rest: this is a defect of the program.
             log::error!(event = "configuration_refused", revision = revision.0, problem = error.to_string().as_str(); "KL3001 the configuration cannot be used; the one in force stays");
             metrics.configuration.count(ConfigurationEvent::Refused);
-            return Offer::Refused;
+            return OfferOutcome::Rejected;
         }
         self.context.catalog.store(IndexedCatalog::new(catalog));
         log::info!("configuration revision {} in force", revision.0);
         metrics.revision.set(revision.0 as i64);
         metrics.configuration.count(ConfigurationEvent::Applied);
-        Offer::InForce
+        OfferOutcome::Activated
     }
 
     /// The catalog, if need be with what operators wrote in the one in force: they were told that it is, and a
@@ -157,15 +157,15 @@
     }
 
     /// Asks live nodes for their revisions where none as new as this node's is known.
-    pub fn ask_revisions(&self) {
+    pub fn request_revisions(&self) {
         let have = self.revision();
-        for node in self.behind() {
+        for node in self.nodes_behind() {
             self.send(&Peer::first_shard_of(node), ConfigurationMessage::Request { have });
         }
     }
 
     /// Live nodes not known to have this node's revision.
-    pub fn behind(&self) -> Vec<NodeName> {
+    pub fn nodes_behind(&self) -> Vec<NodeName> {
         let revision = self.revision();
         let mut nodes: Vec<NodeName> =
             self.live().into_iter().map(|candidate| candidate.node).collect();
--- a/crates/daemon/src/agent/configuration/role.rs
+++ b/crates/daemon/src/agent/configuration/role.rs
@@ -10,11 +10,11 @@
 use kestrellock_core::spreading::{is_follower, own_turn};
 
 use super::Configuration;
-use crate::shared::live::listed_not_known;
+use crate::shared::live::listed_but_unknown;
 use crate::supervisor::StopFlag;
 
 /// Time that a node without configuration gives its peers before it asks the store.
-pub(super) const PEERS_FIRST: Duration = Duration::from_secs(1);
+pub(super) const PEER_WAIT: Duration = Duration::from_secs(1);
 /// Time for which the machine list counts beside the nodes known to live: as long as membership compares
 /// its table often. Later an entry may be that of a machine which is gone for good.
 const LIST_COUNTS_FOR: Duration = Duration::from_secs(10);
@@ -28,7 +28,7 @@
 impl Configuration {
     /// A node that the machine list does not name yet starts for the first time, perhaps with many others:
     /// it waits until the list grows no more.
-    pub(super) fn wait_for_list(&self, stop: &StopFlag) {
+    pub(super) fn wait_for_machine_list(&self, stop: &StopFlag) {
         let own = &self.context.identity.node;
         let mut length = 0;
         let mut since = Instant::now();
@@ -48,22 +48,22 @@
     }
 
     /// Whether following the source is this node's part: before it knows of any other node, it is.
-    pub(super) fn follows(&self) -> bool {
+    pub(super) fn is_store_watcher(&self) -> bool {
         let mut expected = self.live();
         let known = expected.len();
         if self.started.elapsed() < LIST_COUNTS_FOR {
             let (live, listed) = (self.context.live.load(), self.context.listed_nodes.load());
-            expected.extend(listed_not_known(&live, &listed).cloned());
+            expected.extend(listed_but_unknown(&live, &listed).cloned());
         }
         let is_its_part = expected.is_empty() || is_follower(&self.own(), &expected);
-        is_its_part || (expected.len() > known && self.has_waited_in_vain(expected.len()))
+        is_its_part || (expected.len() > known && self.has_waited_for_peers(expected.len()))
     }
 
     /// Whether no peer has brought a configuration for so long that this node reads it itself. The nodes do
     /// so one after the other, so that the store is not asked by all of them at once.
-    fn has_waited_in_vain(&self, nodes: usize) -> bool {
+    fn has_waited_for_peers(&self, nodes: usize) -> bool {
         let turn = own_turn(&self.context.identity.node, nodes);
         let has_none = self.revision() == Revision::default();
-        has_none && self.started.elapsed() >= PEERS_FIRST + turn
+        has_none && self.started.elapsed() >= PEER_WAIT + turn
     }
 }
--- a/crates/daemon/src/agent/configuration/follow.rs
+++ b/crates/daemon/src/agent/configuration/source_watch.rs
@@ -10,8 +10,8 @@
 use kestrellock_store::source::CatalogSource;
 use kestrellock_store::store::StoreError;
 
-use super::role::PEERS_FIRST;
-use super::{Configuration, Offer, Origin};
+use super::role::PEER_WAIT;
+use super::{Configuration, OfferOutcome, Origin};
 use crate::metrics::{ConfigurationEvent, Metrics};
 use crate::supervisor::StopFlag;
 
@@ -26,15 +26,19 @@
 const WELL_AFTER: Duration = Duration::from_secs(1);
 
 /// Follows the source until told to stop.
-pub fn follow(configuration: &Configuration, source: &mut dyn CatalogSource, stop: &StopFlag) {
+pub fn watch_source(
+    configuration: &Configuration,
+    source: &mut dyn CatalogSource,
+    stop: &StopFlag,
+) {
     let mut backoff = Backoff::new(FIRST_RETRY, LAST_RETRY);
     let mut failed_at = Instant::now();
     let mut unreadable = Unreadable::default();
-    configuration.wait_for_list(stop);
+    configuration.wait_for_machine_list(stop);
     configuration.wait_for_peers(source, stop);
     while !stop.is_stopping() {
         stop.wait_while_paused();
-        if !configuration.follows() {
+        if !configuration.is_store_watcher() {
             source.pause();
             stop.sleep(IDLE_STEP);
             continue;
@@ -46,10 +50,10 @@
                 backoff.reset();
                 let offered = read.catalog.revision;
                 match configuration.offer(read.catalog, Origin::Source) {
-                    Offer::InForce => configuration.announce(),
-                    Offer::NotNewer => configuration.tell_not_newer(offered),
+                    OfferOutcome::Activated => configuration.announce(),
+                    OfferOutcome::NotNewer => configuration.log_not_newer(offered),
                     // Told where it was refused.
-                    Offer::Refused => {}
+                    OfferOutcome::Rejected => {}
                 }
             }
             Err(error) => {
@@ -93,10 +97,10 @@
     /// booting at once do not all turn to the store; and so that nothing older than theirs is in force
     /// where the store lacks what operators have been told is.
     fn wait_for_peers(&self, source: &dyn CatalogSource, stop: &StopFlag) {
-        let end = Instant::now() + PEERS_FIRST;
+        let end = Instant::now() + PEER_WAIT;
         while self.expects_peers(source) && !stop.is_stopping() && Instant::now() < end {
             let has_one = self.revision() != Revision::default();
-            let peers_have_none = self.context.revisions.any()
+            let peers_have_none = self.context.revisions.has_reports()
                 && self.context.revisions.newest() == Revision::default();
             if has_one || peers_have_none {
                 return;
@@ -116,7 +120,7 @@
     }
 
     /// What the source told last is not put in force.
-    fn tell_not_newer(&self, offered: Revision) {
+    fn log_not_newer(&self, offered: Revision) {
         log::info!(
             event = "configuration_not_newer",
             revision = offered.0,
@@ -136,7 +140,7 @@
     }
 
     /// A follower that learnt of a revision from a peer tells its zone.
-    pub(super) fn announce_if_follower(&self) {
+    pub(super) fn announce_if_store_watcher(&self) {
         let (own, live) = (self.own(), self.live());
         if is_follower(&own, &live) && !audience(&own, &live).is_empty() {
             self.announce();
--- a/crates/daemon/src/agent/machines.rs
+++ b/crates/daemon/src/agent/machines.rs
@@ -26,7 +26,7 @@
 
 /// Enters this node in the list, where nodes enter themselves, and looks at the list until told to
 /// stop. `peers` are seeds that stand beyond it.
-pub fn look(
+pub fn poll(
     list: &dyn MachineList,
     own: &Machine,
     peers: &[Seed],
--- a/crates/daemon/src/agent/membership.rs
+++ b/crates/daemon/src/agent/membership.rs
@@ -19,8 +19,8 @@
 use crate::context::NodeContext;
 use crate::metrics::MessageEvent;
 use crate::settings::Settings;
-use crate::shared::board::RevisionHolder;
 use crate::shared::live::LiveNode;
+use crate::shared::membership::NewestRevision;
 use crate::supervisor::StopFlag;
 
 /// Time between two ticks of the state machine.
@@ -34,14 +34,14 @@
 
 /// Who this node is to the others and how it finds them.
 #[derive(Clone, Debug)]
-pub struct Joining {
+pub struct MembershipConfig {
     own: MemberRecord,
     seeds: Vec<Seed>,
     cluster: String,
     keys: ClusterKeys,
 }
 
-impl Joining {
+impl MembershipConfig {
     /// From the settings, with `process` as the incarnation of this process.
     pub fn new(settings: &Settings, process: u64, keys: ClusterKeys) -> Self {
         let own = MemberRecord {
@@ -55,7 +55,7 @@
             revision: Default::default(),
             link_mbps: settings.link_mbps.unwrap_or(0),
         };
-        let seeds = seeds_of(settings);
+        let seeds = configured_seeds(settings);
         Self { own, seeds, cluster: settings.cluster.clone(), keys }
     }
 }
@@ -72,13 +72,13 @@
 }
 
 /// The peers of the settings.
-pub fn seeds_of(settings: &Settings) -> Vec<Seed> {
+pub fn configured_seeds(settings: &Settings) -> Vec<Seed> {
     let peers = settings.peers.iter();
     peers.map(|peer| Seed { node: peer.node.clone(), address: peer.address }).collect()
 }
 
 /// Takes part in membership until told to stop.
-pub fn run(socket: &UdpSocket, joining: &Joining, context: &NodeContext, stop: &StopFlag) {
+pub fn run(socket: &UdpSocket, joining: &MembershipConfig, context: &NodeContext, stop: &StopFlag) {
     let mut agent = Agent::new(socket, joining, context);
     while !stop.is_stopping() {
         stop.wait_while_paused();
@@ -108,9 +108,9 @@
 }
 
 impl<'a> Agent<'a> {
-    fn new(socket: &'a UdpSocket, joining: &Joining, context: &'a NodeContext) -> Self {
+    fn new(socket: &'a UdpSocket, joining: &MembershipConfig, context: &'a NodeContext) -> Self {
         let origin = Instant::now();
-        let Joining { own, seeds, cluster, keys } = joining.clone();
+        let MembershipConfig { own, seeds, cluster, keys } = joining.clone();
         let codec = DatagramCodec::new(keys, &cluster, own.node.clone());
         let membership =
             Membership::new(own, Timing::default(), seeds, Duration::ZERO, &mut random);
@@ -155,7 +155,7 @@
             Ok(message) => {
                 metrics.datagrams.count(MessageEvent::Received);
                 metrics.datagram_bytes.add(MessageEvent::Received, bytes.len() as u64);
-                self.context.revisions.hear(&message.sender.node, message.sender.revision);
+                self.context.revisions.record(&message.sender.node, message.sender.revision);
                 self.membership.on_message(message, now, &mut random);
             }
             Err(error) => {
@@ -263,7 +263,7 @@
             Change::RevisionSeen(node, revision) => {
                 let holder = self.membership.members().find(|member| member.node == *node);
                 if let Some(member) = holder {
-                    self.context.membership.set_newest_revision(RevisionHolder {
+                    self.context.membership.set_newest_revision(NewestRevision {
                         node: node.clone(),
                         peer_address: member.peer_address,
                         admin_address: member.admin_address,
--- a/crates/daemon/src/agent/promotion/telling.rs
+++ b/crates/daemon/src/agent/promotion/announcer.rs
@@ -15,27 +15,27 @@
 
 /// What this node tells others of the replacements that it carries out.
 #[derive(Debug, Default)]
-pub struct Telling {
+pub struct ReplacementAnnouncer {
     last: Option<Instant>,
 }
 
-impl Telling {
+impl ReplacementAnnouncer {
     /// Tells what is due.
     pub fn step(&mut self, context: &NodeContext, mailboxes: &Mailboxes, now: Instant) {
         let is_early = self.last.is_some_and(|last| now < last + TELL_INTERVAL);
-        if is_early || !context.replacements.has_news() {
+        if is_early || !context.replacements.has_updates() {
             return;
         }
         self.last = Some(now);
-        let news = context.replacements.take_news();
-        for (group, (intent, recorded)) in news.under_way {
+        let news = context.replacements.take_updates();
+        for (group, (intent, recorded)) in news.running {
             let age = now.saturating_duration_since(recorded);
-            context.replacements.on_told(&group, intent.clone(), age, now);
+            context.replacements.on_reported(&group, intent.clone(), age, now);
             let message = PeerMessage::ReplacementUnderWay { group: group.clone(), intent, age };
             tell(&group, &message, context, mailboxes);
         }
-        for (group, id, led) in news.over {
-            context.replacements.on_over(&group, id);
+        for (group, id, led) in news.ended {
+            context.replacements.on_reported_end(&group, id);
             let message = PeerMessage::ReplacementOver { group: group.clone(), id, led };
             tell(&group, &message, context, mailboxes);
         }
--- a/crates/daemon/src/agent/promotion/holder.rs
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -12,8 +12,8 @@
 use kestrellock_store::control::{ControlTarget, Order};
 use kestrellock_store::coordination::{Coordination, Hold};
 
-use super::SuccessionServices;
-use super::orders::{Orders, Report};
+use super::ReplacementServices;
+use super::executor::{Executor, Report};
 use crate::context::NodeContext;
 use crate::supervisor::StopFlag;
 
@@ -34,7 +34,7 @@
 
 /// What the watch tells the holder.
 #[derive(Clone, Debug, Default)]
-pub struct Situation {
+pub struct CoordinatorInput {
     /// Needs by group.
     pub needs: BTreeMap<GroupName, Need>,
     /// The instances of each group.
@@ -42,11 +42,11 @@
     /// Whether the store may tell starts of instances that are over.
     pub starts_may_be_old: bool,
     /// Attempts that were called off since the watch last looked.
-    pub called_off: Vec<GroupName>,
+    pub cancelled: Vec<GroupName>,
 }
 
 /// The situation, shared between watch and holder.
-pub type SharedSituation = Arc<Mutex<Situation>>;
+pub type SharedCoordinatorInput = Arc<Mutex<CoordinatorInput>>;
 
 struct Running {
     attempt: Attempt,
@@ -59,11 +59,11 @@
     phase: Phase,
 }
 
-struct HolderThread<'a> {
+struct CoordinatorThread<'a> {
     context: &'a NodeContext,
-    situation: &'a SharedSituation,
+    situation: &'a SharedCoordinatorInput,
     coordination: Arc<dyn Coordination>,
-    orders: Orders,
+    orders: Executor,
     hold: Hold,
     /// Whether the store has said that the hold is over.
     is_over: bool,
@@ -89,16 +89,16 @@
 }
 
 /// Takes the right to act, acts on all needs, and gives the right up.
-pub fn act(
+pub fn run(
     context: &NodeContext,
-    services: &SuccessionServices,
-    situation: &SharedSituation,
+    services: &ReplacementServices,
+    situation: &SharedCoordinatorInput,
     stop: &StopFlag,
 ) {
     let mut taken = take_hold(context, services);
     while let Some(hold) = taken {
         let ending = act_under(hold, context, services, situation, stop);
-        context.replacements.on_hold_over();
+        context.replacements.on_coordinator_lease_ended();
         taken = match ending {
             Ending::Done => None,
             Ending::StoreCameBack { until } => take_again(until, context, services, stop),
@@ -111,7 +111,7 @@
 fn take_again(
     until: Instant,
     context: &NodeContext,
-    services: &SuccessionServices,
+    services: &ReplacementServices,
     stop: &StopFlag,
 ) -> Option<Hold> {
     while Instant::now() < until && !stop.is_stopping() {
@@ -124,7 +124,7 @@
     None
 }
 
-fn take_hold(context: &NodeContext, services: &SuccessionServices) -> Option<Hold> {
+fn take_hold(context: &NodeContext, services: &ReplacementServices) -> Option<Hold> {
     match services.coordination.acquire(&context.identity.node) {
         Ok(hold) => hold,
         Err(error) => {
@@ -137,15 +137,15 @@
 fn act_under(
     hold: Hold,
     context: &NodeContext,
-    services: &SuccessionServices,
-    situation: &SharedSituation,
+    services: &ReplacementServices,
+    situation: &SharedCoordinatorInput,
     stop: &StopFlag,
 ) -> Ending {
     let coordination = services.coordination.clone();
     log::info!(event = "hold_taken", fence = hold.fence; "this node replaces primaries");
     let era = StoreEra::of(hold.fence);
-    let (orders, reports) = Orders::start(services.clone());
-    let mut thread = HolderThread {
+    let (orders, reports) = Executor::start(services.clone());
+    let mut thread = CoordinatorThread {
         context,
         situation,
         coordination: coordination.clone(),
@@ -193,8 +193,8 @@
     Ending::Done
 }
 
-impl HolderThread<'_> {
-    fn situation(&self) -> Situation {
+impl CoordinatorThread<'_> {
+    fn situation(&self) -> CoordinatorInput {
         self.situation.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
@@ -226,7 +226,7 @@
                 self.renewing = false;
                 self.hold = hold;
             }
-            Report::HoldOver => self.is_over = true,
+            Report::LeaseOver => self.is_over = true,
         }
     }
 
@@ -234,7 +234,7 @@
     fn tell_end(&self, group: &GroupName) {
         let Some(running) = self.attempts.get(group) else { return };
         let led = running.attempt.successor_term();
-        self.context.replacements.on_ended(group, running.attempt.id(), led);
+        self.context.replacements.on_attempt_ended(group, running.attempt.id(), led);
     }
 
     fn step(&mut self) {
@@ -276,7 +276,7 @@
         self.attempts.insert(group.clone(), running);
     }
 
-    fn step_group(&mut self, group: &GroupName, situation: &Situation, now: Instant) {
+    fn step_group(&mut self, group: &GroupName, situation: &CoordinatorInput, now: Instant) {
         let Some(running) = self.attempts.get_mut(group) else { return };
         let wanted = situation.needs.get(group).is_some_and(|need| need.wanted);
         running.attempt.on_event(Event::Members(situation.known.members(group)), now);
@@ -297,7 +297,7 @@
         }
         if let Some(intent) = running.attempt.under_way() {
             let recorded = running.recorded.unwrap_or(now);
-            self.context.replacements.on_carried_out(group, intent, recorded);
+            self.context.replacements.on_attempt_running(group, intent, recorded);
         }
         for command in commands {
             self.carry_out(group, command, &situation.known, now);
@@ -364,7 +364,7 @@
         log::info!(event = "attempt_over", group = group.as_str(), successor:? = successor, took_ms = took; "the attempt is over");
         if successor.is_none() {
             let mut situation = self.situation.lock().unwrap_or_else(PoisonError::into_inner);
-            situation.called_off.push(group.clone());
+            situation.cancelled.push(group.clone());
         }
     }
 
@@ -377,7 +377,7 @@
     ) {
         let Some(address) = known.address(group, instance) else { return };
         let (group, instance) = (group.clone(), instance.clone());
-        self.orders.tell(ControlTarget { group, instance, address }, order);
+        self.orders.send_order(ControlTarget { group, instance, address }, order);
     }
 }
 
--- a/crates/daemon/src/agent/promotion/orders.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -13,7 +13,7 @@
 use kestrellock_store::control::{ControlError, ControlTarget, Order};
 use kestrellock_store::coordination::{Coordination, Hold};
 
-use super::SuccessionServices;
+use super::ReplacementServices;
 
 /// What a thread reports.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     /// The hold was prolonged.
     Renewed(Hold),
     /// The hold is over.
-    HoldOver,
+    LeaseOver,
 }
 
 /// A change of the store.
@@ -42,16 +42,16 @@
 }
 
 /// The threads.
-pub struct Orders {
-    services: SuccessionServices,
+pub struct Executor {
+    services: ReplacementServices,
     reports: Sender<Report>,
     instances: HashMap<InstanceName, Sender<(ControlTarget, Order)>>,
     store: Sender<StoreCommand>,
 }
 
-impl Orders {
+impl Executor {
     /// Starts the thread for the store; the others start with their first command.
-    pub fn start(services: SuccessionServices) -> (Self, Receiver<Report>) {
+    pub fn start(services: ReplacementServices) -> (Self, Receiver<Report>) {
         let (reports, received) = unbounded();
         let (store, commands) = bounded(64);
         let coordination = services.coordination.clone();
@@ -69,7 +69,7 @@
     }
 
     /// Gives an order to an instance, unless its thread is still at an earlier one.
-    pub fn tell(&mut self, target: ControlTarget, order: Order) {
+    pub fn send_order(&mut self, target: ControlTarget, order: Order) {
         let sender = self.instances.entry(target.instance.clone()).or_insert_with(|| {
             let (sender, orders) = bounded::<(ControlTarget, Order)>(1);
             let control = self.services.control.clone();
@@ -165,14 +165,14 @@
         StoreCommand::Record(hold, group, intent) => {
             match coordination.record(&hold, &group, &intent) {
                 Ok(true) => Report::Event(group, Event::Recorded(intent)),
-                Ok(false) => Report::HoldOver,
+                Ok(false) => Report::LeaseOver,
                 Err(_) => Report::StoreFailed(group),
             }
         }
         StoreCommand::Install(hold, group, successor) => {
             match coordination.install(&hold, &group, &successor) {
                 Ok(true) => Report::Installed,
-                Ok(false) => Report::HoldOver,
+                Ok(false) => Report::LeaseOver,
                 // It is recorded with the end of the attempt at the latest.
                 Err(_) => Report::Installed,
             }
@@ -180,13 +180,13 @@
         StoreCommand::Finish(hold, group, id, successor) => {
             match coordination.finish(&hold, &group, id, successor.as_ref()) {
                 Ok(true) => Report::Finished(group),
-                Ok(false) => Report::HoldOver,
+                Ok(false) => Report::LeaseOver,
                 Err(_) => Report::StoreFailed(group),
             }
         }
         StoreCommand::Renew(hold) => match coordination.renew(&hold) {
             Ok(Some(renewed)) => Report::Renewed(renewed),
-            Ok(None) => Report::HoldOver,
+            Ok(None) => Report::LeaseOver,
             // It lasts as long as it did; the next attempt may succeed.
             Err(_) => Report::Renewed(hold),
         },
--- a/crates/daemon/src/agent/promotion/mod.rs
+++ b/crates/daemon/src/agent/promotion/mod.rs
@@ -10,14 +10,14 @@
 //! * [`write_back`] records again what the store has lost by coming back from a copy;
 //! * [`orders`] are the threads that talk to instances, the store and the platform.
 
+mod announcer;
+mod coordinator;
 mod electors;
-mod holder;
-mod looks;
-mod opinions;
-mod orders;
+mod executor;
 mod owned;
-mod telling;
-mod voter;
+mod replacement_checker;
+mod status_queries;
+mod vote_publisher;
 mod watch;
 mod write_back;
 
@@ -30,7 +30,7 @@
 
 /// What replacing primaries needs of the platform.
 #[derive(Clone)]
-pub struct SuccessionServices {
+pub struct ReplacementServices {
     /// How nodes agree.
     pub coordination: Arc<dyn Coordination>,
     /// How instances are told.
--- a/crates/daemon/src/agent/promotion/looks.rs
+++ b/crates/daemon/src/agent/promotion/replacement_checker.rs
@@ -13,7 +13,7 @@
 use kestrellock_core::promotion::CoordinationView;
 use kestrellock_store::coordination::Coordination;
 
-use super::SuccessionServices;
+use super::ReplacementServices;
 use crate::context::NodeContext;
 
 /// Least time between two looks of a node: calls of the store are few and dear, and evidence that a
@@ -30,7 +30,7 @@
 }
 
 /// Looks of one node, one at a time.
-pub struct Looks {
+pub struct ReplacementChecker {
     requests: Sender<()>,
     answers: Receiver<Looked>,
     /// Groups that the look under way is for.
@@ -38,9 +38,9 @@
     last: Option<Instant>,
 }
 
-impl Looks {
+impl ReplacementChecker {
     /// Starts the thread that asks the store; it ends with the looks.
-    pub fn start(services: &SuccessionServices) -> Self {
+    pub fn start(services: &ReplacementServices) -> Self {
         let (requests, wanted) = bounded::<()>(1);
         let (answered, answers) = unbounded();
         let coordination = services.coordination.clone();
@@ -116,7 +116,7 @@
         let is_replaced =
             is_heard_of || view.intents.contains_key(name) || !group.is_led_by_newest();
         if is_in_force && !is_replaced {
-            context.statuses.on_unreplaced(name, looked.asked);
+            context.statuses.on_replacement_check(name, looked.asked);
         }
     }
 }
--- a/crates/daemon/src/agent/promotion/opinions.rs
+++ b/crates/daemon/src/agent/promotion/status_queries.rs
@@ -16,7 +16,7 @@
 use kestrellock_core::suspicion::Cause;
 use kestrellock_store::control::{ControlError, ControlTarget, InstanceControl, Order};
 
-use super::SuccessionServices;
+use super::ReplacementServices;
 
 /// How long an opinion counts.
 const OPINION_LIFE: Duration = Duration::from_millis(600);
@@ -25,7 +25,7 @@
 
 /// What asking a primary for itself showed.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Opinion {
+pub(super) struct Assessment {
     /// Why it is to be replaced, if it is.
     pub cause: Option<Cause>,
     at: Instant,
@@ -33,7 +33,7 @@
 
 /// How an instance that was asked for itself stands.
 #[derive(Clone, Debug)]
-pub(super) struct StandingAnswer {
+pub(super) struct StatusReport {
     /// The instance.
     pub subject: Subject,
     /// How it stands.
@@ -45,20 +45,20 @@
 /// What a question came to.
 struct Answered {
     subject: Subject,
-    opinion: Opinion,
+    opinion: Assessment,
     standing: Option<Standing>,
     asked: Instant,
 }
 
 /// Questions to primaries, each in a thread of its own, and what they showed.
-pub(super) struct Opinions {
-    known: HashMap<Subject, Opinion>,
+pub(super) struct StatusQueries {
+    known: HashMap<Subject, Assessment>,
     asking: Vec<Subject>,
     answers: Receiver<Answered>,
     answered: Sender<Answered>,
 }
 
-impl Opinions {
+impl StatusQueries {
     /// Nobody has been asked.
     pub fn new() -> Self {
         let (answered, answers) = unbounded();
@@ -71,12 +71,12 @@
     }
 
     /// Takes in what has been answered, and drops what is old. Returns how instances have said that they stand.
-    pub fn step(&mut self, now: Instant) -> Vec<StandingAnswer> {
+    pub fn step(&mut self, now: Instant) -> Vec<StatusReport> {
         let mut standings = Vec::new();
         for Answered { subject, opinion, standing, asked } in self.answers.try_iter() {
             self.asking.retain(|asking| *asking != subject);
             self.known.insert(subject.clone(), opinion);
-            let answer = standing.map(|standing| StandingAnswer { subject, standing, asked });
+            let answer = standing.map(|standing| StatusReport { subject, standing, asked });
             standings.extend(answer);
         }
         self.known.retain(|_, opinion| now < opinion.at + OPINION_LIFE);
@@ -84,13 +84,13 @@
     }
 
     /// What a primary showed a moment ago.
-    pub fn of(&self, group: &GroupName, primary: &InstanceName) -> Option<Opinion> {
+    pub fn of(&self, group: &GroupName, primary: &InstanceName) -> Option<Assessment> {
         self.known.get(&(group.clone(), primary.clone())).copied()
     }
 
     /// Asks a primary, unless it has been asked a moment ago; `highest` is the highest term of
     /// its group that is known to have been led.
-    pub fn ask(&mut self, target: ControlTarget, highest: Term, services: &SuccessionServices) {
+    pub fn ask(&mut self, target: ControlTarget, highest: Term, services: &ReplacementServices) {
         let subject = (target.group.clone(), target.instance.clone());
         if self.asking.contains(&subject) || self.known.contains_key(&subject) {
             return;
@@ -103,7 +103,7 @@
                 let outcome = control.tell(&target, Order::Ask);
                 let standing = outcome.as_ref().ok().copied();
                 let cause = judge(control.as_ref(), &target, highest, outcome);
-                let opinion = Opinion { cause, at: Instant::now() };
+                let opinion = Assessment { cause, at: Instant::now() };
                 // The node may be stopping.
                 let _ = answered.send(Answered { subject, opinion, standing, asked });
             });
--- a/crates/daemon/src/agent/promotion/voter.rs
+++ b/crates/daemon/src/agent/promotion/vote_publisher.rs
@@ -7,7 +7,7 @@
 use crossbeam::channel::{Sender, unbounded};
 use kestrellock_core::promotion::NodeVotes;
 
-use super::SuccessionServices;
+use super::ReplacementServices;
 use crate::context::NodeContext;
 use crate::supervisor::StopFlag;
 
@@ -17,7 +17,7 @@
 /// Starts the thread; it ends when the sender is dropped or the node stops.
 pub(super) fn start(
     context: &Arc<NodeContext>,
-    services: &SuccessionServices,
+    services: &ReplacementServices,
     stop: &StopFlag,
 ) -> Sender<NodeVotes> {
     let (sender, votes) = unbounded::<NodeVotes>();
--- a/crates/daemon/src/agent/promotion/watch.rs
+++ b/crates/daemon/src/agent/promotion/watch.rs
@@ -18,14 +18,14 @@
 use kestrellock_store::control::ControlTarget;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::SuccessionServices;
+use super::ReplacementServices;
+use super::announcer::{FIRST_SHARD, ReplacementAnnouncer};
+use super::coordinator::{self, CoordinatorInput, SharedCoordinatorInput};
 use super::electors::Electors;
-use super::holder::{self, SharedSituation, Situation};
-use super::looks::Looks;
-use super::opinions::Opinions;
 use super::owned::OwnedGroups;
-use super::telling::{FIRST_SHARD, Telling};
-use super::{voter, write_back};
+use super::replacement_checker::ReplacementChecker;
+use super::status_queries::StatusQueries;
+use super::{vote_publisher, write_back};
 use crate::context::NodeContext;
 use crate::shard::mailbox::{Mailboxes, ShardMessage};
 use crate::supervisor::StopFlag;
@@ -44,7 +44,7 @@
 
 struct Watcher<'a> {
     context: &'a Arc<NodeContext>,
-    services: &'a SuccessionServices,
+    services: &'a ReplacementServices,
     judge: Judge,
     needs_judge: NeedsJudge,
     known: KnownInstances,
@@ -54,19 +54,19 @@
     view: Arc<CoordinationView>,
     /// Replacements that this node has heard of, from the store or from whoever carries them out.
     intents: BTreeMap<GroupName, Intent>,
-    telling: Telling,
+    telling: ReplacementAnnouncer,
     era: KnownEra,
     electors: Electors,
     votes: NodeVotes,
     voter: Sender<NodeVotes>,
-    opinions: Opinions,
+    opinions: StatusQueries,
     /// Questions to instances that have started again, and their primaries: no answer to one of these is an
     /// opinion of a primary.
-    refill_questions: Opinions,
-    situation: SharedSituation,
+    refill_questions: StatusQueries,
+    situation: SharedCoordinatorInput,
     needed_since: Option<Instant>,
     acting: Option<thread::JoinHandle<()>>,
-    looks: Looks,
+    looks: ReplacementChecker,
     mailboxes: &'a Mailboxes,
     stop: &'a StopFlag,
     /// When holders were last told that evidence has been given up.
@@ -77,7 +77,7 @@
 pub fn run(
     context: &Arc<NodeContext>,
     mailboxes: &Mailboxes,
-    services: &SuccessionServices,
+    services: &ReplacementServices,
     stop: &StopFlag,
 ) {
     let mut watcher = Watcher {
@@ -90,17 +90,17 @@
         owned: OwnedGroups::default(),
         view: Arc::default(),
         intents: BTreeMap::new(),
-        telling: Telling::default(),
+        telling: ReplacementAnnouncer::default(),
         era: KnownEra::default(),
         electors: Electors::default(),
         votes: NodeVotes::new(),
-        voter: voter::start(context, services, stop),
-        opinions: Opinions::new(),
-        refill_questions: Opinions::new(),
-        situation: Arc::new(Mutex::new(Situation::default())),
+        voter: vote_publisher::start(context, services, stop),
+        opinions: StatusQueries::new(),
+        refill_questions: StatusQueries::new(),
+        situation: Arc::new(Mutex::new(CoordinatorInput::default())),
         needed_since: None,
         acting: None,
-        looks: Looks::start(services),
+        looks: ReplacementChecker::start(services),
         mailboxes,
         stop,
         told: None,
@@ -240,7 +240,7 @@
             if !given_up {
                 continue;
             }
-            let heard = self.context.statuses.heard(group);
+            let heard = self.context.statuses.highest_primary_position(group);
             let witness = self.known.witness(group, heard);
             if intent.holder == *own {
                 self.context.given_up.add(group, intent.id, own, witness);
@@ -275,7 +275,7 @@
         for group in refilling {
             for instance in self.known.to_ask_for_refills(&group) {
                 let Some(target) = self.target(&group, &instance) else { continue };
-                let highest = self.context.statuses.highest_led(&group);
+                let highest = self.context.statuses.highest_led_term(&group);
                 self.refill_questions.ask(target, highest, self.services);
             }
         }
@@ -347,7 +347,7 @@
     /// Asks a primary for itself.
     fn ask(&mut self, group: &GroupName, primary: &InstanceName) {
         let Some(target) = self.target(group, primary) else { return };
-        let highest = self.context.statuses.highest_led(group);
+        let highest = self.context.statuses.highest_led_term(group);
         self.opinions.ask(target, highest, self.services);
     }
 
@@ -370,7 +370,7 @@
     fn judge_needs(&mut self, catalog: &IndexedCatalog, now: Instant) -> BTreeMap<GroupName, Need> {
         let called_off = {
             let mut situation = self.situation.lock().unwrap_or_else(PoisonError::into_inner);
-            std::mem::take(&mut situation.called_off)
+            std::mem::take(&mut situation.cancelled)
         };
         for group in called_off {
             self.needs_judge.on_called_off(&group, now);
@@ -411,7 +411,7 @@
         let stop = self.stop.clone();
         let spawned = thread::Builder::new()
             .name("promotion-holder".to_owned())
-            .spawn(move || holder::act(&context, &services, &situation, &stop));
+            .spawn(move || coordinator::run(&context, &services, &situation, &stop));
         match spawned {
             Ok(thread) => self.acting = Some(thread),
             Err(error) => log::error!("a thread for the holder could not be started: {error}"),
--- a/crates/daemon/src/agent/promotion/write_back.rs
+++ b/crates/daemon/src/agent/promotion/write_back.rs
@@ -7,14 +7,14 @@
 use kestrellock_core::ids::GroupName;
 use kestrellock_store::backoff::Backoff;
 
-use super::SuccessionServices;
+use super::ReplacementServices;
 use crate::supervisor::StopFlag;
 
 const FIRST_RETRY: Duration = Duration::from_millis(100);
 const LAST_RETRY: Duration = Duration::from_secs(2);
 
 /// Records what concerns `groups`, in a thread of its own; what the store still has costs no call.
-pub(super) fn start(services: &SuccessionServices, groups: Vec<GroupName>, stop: &StopFlag) {
+pub(super) fn start(services: &ReplacementServices, groups: Vec<GroupName>, stop: &StopFlag) {
     let (coordination, stop) = (services.coordination.clone(), stop.clone());
     let spawned = thread::Builder::new().name("promotion-write-back".to_owned()).spawn(move || {
         let mut backoff = Backoff::new(FIRST_RETRY, LAST_RETRY);
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -20,19 +20,19 @@
 use crate::ownership::{OwnershipSnapshot, Ownerships};
 use crate::policy::Policy;
 use crate::shared::address_occupants::AddressOccupants;
-use crate::shared::board::MembershipBoard;
 use crate::shared::confirmations::Confirmations;
-use crate::shared::given_up::EvidenceGivenUp;
 use crate::shared::inbox::Inbox;
 use crate::shared::listed_seeds::ListedSeeds;
 use crate::shared::live::{LiveNode, Shared};
-use crate::shared::ordinary_lines::OrdinaryLines;
+use crate::shared::membership::SharedMembership;
 use crate::shared::quotas::SharedQuotas;
+use crate::shared::replacement_check_requests::ReplacementCheckRequests;
 use crate::shared::replacements::Replacements;
 use crate::shared::revisions::Revisions;
+use crate::shared::revoked_evidence::RevokedEvidence;
+use crate::shared::routine_log_lines::RoutineLogLimiter;
 use crate::shared::stage::{SharedStage, Stage};
-use crate::shared::statuses::StatusBoard;
-use crate::shared::store_looks::StoreLooks;
+use crate::shared::statuses::StatusTable;
 
 /// Who this process is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     /// Nodes believed to live, this one among them; empty until membership has found its feet.
     pub live: Shared<Vec<LiveNode>>,
     /// What membership knows beyond that, and what it is asked to do.
-    pub membership: MembershipBoard,
+    pub membership: SharedMembership,
     /// Keys under which nodes authenticate to each other.
     pub cluster_keys: ClusterKeys,
     /// Name of the cluster; nodes of others are refused.
@@ -74,7 +74,7 @@
     /// they may last as long as it does.
     pub transactions_until: Shared<Option<Instant>>,
     /// What is known of back ends.
-    pub statuses: StatusBoard,
+    pub statuses: StatusTable,
     /// Which of several instances told at one address answers there.
     pub occupants: AddressOccupants,
     /// Passwords of the roles under which gateways log in to back ends.
@@ -90,11 +90,11 @@
     /// Nodes that the machine list named last, whether they live or not; empty before it was read.
     pub listed_nodes: Shared<Vec<LiveNode>>,
     /// Nodes that have given their evidence up, for replacements that this node carries out.
-    pub given_up: EvidenceGivenUp,
+    pub given_up: RevokedEvidence,
     /// Replacements that this node has heard of, and those that it tells others of.
     pub replacements: Replacements,
     /// Groups for which the store has to say that nobody replaces their primary.
-    pub store_looks: StoreLooks,
+    pub store_looks: ReplacementCheckRequests,
     /// Messages of peers about the configuration.
     pub configuration: Inbox,
     /// Revisions that other nodes have in force.
@@ -110,7 +110,7 @@
     /// How much accounts may still ask.
     pub quotas: SharedQuotas,
     /// How many ordinary successes are told in the log.
-    pub ordinary_lines: OrdinaryLines,
+    pub ordinary_lines: RoutineLogLimiter,
     /// Counters and histograms.
     pub metrics: Metrics,
 }
--- a/crates/daemon/src/environment.rs
+++ b/crates/daemon/src/environment.rs
@@ -16,7 +16,7 @@
 use kestrellock_store::source::CatalogSource;
 use kestrellock_store::store::ConfigStore;
 
-use crate::agent::promotion::SuccessionServices;
+use crate::agent::promotion::ReplacementServices;
 use crate::settings::Settings;
 
 /// What a node runs in: the services that it uses, and what its callers and back ends speak.
@@ -28,7 +28,7 @@
     /// Machine list, if there is one.
     pub machines: Option<Box<dyn MachineList>>,
     /// What replacing primaries needs, on a platform where groups do not elect.
-    pub succession: Option<SuccessionServices>,
+    pub succession: Option<ReplacementServices>,
     /// Protocol of callers and back ends.
     pub protocol: Arc<dyn Protocol>,
 }
@@ -53,7 +53,7 @@
         let entered_nodes = Arc::new(EnteredNodes::default());
         let catalog = MirroredCatalog::start(mirror.clone(), rand::random)?;
         let promotions = settings.promotion_endpoint.as_deref().unwrap_or_default();
-        let succession = SuccessionServices {
+        let succession = ReplacementServices {
             coordination: Arc::new(StoreCoordination::new(
                 store.clone(),
                 mirror.clone(),
--- a/crates/daemon/src/front/session/quota.rs
+++ b/crates/daemon/src/front/session/quota.rs
@@ -34,7 +34,7 @@
     pub(super) fn give_token_back(&self, io: &Io) {
         let begins = self.transaction == TransactionState::Idle && self.request.is_some();
         if let Some(account) = self.account.as_ref().filter(|_| begins && !self.needs_token) {
-            io.context.quotas.give_back(account);
+            io.context.quotas.return_token(account);
         }
     }
 
--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -18,7 +18,7 @@
 use super::server::ProbeAnswer;
 use crate::event::Io;
 use crate::policy::Policy;
-use crate::shared::statuses::WordOnCommit;
+use crate::shared::statuses::CommitConfirmation;
 
 /// Time after which replicas that have not confirmed a commit are asked again.
 const ASK_AGAIN: Duration = Duration::from_millis(60);
@@ -174,16 +174,16 @@
             };
             let (term, replication) = (position.term, group.replication());
             let statuses = &io.context.statuses;
-            match statuses.word_on_commit(name, term, replication, answered, Instant::now()) {
-                WordOnCommit::Confirmed => acknowledge(waiting.commit, Some(position), io),
-                WordOnCommit::Replaced => {
+            match statuses.commit_confirmation(name, term, replication, answered, Instant::now()) {
+                CommitConfirmation::Confirmed => acknowledge(waiting.commit, Some(position), io),
+                CommitConfirmation::Replaced => {
                     refuse(waiting.commit, Progress::Unconfirmed, Fault::Superseded, io);
                 }
-                WordOnCommit::LacksTheStore => {
-                    io.context.store_looks.want(name);
+                CommitConfirmation::LacksReplacementCheck => {
+                    io.context.store_looks.request(name);
                     kept.push(waiting);
                 }
-                WordOnCommit::Missing => kept.push(waiting),
+                CommitConfirmation::Unconfirmed => kept.push(waiting),
             }
         }
         self.waiting = kept;
--- a/crates/daemon/src/gateway/losses.rs
+++ b/crates/daemon/src/gateway/losses.rs
@@ -7,7 +7,7 @@
 use super::server::{Server, Use};
 use crate::event::Io;
 use crate::metrics::ConnectionEvent;
-use crate::shared::statuses::Reachability;
+use crate::shared::statuses::ConnectionOutcome;
 
 impl Gateway {
     /// Handles the loss of a connection: whoever used it is told what that means.
@@ -76,12 +76,12 @@
 }
 
 /// What the loss of a connection tells of its instance, where answers are what is known of it.
-fn reachability(server: &Server, fault: Fault, io: &Io) -> Option<Reachability> {
+fn reachability(server: &Server, fault: Fault, io: &Io) -> Option<ConnectionOutcome> {
     if !io.context.protocol.traits().positions_in_answers || server.is_idle() {
         return None;
     }
     match (server.was_refused(), fault) {
-        (true, Fault::BackendLost) => Some(Reachability::Refused),
-        _ => Some(Reachability::Broken),
+        (true, Fault::BackendLost) => Some(ConnectionOutcome::Refused),
+        _ => Some(ConnectionOutcome::Broken),
     }
 }
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -161,7 +161,7 @@
         held.tell(name, &found, io);
         self.group_state(name, io.now).placements.held.push(held);
         if found == Found::NeedsStore {
-            io.context.store_looks.want(name);
+            io.context.store_looks.request(name);
         }
         if matches!(found, Found::NeedsEvidence | Found::NeedsStore) {
             self.ask_for_evidence(name, group, io);
--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/placing.rs
@@ -11,7 +11,7 @@
 
 use super::pool::Pool;
 use crate::event::Io;
-use crate::shared::answers::AnswerRecord;
+use crate::shared::exchange_record::ExchangeRecord;
 use crate::shared::statuses::GroupStatuses;
 
 /// Where an exchange may go now.
@@ -60,7 +60,7 @@
     let moment = |staleness| needs.arrived.checked_sub(staleness).unwrap_or(needs.arrived);
     let missing = |moment: Instant| {
         let only_store = primary.is_some_and(|primary| {
-            known.lacks_only_the_store(&primary.name, replication, life, moment, io.now)
+            known.lacks_only_replacement_check(&primary.name, replication, life, moment, io.now)
         });
         if only_store { Found::NeedsStore } else { Found::NeedsEvidence }
     };
@@ -68,8 +68,9 @@
         Access::Read { bound, max_staleness } => {
             let moment = moment(*max_staleness);
             let at_primary = covered.is_some_and(|covered| moment <= covered);
-            let covering = covered.and_then(|covered| known.primary.covering(moment, covered));
-            let same_term = known.primary.term() == known.evidence.term();
+            let covering =
+                covered.and_then(|covered| known.primary_samples.covering(moment, covered));
+            let same_term = known.primary_samples.term() == known.evidence.term();
             let covering = covering.filter(|_| same_term);
             if !at_primary && covering.is_none() {
                 return missing(moment);
@@ -116,7 +117,7 @@
 /// Whether a newer primary than this one is known, or may have been promoted: nothing is written there before it
 /// has said which term it leads.
 fn may_be_old(configured: &Group, primary: &Instance, known: &GroupStatuses) -> bool {
-    let leads = known.led_by(&primary.name);
+    let leads = known.led_term_of(&primary.name);
     let is_unproven = leads.is_none() && !configured.is_newest(&primary.name);
     is_unproven || known.evidence.is_outdated(leads)
 }
@@ -155,15 +156,17 @@
         .iter()
         .filter(may_serve)
         .map(|instance| {
-            let unknown = AnswerRecord::default();
-            let record = known.answers.get(&instance.name).unwrap_or(&unknown);
+            let unknown = ExchangeRecord::default();
+            let record = known.exchange_records.get(&instance.name).unwrap_or(&unknown);
             Reader {
                 instance: &instance.name,
                 is_local: instance.zone == io.context.identity.zone,
-                reached: record.reached.filter(|_| instance.announced_role == Some(Role::Replica)),
-                reached_for: record.reached_at.map(|at| io.now.saturating_duration_since(at)),
-                service: record.service,
-                running: record.running() + queued(&instance.name),
+                reached: record
+                    .last_position
+                    .filter(|_| instance.announced_role == Some(Role::Replica)),
+                reached_for: record.last_position_at.map(|at| io.now.saturating_duration_since(at)),
+                service: record.mean_service_time,
+                running: record.in_flight() + queued(&instance.name),
                 slots: instance.slots,
                 in_doubt: record.in_doubt,
             }
--- a/crates/daemon/src/gateway/primary_questions.rs
+++ b/crates/daemon/src/gateway/primary_questions.rs
@@ -78,7 +78,7 @@
     let known = board.read().expect("a holder of the status lock panicked");
     let leader = io.context.leader(name, group).map(|leader| &leader.name);
     let newest_term = known.evidence.highest_led();
-    let leads = leader.and_then(|leader| known.led_by(leader));
+    let leads = leader.and_then(|leader| known.led_term_of(leader));
     let term = leads.unwrap_or(newest_term);
     let life = io.context.evidence_life();
     let is_due = |instance: &&Instance| {
--- a/crates/daemon/src/gateway/server/replies.rs
+++ b/crates/daemon/src/gateway/server/replies.rs
@@ -12,7 +12,7 @@
 use crate::gateway::confirmation::Commit;
 use crate::gateway::notify;
 use crate::gateway::running::{Next, Running};
-use crate::shared::statuses::Answered;
+use crate::shared::statuses::ExchangeResponse;
 
 /// Bytes of an answer gathered before a part of it is passed on.
 const PART_BYTES: usize = 64 * 1024;
@@ -192,7 +192,7 @@
         }
         let catalog = io.context.catalog.load();
         let configured = catalog.instance(&self.instance).map(|(_, instance)| instance);
-        let answered = Answered {
+        let answered = ExchangeResponse {
             sent: running.sent,
             at: io.now,
             position: running.position(),
@@ -205,7 +205,7 @@
             let statuses = &io.context.statuses;
             match io.context.is_waited_for() {
                 true => statuses.on_commit(&self.group, &self.instance, term, sent),
-                false => statuses.on_unproven_commit(&self.group, &self.instance, term),
+                false => statuses.on_commit_without_evidence(&self.group, &self.instance, term),
             }
         }
     }
--- a/crates/daemon/src/gateway/server_events.rs
+++ b/crates/daemon/src/gateway/server_events.rs
@@ -14,7 +14,7 @@
 use crate::event::Io;
 use crate::metrics::{ConnectionEvent, ProbeEvent};
 use crate::net::connection::ReadOutcome;
-use crate::shared::statuses::Reachability;
+use crate::shared::statuses::ConnectionOutcome;
 
 /// An instance has accepted a connection under its name: whoever else is told at its address has ended.
 fn note_occupant(name: &GroupName, group: &Group, instance: &InstanceName, io: &Io) {
@@ -59,7 +59,7 @@
         let Some(configured) = catalog.groups.get(&group) else { return };
         match event {
             ServerEvent::Started(position) => {
-                let made = Reachability::Made(position);
+                let made = ConnectionOutcome::Established(position);
                 io.context.statuses.on_connection(&group, &instance, made);
                 note_occupant(&group, configured, &instance, io);
                 return;
@@ -116,7 +116,7 @@
             }
             ServerEvent::CommitAnswered(commit) => {
                 let (answered, now) = (&commit.instance, Instant::now());
-                match io.context.replacements.answer_counts(&group, answered, now) {
+                match io.context.replacements.may_acknowledge_commit(&group, answered, now) {
                     true => state.confirmations.wait_for(commit, configured, io),
                     false => refuse_late(&group, commit, io),
                 }
--- a/crates/daemon/src/gateway/standings.rs
+++ b/crates/daemon/src/gateway/standings.rs
@@ -64,7 +64,7 @@
         if let Some(questions) = self.instances.get_mut(instance) {
             questions.is_answered = true;
         }
-        io.context.statuses.on_standing(group, instance, &answer.report, answer.asked);
+        io.context.statuses.on_replication_status(group, instance, &answer.report, answer.asked);
     }
 }
 
@@ -72,7 +72,7 @@
     /// Asks instances in doubt how they stand, where connections to them are open: an answer takes the
     /// doubt back.
     pub(super) fn ask_in_doubt(&mut self, name: &GroupName, io: &mut Io) {
-        let doubted = io.context.statuses.questions_in_doubt(name, io.now);
+        let doubted = io.context.statuses.take_due_status_queries(name, io.now);
         let Some(state) = self.groups.get_mut(name).filter(|_| !doubted.is_empty()) else { return };
         for instance in doubted {
             let is_open = state.pools.get(&instance).is_some_and(|pool| pool.open() > 0);
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -19,8 +19,8 @@
 use crate::agent;
 use crate::agent::configuration::Configuration;
 use crate::agent::counted_store::CountedStore;
-use crate::agent::membership::Joining;
-use crate::agent::promotion::SuccessionServices;
+use crate::agent::membership::MembershipConfig;
+use crate::agent::promotion::ReplacementServices;
 use crate::context::{Identity, NodeContext};
 use crate::detours::Detours;
 use crate::environment::Environment;
@@ -33,19 +33,19 @@
 use crate::shard::mailbox::{Mailboxes, ShardMessage};
 use crate::shard::{Shard, event_loop};
 use crate::shared::address_occupants::AddressOccupants;
-use crate::shared::board::MembershipBoard;
 use crate::shared::confirmations::Confirmations;
-use crate::shared::given_up::EvidenceGivenUp;
 use crate::shared::inbox::Inbox;
 use crate::shared::listed_seeds::ListedSeeds;
 use crate::shared::live::Shared;
-use crate::shared::ordinary_lines::OrdinaryLines;
+use crate::shared::membership::SharedMembership;
 use crate::shared::quotas::SharedQuotas;
+use crate::shared::replacement_check_requests::ReplacementCheckRequests;
 use crate::shared::replacements::Replacements;
 use crate::shared::revisions::Revisions;
+use crate::shared::revoked_evidence::RevokedEvidence;
+use crate::shared::routine_log_lines::RoutineLogLimiter;
 use crate::shared::stage::SharedStage;
-use crate::shared::statuses::StatusBoard;
-use crate::shared::store_looks::StoreLooks;
+use crate::shared::statuses::StatusTable;
 use crate::stopping::{Drain, DrainLimits};
 use crate::supervisor::{StopFlag, Supervisor};
 
@@ -261,7 +261,7 @@
     Ok(NodeContext {
         identity,
         live: Shared::default(),
-        membership: MembershipBoard::default(),
+        membership: SharedMembership::default(),
         cluster_keys: cluster_keys(settings)?,
         cluster: settings.cluster.clone(),
         catalog: Shared::new(IndexedCatalog::default()),
@@ -270,7 +270,7 @@
         detours: Detours::default(),
         stage: SharedStage::default(),
         transactions_until: Shared::default(),
-        statuses: StatusBoard::default(),
+        statuses: StatusTable::default(),
         occupants: AddressOccupants::default(),
         backend_passwords: settings.secrets.backend_passwords.clone(),
         shards: settings.shards,
@@ -278,16 +278,16 @@
         policy,
         listed_seeds: ListedSeeds::default(),
         listed_nodes: Shared::default(),
-        given_up: EvidenceGivenUp::default(),
+        given_up: RevokedEvidence::default(),
         replacements: Replacements::default(),
-        store_looks: StoreLooks::default(),
+        store_looks: ReplacementCheckRequests::default(),
         configuration: Inbox::default(),
         revisions: Revisions::default(),
         revocation_limit: settings.revocation_limit.map(RevocationLimit::new),
         zone_drain_limit: settings.zone_drain_limit,
         confirmations: Confirmations::default(),
         quotas: SharedQuotas::default(),
-        ordinary_lines: OrdinaryLines::new(settings.ordinary_lines_per_second),
+        ordinary_lines: RoutineLogLimiter::new(settings.ordinary_lines_per_second),
         metrics,
     })
 }
@@ -311,11 +311,11 @@
     stop: &StopFlag,
 ) {
     let Some(list) = machines else { return };
-    let peers = agent::membership::seeds_of(settings);
+    let peers = agent::membership::configured_seeds(settings);
     let own = agent::membership::own_machine(settings);
     let (context, stop) = (context.clone(), stop.clone());
     root.spawn("machines", move || {
-        agent::machines::look(list.as_ref(), &own, &peers, &context, &stop);
+        agent::machines::poll(list.as_ref(), &own, &peers, &context, &stop);
     });
 }
 
@@ -327,7 +327,7 @@
     stop: &StopFlag,
 ) {
     let process = context.identity.incarnation;
-    let joining = Joining::new(settings, process, context.cluster_keys.clone());
+    let joining = MembershipConfig::new(settings, process, context.cluster_keys.clone());
     let (context, stop) = (context.clone(), stop.clone());
     root.spawn("membership", move || agent::membership::run(&socket, &joining, &context, &stop));
 }
@@ -396,18 +396,18 @@
 ) {
     let (following, flag) = (configuration.clone(), stop.clone());
     root.spawn("configuration-store", move || {
-        agent::configuration::follow(&following, catalog.as_mut(), &flag);
+        agent::configuration::watch_source(&following, catalog.as_mut(), &flag);
     });
     let (exchanging, flag) = (configuration.clone(), stop.clone());
     root.spawn("configuration-peers", move || {
-        agent::configuration::exchange(&exchanging, &flag);
+        agent::configuration::distribute(&exchanging, &flag);
     });
 }
 
 /// Starts the child that replaces primaries, where that is the proxy's part.
 fn spawn_succession(
     root: &mut Supervisor,
-    services: Option<SuccessionServices>,
+    services: Option<ReplacementServices>,
     mailboxes: &Arc<Mailboxes>,
     context: &Arc<NodeContext>,
     stop: &StopFlag,
--- a/crates/daemon/src/ownership.rs
+++ b/crates/daemon/src/ownership.rs
@@ -16,7 +16,7 @@
 use kestrellock_core::rendezvous::{Candidate, Ownership, OwnershipTable};
 use kestrellock_core::routing::Role;
 
-use crate::shared::live::{LiveNode, Shared, listed_not_known};
+use crate::shared::live::{LiveNode, Shared, listed_but_unknown};
 
 const POISONED: &str = "a holder of the ownership lock panicked";
 
@@ -156,7 +156,7 @@
     fn expected(&self) -> Vec<&Candidate> {
         let mut expected = self.candidates();
         let listed = self.listed.as_deref().map(Vec::as_slice).unwrap_or_default();
-        let missing = listed_not_known(&self.live, listed);
+        let missing = listed_but_unknown(&self.live, listed);
         expected.extend(missing.filter(|missing| Some(&missing.node) != self.without));
         expected
     }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -13,7 +13,7 @@
 use kestrellock_program::secret::{Secret, SecretSource};
 use serde::{Deserialize, Serialize};
 
-use crate::shared::ordinary_lines::DEFAULT_ORDINARY_PER_SECOND;
+use crate::shared::routine_log_lines::DEFAULT_ROUTINE_LINES_PER_SECOND;
 
 pub use file::{SettingsFile, parse};
 pub use validate::{SettingsError, validate};
@@ -160,7 +160,7 @@
             drain_limit: file::DEFAULT_DRAIN_LIMIT,
             drain_notice: Duration::ZERO,
             drain_transactions: None,
-            ordinary_lines_per_second: DEFAULT_ORDINARY_PER_SECOND,
+            ordinary_lines_per_second: DEFAULT_ROUTINE_LINES_PER_SECOND,
             peers: Vec::new(),
             store_endpoints: Vec::new(),
             machine_list: None,
--- a/crates/daemon/src/settings/file.rs
+++ b/crates/daemon/src/settings/file.rs
@@ -11,7 +11,7 @@
 use kestrellock_program::diagnostic::FileDiagnostic;
 use serde::{Deserialize, Serialize};
 
-use crate::shared::ordinary_lines::DEFAULT_ORDINARY_PER_SECOND;
+use crate::shared::routine_log_lines::DEFAULT_ROUTINE_LINES_PER_SECOND;
 
 use super::{
     AdminPages, Backing, DEFAULT_CLUSTER, PeerSettings, SecretSources, Secrets, Settings,
@@ -85,7 +85,7 @@
             drain_notice: self.drain_notice_ms.map_or(Duration::ZERO, Duration::from),
             ordinary_lines_per_second: self
                 .ordinary_lines_per_second
-                .unwrap_or(DEFAULT_ORDINARY_PER_SECOND),
+                .unwrap_or(DEFAULT_ROUTINE_LINES_PER_SECOND),
             peers: self.peers,
             store_endpoints: self.store_endpoints,
             machine_list: self.machine_list,
--- a/crates/daemon/src/shard/mod.rs
+++ b/crates/daemon/src/shard/mod.rs
@@ -166,10 +166,10 @@
                 }
                 PeerMessage::ReplacementUnderWay { group, intent, age } => {
                     io.context.metrics.replacements_told.inc();
-                    io.context.replacements.on_told(&group, intent, age, io.now);
+                    io.context.replacements.on_reported(&group, intent, age, io.now);
                 }
                 PeerMessage::ReplacementOver { group, id, led } => {
-                    io.context.replacements.on_over(&group, id);
+                    io.context.replacements.on_reported_end(&group, id);
                     if let Some(term) = led {
                         io.context.statuses.on_led(&group, term);
                     }
@@ -219,7 +219,7 @@
     /// Sends what is asked and answered about quotas, and lets operations go on that waited for it.
     fn deliver_quotas(&mut self, io: &mut Io) {
         loop {
-            let (messages, answered) = io.context.quotas.take_news();
+            let (messages, answered) = io.context.quotas.take_updates();
             if messages.is_empty() && answered.is_empty() {
                 return;
             }
--- a/crates/daemon/src/shared/answers.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -25,11 +25,11 @@
 
 /// What this node's own exchanges with an instance tell of it.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerRecord {
+pub struct ExchangeRecord {
     /// Position that it last told.
-    pub reached: Option<Position>,
+    pub last_position: Option<Position>,
     /// When it told that.
-    pub reached_at: Option<Instant>,
+    pub last_position_at: Option<Instant>,
     /// Highest term by its own word. Its position lags behind that: until the first commit of a new
     /// term its log ends with one of the term before.
     term: Option<Term>,
@@ -37,7 +37,7 @@
     /// of its positions do not show it: a primary that was demoted tells those of its successor.
     leads: Option<Term>,
     /// Mean time that its answers took lately.
-    pub service: Option<Duration>,
+    pub mean_service_time: Option<Duration>,
     /// Whether an exchange or a connection has failed there since it last answered.
     pub in_doubt: bool,
     /// When it was last asked how it stands because it is in doubt.
@@ -52,9 +52,9 @@
     incarnation: Option<InstanceIncarnation>,
 }
 
-impl AnswerRecord {
+impl ExchangeRecord {
     /// Exchanges that are under way.
-    pub fn running(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         self.waiting.len() as u32
     }
 
@@ -102,13 +102,13 @@
     }
 
     /// Whether it is to be asked now how it stands, to take the doubt back.
-    pub(super) fn is_question_due(&self, now: Instant) -> bool {
+    pub(super) fn is_status_query_due(&self, now: Instant) -> bool {
         let asked = self.asked_in_doubt;
         self.in_doubt && asked.is_none_or(|asked| now >= asked + DOUBT_QUESTION_INTERVAL)
     }
 
     /// It is asked now how it stands, because it is in doubt.
-    pub(super) fn on_question(&mut self, now: Instant) {
+    pub(super) fn on_status_query(&mut self, now: Instant) {
         self.asked_in_doubt = Some(now);
     }
 
@@ -118,26 +118,26 @@
     }
 
     /// Highest term that it has shown to lead.
-    pub(super) fn leads(&self) -> Option<Term> {
+    pub(super) fn led_term(&self) -> Option<Term> {
         self.leads
     }
 
     /// It has shown that it leads `term`.
-    pub(super) fn on_leads(&mut self, term: Term) {
+    pub(super) fn on_led_term(&mut self, term: Term) {
         self.leads = self.leads.max(Some(term));
     }
 
     /// It said how it stands: it answers, whatever failed there before.
-    pub(super) fn on_standing(&mut self, role: Role, term: Term) {
+    pub(super) fn on_replication_status(&mut self, role: Role, term: Term) {
         self.in_doubt = false;
         if role == Role::Primary {
             self.term = self.term.max(Some(term));
-            self.on_leads(term);
+            self.on_led_term(term);
         }
     }
 
     /// An exchange is over, answered or not.
-    pub(super) fn on_ended(&mut self, number: u64, answer: Option<&Answered>) {
+    pub(super) fn on_ended(&mut self, number: u64, answer: Option<&ExchangeResponse>) {
         let place = self.waiting.iter().position(|waiting| waiting.number == number);
         let ended = place.map(|place| self.waiting.swap_remove(place));
         match (answer, ended) {
@@ -155,18 +155,18 @@
     }
 
     /// What became of a connection to it.
-    pub(super) fn on_connection(&mut self, reachability: Reachability) {
-        self.in_doubt = !matches!(reachability, Reachability::Made(_));
+    pub(super) fn on_connection(&mut self, reachability: ConnectionOutcome) {
+        self.in_doubt = !matches!(reachability, ConnectionOutcome::Established(_));
         match reachability {
-            Reachability::Made(position) => {
+            ConnectionOutcome::Established(position) => {
                 self.refused = None;
                 self.given_up.on_answer();
                 self.reach(position, Instant::now());
             }
-            Reachability::Refused => {
+            ConnectionOutcome::Refused => {
                 self.refused.get_or_insert_with(Instant::now);
             }
-            Reachability::Broken => {}
+            ConnectionOutcome::Broken => {}
         }
     }
 
@@ -179,8 +179,8 @@
 
     fn reach(&mut self, position: Option<Position>, at: Instant) {
         if position.is_some() {
-            self.reached = position;
-            self.reached_at = Some(at);
+            self.last_position = position;
+            self.last_position_at = Some(at);
             self.term = self.term.max(position.map(|position| position.term));
         }
     }
@@ -191,7 +191,7 @@
         self.given_up.on_answer();
         self.answered = Some(at);
         self.reach(position, at);
-        self.service = Some(match self.service {
+        self.mean_service_time = Some(match self.mean_service_time {
             Some(mean) => (mean * (SERVICE_WEIGHT - 1) + taken) / SERVICE_WEIGHT,
             None => taken,
         });
@@ -200,9 +200,9 @@
 
 /// What became of a connection to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reachability {
+pub enum ConnectionOutcome {
     /// It was made; the instance told this position.
-    Made(Option<Position>),
+    Established(Option<Position>),
     /// It could not be made.
     Refused,
     /// It broke, or was given up, with something under way.
@@ -211,7 +211,7 @@
 
 /// An answer of an instance, as far as it tells of the instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Answered {
+pub struct ExchangeResponse {
     /// When the exchange was sent.
     pub sent: Instant,
     /// When its answer ended.
--- a/crates/daemon/src/shared/live.rs
+++ b/crates/daemon/src/shared/live.rs
@@ -22,7 +22,7 @@
 
 /// Nodes that the machine list names and that are not known to live; none where most of those listed are, since
 /// the others may be gone. For a node that has just started and may know few of the others yet.
-pub fn listed_not_known<'a>(
+pub fn listed_but_unknown<'a>(
     live: &[LiveNode],
     listed: &'a [LiveNode],
 ) -> impl Iterator<Item = &'a Candidate> {
--- a/crates/daemon/src/shared/board.rs
+++ b/crates/daemon/src/shared/membership.rs
@@ -14,7 +14,7 @@
 
 /// A node that has a revision of the configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RevisionHolder {
+pub struct NewestRevision {
     /// The node.
     pub node: NodeName,
     /// Where it accepts peers.
@@ -27,15 +27,15 @@
 
 /// State that membership publishes, and wishes that it takes.
 #[derive(Debug, Default)]
-pub struct MembershipBoard {
+pub struct SharedMembership {
     /// Every member known, this node first, dead ones among them; renewed at least each second.
     pub members: Shared<Vec<MemberRecord>>,
     hints: SegQueue<NodeName>,
-    newest: Mutex<Option<RevisionHolder>>,
+    newest: Mutex<Option<NewestRevision>>,
     counters: Mutex<Counters>,
 }
 
-impl MembershipBoard {
+impl SharedMembership {
     /// A connection to `node` broke: membership probes it at once.
     pub fn hint_unreachable(&self, node: &NodeName) {
         self.hints.push(node.clone());
@@ -47,12 +47,12 @@
     }
 
     /// The first node heard to have the newest revision in force.
-    pub fn newest_revision(&self) -> Option<RevisionHolder> {
+    pub fn newest_revision(&self) -> Option<NewestRevision> {
         self.newest.lock().expect(POISONED).clone()
     }
 
     /// Notes who has a newer revision than any before.
-    pub fn set_newest_revision(&self, holder: RevisionHolder) {
+    pub fn set_newest_revision(&self, holder: NewestRevision) {
         *self.newest.lock().expect(POISONED) = Some(holder);
     }
 
--- a/crates/daemon/src/shared/quotas.rs
+++ b/crates/daemon/src/shared/quotas.rs
@@ -73,7 +73,7 @@
     }
 
     /// An operation of an account that had a token has not run.
-    pub fn give_back(&self, account: &AccountName) {
+    pub fn return_token(&self, account: &AccountName) {
         self.lock().quotas.give_back(account);
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Messages to send and accounts whose waiting operations can go on, since the last call.
-    pub fn take_news(&self) -> (Vec<Outgoing>, Vec<AccountName>) {
+    pub fn take_updates(&self) -> (Vec<Outgoing>, Vec<AccountName>) {
         if !self.has_news.swap(false, Ordering::AcqRel) {
             return (Vec::new(), Vec::new());
         }
--- a/crates/daemon/src/shared/store_looks.rs
+++ b/crates/daemon/src/shared/replacement_check_requests.rs
@@ -8,13 +8,13 @@
 
 /// Groups that wait for the next look at the store; one look serves them all.
 #[derive(Debug, Default)]
-pub struct StoreLooks {
+pub struct ReplacementCheckRequests {
     wanted: Mutex<BTreeSet<GroupName>>,
 }
 
-impl StoreLooks {
+impl ReplacementCheckRequests {
     /// A group waits for a look.
-    pub fn want(&self, group: &GroupName) {
+    pub fn request(&self, group: &GroupName) {
         let mut wanted = self.wanted.lock().unwrap_or_else(PoisonError::into_inner);
         if !wanted.contains(group) {
             wanted.insert(group.clone());
--- a/crates/daemon/src/shared/revisions.rs
+++ b/crates/daemon/src/shared/revisions.rs
@@ -14,7 +14,7 @@
 
 impl Revisions {
     /// A node said, or was said, to have `revision` in force.
-    pub fn hear(&self, node: &NodeName, revision: Revision) {
+    pub fn record(&self, node: &NodeName, revision: Revision) {
         let mut heard = self.lock();
         match heard.get_mut(node) {
             Some(known) => *known = revision.max(*known),
@@ -30,7 +30,7 @@
     }
 
     /// Whether any node was heard of.
-    pub fn any(&self) -> bool {
+    pub fn has_reports(&self) -> bool {
         !self.lock().is_empty()
     }
 
--- a/crates/daemon/src/shared/given_up.rs
+++ b/crates/daemon/src/shared/revoked_evidence.rs
@@ -9,11 +9,11 @@
 
 /// What nodes have said by group, for the newest replacement of each.
 #[derive(Debug, Default)]
-pub struct EvidenceGivenUp {
+pub struct RevokedEvidence {
     groups: Mutex<HashMap<GroupName, (ReplacementId, Witnesses)>>,
 }
 
-impl EvidenceGivenUp {
+impl RevokedEvidence {
     /// A node has given its evidence up for the replacement with `id`, and says what it knows.
     pub fn add(&self, group: &GroupName, id: ReplacementId, node: &NodeName, witness: Witness) {
         let mut groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/daemon/src/shared/ordinary_lines.rs
+++ b/crates/daemon/src/shared/routine_log_lines.rs
@@ -5,12 +5,12 @@
 use std::time::{Duration, Instant};
 
 /// Ordinary successes told in a second, unless the settings say otherwise.
-pub const DEFAULT_ORDINARY_PER_SECOND: u32 = 20;
+pub const DEFAULT_ROUTINE_LINES_PER_SECOND: u32 = 20;
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Counts the lines of ordinary successes.
 #[derive(Debug)]
-pub struct OrdinaryLines {
+pub struct RoutineLogLimiter {
     per_second: u32,
     window: Mutex<Window>,
 }
@@ -22,7 +22,7 @@
     untold: u64,
 }
 
-impl OrdinaryLines {
+impl RoutineLogLimiter {
     /// At most so many lines a second.
     pub fn new(per_second: u32) -> Self {
         Self { per_second, window: Mutex::default() }
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -15,8 +15,8 @@
 use kestrellock_core::suspicion::Signs;
 use kestrellock_protocol::backend::Report;
 
-use super::answers::AnswerRecord;
-pub use super::answers::{Answered, Reachability};
+use super::exchange_record::ExchangeRecord;
+pub use super::exchange_record::{ConnectionOutcome, ExchangeResponse};
 
 /// Time that replicas get to answer before the store is asked instead of the slowest: zones are a few
 /// milliseconds apart, and a call of the store costs as much as dozens of questions.
@@ -24,7 +24,7 @@
 
 /// Newest status of every instance this node has heard of, a lock for each group.
 #[derive(Debug, Default)]
-pub struct StatusBoard {
+pub struct StatusTable {
     groups: ShardedLock<HashMap<GroupName, Arc<ShardedLock<GroupStatuses>>>>,
 }
 
@@ -34,9 +34,9 @@
     /// Statuses of its instances, where probes tell them.
     pub instances: HashMap<InstanceName, KnownStatus>,
     /// What answers told of its instances, where answers tell positions.
-    pub answers: HashMap<InstanceName, AnswerRecord>,
+    pub exchange_records: HashMap<InstanceName, ExchangeRecord>,
     /// What answers told of its primary's position.
-    pub primary: PrimarySamples,
+    pub primary_samples: PrimarySamples,
     /// What shows that no other instance leads.
     pub evidence: PrimaryEvidence,
     /// When its primary last answered a commit that wrote.
@@ -45,12 +45,12 @@
 
 impl GroupStatuses {
     /// Term that the instance leads or led, by its own last word.
-    pub fn led_by(&self, instance: &InstanceName) -> Option<Term> {
-        self.answers.get(instance)?.leads()
+    pub fn led_term_of(&self, instance: &InstanceName) -> Option<Term> {
+        self.exchange_records.get(instance)?.led_term()
     }
 
     fn on_commit_answered(&mut self, instance: &InstanceName, term: Term) {
-        self.answers.entry(instance.clone()).or_default().on_leads(term);
+        self.exchange_records.entry(instance.clone()).or_default().on_led_term(term);
         self.committed = Some(Instant::now());
     }
 
@@ -61,12 +61,12 @@
         group: Replication,
         life: Duration,
     ) -> Option<Instant> {
-        self.evidence.covers_until(self.led_by(instance)?, group, life)
+        self.evidence.covers_until(self.led_term_of(instance)?, group, life)
     }
 
     /// Whether arrivals until `moment` would be covered if the store said that nobody replaces the
     /// primary, and replicas that have not answered yet are not worth waiting for.
-    pub fn lacks_only_the_store(
+    pub fn lacks_only_replacement_check(
         &self,
         instance: &InstanceName,
         group: Replication,
@@ -74,7 +74,7 @@
         moment: Instant,
         now: Instant,
     ) -> bool {
-        let Some(term) = self.led_by(instance) else { return false };
+        let Some(term) = self.led_term_of(instance) else { return false };
         let asked = self.evidence.newest();
         let waited = asked.is_some_and(|asked| now >= asked + REPLICAS_ANSWER_WITHIN);
         let until = self.evidence.would_cover_until(term, group, life);
@@ -84,14 +84,14 @@
 
 /// What replicas have said since a primary answered a commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WordOnCommit {
+pub enum CommitConfirmation {
     /// Nobody was about to be promoted.
     Confirmed,
     /// Enough of them show that, the others are not worth waiting for, and the store has yet to say that nobody
     /// replaces the primary.
-    LacksTheStore,
+    LacksReplacementCheck,
     /// Too few have said anything.
-    Missing,
+    Unconfirmed,
     /// The primary is being replaced, or has been.
     Replaced,
 }
@@ -105,7 +105,7 @@
     pub received: Instant,
 }
 
-impl StatusBoard {
+impl StatusTable {
     /// The group's statuses, shared.
     pub fn group(&self, name: &GroupName) -> Arc<ShardedLock<GroupStatuses>> {
         const POISONED: &str = "a holder of the status lock panicked";
@@ -125,7 +125,7 @@
     pub fn on_sent(&self, group: &GroupName, instance: &InstanceName, commits: bool) -> u64 {
         let mut number = 0;
         self.with_group(group, |known| {
-            let record = known.answers.entry(instance.clone()).or_default();
+            let record = known.exchange_records.entry(instance.clone()).or_default();
             number = record.on_sent(Instant::now(), commits);
         });
         number
@@ -137,14 +137,14 @@
         group: &GroupName,
         instance: &InstanceName,
         number: u64,
-        answer: Option<Answered>,
+        answer: Option<ExchangeResponse>,
     ) {
         self.with_group(group, |known| {
-            let record = known.answers.entry(instance.clone()).or_default();
+            let record = known.exchange_records.entry(instance.clone()).or_default();
             record.on_ended(number, answer.as_ref());
             let Some(answer) = answer else { return };
             if let (Some(Role::Primary), Some(position)) = (answer.role, answer.position) {
-                known.primary.record(answer.sent, position);
+                known.primary_samples.record(answer.sent, position);
             }
         });
     }
@@ -154,10 +154,10 @@
         &self,
         group: &GroupName,
         instance: &InstanceName,
-        reachability: Reachability,
+        reachability: ConnectionOutcome,
     ) {
         self.with_group(group, |known| {
-            known.answers.entry(instance.clone()).or_default().on_connection(reachability);
+            known.exchange_records.entry(instance.clone()).or_default().on_connection(reachability);
         });
     }
 
@@ -177,14 +177,14 @@
         let board = self.group(group);
         let is_known = {
             let known = board.read().expect("a holder of the status lock panicked");
-            let record = known.answers.get(instance);
+            let record = known.exchange_records.get(instance);
             record.is_some_and(|record| record.incarnation() == Some(incarnation))
         };
         if is_known {
             return;
         }
         self.with_group(group, |known| {
-            let record = known.answers.entry(instance.clone()).or_default();
+            let record = known.exchange_records.entry(instance.clone()).or_default();
             if record.on_incarnation(incarnation) {
                 known.evidence.on_started_again(instance);
                 log::info!(event = "instance_started_again", group = group.as_str(), instance = instance.as_str(); "an instance has started again under its name; what was known of it is forgotten");
@@ -201,34 +201,39 @@
     }
 
     /// The same at a node whose word nobody waits for before another instance is promoted: it is no evidence.
-    pub fn on_unproven_commit(&self, group: &GroupName, instance: &InstanceName, term: Term) {
+    pub fn on_commit_without_evidence(
+        &self,
+        group: &GroupName,
+        instance: &InstanceName,
+        term: Term,
+    ) {
         self.with_group(group, |known| known.on_commit_answered(instance, term));
     }
 
     /// What the replicas' word says at `now` of a commit that the primary had answered at `answered`, in a group of
     /// such a kind.
-    pub fn word_on_commit(
+    pub fn commit_confirmation(
         &self,
         group: &GroupName,
         term: Term,
         replication: Replication,
         answered: Instant,
         now: Instant,
-    ) -> WordOnCommit {
+    ) -> CommitConfirmation {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
         let evidence = &known.evidence;
         if evidence.given_up().is_some() || term < evidence.highest_led() {
-            return WordOnCommit::Replaced;
+            return CommitConfirmation::Replaced;
         }
         if evidence.confirms_commit(term, replication, answered) {
-            return WordOnCommit::Confirmed;
+            return CommitConfirmation::Confirmed;
         }
         let shown = evidence.would_cover_until(term, replication, Duration::ZERO);
         let has_waited = now >= answered + REPLICAS_ANSWER_WITHIN;
         match has_waited && shown.is_some_and(|asked| asked >= answered) {
-            true => WordOnCommit::LacksTheStore,
-            false => WordOnCommit::Missing,
+            true => CommitConfirmation::LacksReplacementCheck,
+            false => CommitConfirmation::Unconfirmed,
         }
     }
 
@@ -255,7 +260,7 @@
     }
 
     /// An instance said how it stands, asked at `asked`.
-    pub fn on_standing(
+    pub fn on_replication_status(
         &self,
         group: &GroupName,
         instance: &InstanceName,
@@ -265,8 +270,8 @@
         let term = report.flushed.term;
         let following = Following { term, held: report.held };
         self.with_group(group, |known| {
-            let record = known.answers.entry(instance.clone()).or_default();
-            record.on_standing(report.role, term);
+            let record = known.exchange_records.entry(instance.clone()).or_default();
+            record.on_replication_status(report.role, term);
             if report.role == Role::Primary {
                 known.evidence.on_led(term);
             }
@@ -277,26 +282,27 @@
     }
 
     /// Instances in doubt that are to be asked now how they stand; each again after a while.
-    pub fn questions_in_doubt(&self, group: &GroupName, now: Instant) -> Vec<InstanceName> {
+    pub fn take_due_status_queries(&self, group: &GroupName, now: Instant) -> Vec<InstanceName> {
         let board = self.group(group);
         let is_due = {
             let known = board.read().expect("a holder of the status lock panicked");
-            known.answers.values().any(|record| record.is_question_due(now))
+            known.exchange_records.values().any(|record| record.is_status_query_due(now))
         };
         if !is_due {
             return Vec::new();
         }
         let mut known = board.write().expect("a holder of the status lock panicked");
-        let due = known.answers.iter_mut().filter(|(_, record)| record.is_question_due(now));
+        let due =
+            known.exchange_records.iter_mut().filter(|(_, record)| record.is_status_query_due(now));
         let asked = due.map(|(instance, record)| {
-            record.on_question(now);
+            record.on_status_query(now);
             instance.clone()
         });
         asked.collect()
     }
 
     /// The store, asked at `asked`, had nobody replace the primary that this node takes for it.
-    pub fn on_unreplaced(&self, group: &GroupName, asked: Instant) {
+    pub fn on_replacement_check(&self, group: &GroupName, asked: Instant) {
         self.with_group(group, |known| known.evidence.on_unreplaced(asked));
     }
 
@@ -304,23 +310,24 @@
     pub fn signs(&self, group: &GroupName, instance: &InstanceName) -> Signs {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
-        let signs = known.answers.get(instance).map(AnswerRecord::signs).unwrap_or_default();
-        let is_outdated = known.evidence.is_outdated(known.led_by(instance));
+        let signs =
+            known.exchange_records.get(instance).map(ExchangeRecord::signs).unwrap_or_default();
+        let is_outdated = known.evidence.is_outdated(known.led_term_of(instance));
         Signs { committed: known.committed, is_outdated, ..signs }
     }
 
     /// The highest position that a group's primary has told this node.
-    pub fn heard(&self, group: &GroupName) -> Option<Position> {
+    pub fn highest_primary_position(&self, group: &GroupName) -> Option<Position> {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
-        known.primary.highest()
+        known.primary_samples.highest()
     }
 
     /// Highest term of a group that is known to have been led.
-    pub fn highest_led(&self, group: &GroupName) -> Term {
+    pub fn highest_led_term(&self, group: &GroupName) -> Term {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
-        let told = known.answers.values().filter_map(AnswerRecord::term);
+        let told = known.exchange_records.values().filter_map(ExchangeRecord::term);
         told.max().unwrap_or_default().max(known.evidence.highest_led())
     }
 
@@ -328,7 +335,7 @@
     pub fn highest_term(&self, group: &GroupName) -> Term {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
-        let told = known.answers.values().filter_map(AnswerRecord::term);
+        let told = known.exchange_records.values().filter_map(ExchangeRecord::term);
         told.max().unwrap_or_default().max(known.evidence.term())
     }
 
--- a/crates/daemon/tests/statuses.rs
+++ b/crates/daemon/tests/statuses.rs
@@ -6,14 +6,14 @@
 use kestrellock_core::position::{LogOffset, Position, Term};
 use kestrellock_core::primary_evidence::Replication;
 use kestrellock_core::routing::Role;
-use kestrellock_daemon::shared::statuses::{Answered, Reachability, StatusBoard};
+use kestrellock_daemon::shared::statuses::{ConnectionOutcome, ExchangeResponse, StatusTable};
 use kestrellock_protocol::backend::Report;
 
 const LIFE: Duration = Duration::from_secs(1);
 const REPLICATION: Replication = Replication { synchronous: 1, instances: 3 };
 
 struct Board {
-    board: StatusBoard,
+    board: StatusTable,
     group: GroupName,
 }
 
@@ -27,13 +27,13 @@
 
 impl Board {
     fn new() -> Self {
-        Self { board: StatusBoard::default(), group: GroupName::new("orders") }
+        Self { board: StatusTable::default(), group: GroupName::new("orders") }
     }
 
     fn stands(&self, instance: &str, role: Role, term: u32) {
         let at = position(term, 80);
         let report = Report { role, flushed: at, applied: at, held: Term(0) };
-        self.board.on_standing(&self.group, &name(instance), &report, Instant::now());
+        self.board.on_replication_status(&self.group, &name(instance), &report, Instant::now());
     }
 
     /// The instance, which the platform tells to be the primary, answers a read.
@@ -41,13 +41,13 @@
         let number = self.board.on_sent(&self.group, &name(instance), false);
         let now = Instant::now();
         let role = Some(Role::Primary);
-        let answered = Answered { sent: now, at: now, position: Some(position), role };
+        let answered = ExchangeResponse { sent: now, at: now, position: Some(position), role };
         self.board.on_ended(&self.group, &name(instance), number, Some(answered));
     }
 
     /// The store has nobody replace the primary.
     fn is_unreplaced(&self) {
-        self.board.on_unreplaced(&self.group, Instant::now());
+        self.board.on_replacement_check(&self.group, Instant::now());
     }
 
     fn is_covered(&self, instance: &str) -> bool {
@@ -59,7 +59,7 @@
     fn is_in_doubt(&self, instance: &str) -> bool {
         let known = self.board.group(&self.group);
         let known = known.read().expect("nobody panicked");
-        known.answers.get(&name(instance)).is_some_and(|record| record.in_doubt)
+        known.exchange_records.get(&name(instance)).is_some_and(|record| record.in_doubt)
     }
 }
 
@@ -109,8 +109,8 @@
 fn an_instance_that_answers_a_question_is_in_doubt_no_more() {
     let board = Board::new();
     let replica = name("replica");
-    board.board.on_connection(&board.group, &replica, Reachability::Made(None));
-    board.board.on_connection(&board.group, &replica, Reachability::Broken);
+    board.board.on_connection(&board.group, &replica, ConnectionOutcome::Established(None));
+    board.board.on_connection(&board.group, &replica, ConnectionOutcome::Broken);
     assert!(board.is_in_doubt("replica"));
     board.stands("replica", Role::Replica, 1);
     assert!(!board.is_in_doubt("replica"));
@@ -122,11 +122,11 @@
     let replica = name("replica");
     let now = Instant::now();
     let asked = |after: u64| {
-        board.board.questions_in_doubt(&board.group, now + Duration::from_millis(after))
+        board.board.take_due_status_queries(&board.group, now + Duration::from_millis(after))
     };
-    board.board.on_connection(&board.group, &replica, Reachability::Made(None));
+    board.board.on_connection(&board.group, &replica, ConnectionOutcome::Established(None));
     assert!(asked(0).is_empty(), "nobody doubts it");
-    board.board.on_connection(&board.group, &replica, Reachability::Broken);
+    board.board.on_connection(&board.group, &replica, ConnectionOutcome::Broken);
     assert_eq!(asked(0), std::slice::from_ref(&replica));
     assert!(asked(100).is_empty(), "a question is under way");
     assert_eq!(asked(600), std::slice::from_ref(&replica));
