--- a/crates/daemon/src/agent/configuration/confirmation_queries.rs
+++ b/crates/daemon/src/agent/configuration/confirmation_queries.rs
@@ -1,4 +1,7 @@
-//! Asks other nodes since when the configuration is known to be the newest, and answers them.
+//! Exchanges confirmations with other nodes: when the configuration was last known to be the newest.
+//!
+//! These confirmations are the evidence that the credentials in the configuration have not been
+//! revoked. Without a revocation limit this node asks for none, but answers others.
 
 use std::time::{Duration, Instant};
 
@@ -10,20 +13,20 @@
 
 use super::{Configuration, Peer};
 
-/// What is asked and answered between this node and its peers.
+/// Queries to and from peers about confirmations.
 #[derive(Debug, Default)]
 pub(super) struct ConfirmationQueries {
-    /// None where no limit is set.
+    /// `None` without a revocation limit.
     seeker: Option<EvidenceSeeker>,
 }
 
 impl ConfirmationQueries {
-    /// For the limit of the node's settings.
+    /// Uses the revocation limit from the node's settings.
     pub fn new(own: &Configuration) -> Self {
         Self { seeker: own.context.revocation_limit.map(EvidenceSeeker::new) }
     }
 
-    /// Asks for newer evidence if that is due.
+    /// Asks a node for newer evidence if a query is due.
     pub fn ask_if_due(&mut self, own: &Configuration) {
         let Some(seeker) = &mut self.seeker else { return };
         let context = &own.context;
@@ -42,14 +45,15 @@
         }
     }
 
-    /// A node asks.
+    /// Answers the query of a node.
     pub fn on_question(&self, own: &Configuration, peer: &Peer, number: u64) {
         let newest = own.context.confirmations.newest(own.version());
         let newest = newest.map(|known| (known.version, known.at.elapsed()));
         own.send(peer, ConfigurationMessage::Confirmed { number, newest });
     }
 
-    /// A node has answered.
+    /// Handles the answer of a node. The confirmation counts from the time of the query, less the age
+    /// that the node reported, so that no clocks are compared between nodes.
     pub fn on_answer(
         &mut self,
         own: &Configuration,
--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -1,4 +1,8 @@
-//! Fetches what this node's configuration lacks from a peer that has a newer one.
+//! Fetches the difference to a newer configuration from a peer, chunk by chunk.
+//!
+//! There is one fetch at a time. A new one replaces one that takes too long. If a complete delta does
+//! not fit this node's catalog, because that has changed meanwhile, the node fetches again, and
+//! requests the whole configuration if the catalog has not changed.
 
 use std::time::Instant;
 
@@ -11,7 +15,7 @@
 use super::{Configuration, OfferOutcome, Origin, Peer};
 use crate::metrics::ConfigurationEvent;
 
-/// What is being fetched.
+/// Receives the delta that is being fetched.
 #[derive(Debug, Default)]
 pub(super) struct DeltaReceiver {
     current: Option<Fetch>,
@@ -21,13 +25,13 @@
 struct Fetch {
     from: NodeName,
     asked: Instant,
-    /// Hash of what this node had when it asked.
+    /// Fingerprint of this node's catalog when it sent the request.
     base: Fingerprint,
     incoming: Option<Incoming>,
 }
 
 impl DeltaReceiver {
-    /// Asks `node` for what `summary` lacks; whatever was being fetched from another is dropped.
+    /// Asks `peer` for the difference to `summary`; a fetch that is in progress is dropped.
     pub fn begin(&mut self, own: &Configuration, peer: &Peer, summary: CatalogSummary) {
         let fetch = Fetch {
             from: peer.node.clone(),
@@ -49,7 +53,7 @@
         own.send(peer, ConfigurationMessage::Fetch { have: summary });
     }
 
-    /// A node that has `revision` has nothing newer.
+    /// Handles the answer that a node has no configuration newer than `revision`.
     pub fn on_nothing(&mut self, node: &NodeName, revision: Revision) {
         if let Some(fetch) = self.current.take_if(|fetch| fetch.from == *node) {
             log::info!(
@@ -62,10 +66,10 @@
         }
     }
 
-    /// A part has arrived.
+    /// Handles a chunk.
     pub fn on_part(&mut self, own: &Configuration, peer: &Peer, part: &Part, puller: &mut Puller) {
         let Some(fetch) = self.current.as_mut().filter(|fetch| fetch.from == peer.node) else {
-            // It was asked elsewhere meanwhile.
+            // The fetch has moved to another node meanwhile.
             log::info!(
                 event = "configuration_unasked",
                 peer = peer.node.as_str(),
@@ -78,7 +82,8 @@
             return;
         };
         if let Err(error) = fetch.add(part) {
-            // What was sent before another connection took this one's place arrives again, or never.
+            // When a connection has been replaced by another one, chunks sent before may arrive twice or
+            // not at all.
             log::info!(
                 event = "configuration_part_dropped",
                 peer = peer.node.as_str(),
@@ -150,9 +155,9 @@
             }
             Err(DeltaError::DoesNotFit) => {
                 let summary = match catalog.summary() {
-                    // This node's has changed since it asked.
+                    // This node's catalog has changed since the request.
                     summary if summary.fingerprint != asked_with => summary,
-                    // Everything, to be sure.
+                    // It has not changed: fetch the whole configuration.
                     _ => CatalogSummary::of_nothing(),
                 };
                 puller.on_fetch_again(&peer.node, catalog.revision, Instant::now());
--- a/crates/daemon/src/agent/configuration/delta_server.rs
+++ b/crates/daemon/src/agent/configuration/delta_server.rs
@@ -1,4 +1,5 @@
-//! Sends peers what their configuration lacks: in parts, to a few of them at a time.
+//! Sends peers the difference between their configuration and the active one: in chunks, and to a
+//! limited number of peers at a time.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -13,10 +14,11 @@
 use super::{Configuration, Peer};
 use crate::metrics::ConfigurationEvent;
 
-/// Packed deltas kept: nodes of a zone usually have the same and ask for the same.
+/// Number of packed deltas that are kept: nodes of a zone usually have the same configuration and
+/// request the same delta.
 const KEPT_DELTAS: usize = 8;
 
-/// What a delta leads from and to.
+/// The configurations that a delta leads from and to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Span {
     base: Fingerprint,
@@ -31,7 +33,7 @@
     bytes: Bytes,
 }
 
-/// Who is served, and with what.
+/// The peers that are being served, and the deltas for them.
 #[derive(Debug, Default)]
 pub(super) struct DeltaServer {
     queue: TransferQueue<(u16, CatalogSummary)>,
@@ -40,7 +42,7 @@
 }
 
 impl DeltaServer {
-    /// A node wants what it lacks.
+    /// Handles a fetch request: starts the transfer, or queues the node.
     pub fn on_fetch(&mut self, own: &Configuration, peer: &Peer, have: CatalogSummary) {
         let revision = own.revision();
         if revision <= have.revision {
@@ -53,7 +55,7 @@
         }
     }
 
-    /// A node has received what comes before `offset`.
+    /// Handles the acknowledgement of everything before `offset`, and sends the next chunk.
     pub fn on_next(&mut self, own: &Configuration, peer: &Peer, transfer: TransferId, offset: u32) {
         let packed = self.packed.iter().find(|packed| packed.transfer == transfer);
         match packed.map(|packed| packed.bytes.clone()) {
@@ -62,13 +64,14 @@
                 send_part(own, peer, transfer, &bytes, offset);
             }
             Some(_) => self.queue.on_end(&peer.node),
-            // It was dropped for newer ones.
+            // This delta was dropped in favor of newer ones.
             None => self.begin_again(own, peer),
         }
         self.serve_waiting(own);
     }
 
-    /// Begins anew for a node that is being served; one that has not asked for long asks again by itself.
+    /// Restarts the transfer to a node that is being served. A node that is not being served any more
+    /// requests the configuration again by itself.
     fn begin_again(&mut self, own: &Configuration, peer: &Peer) {
         let question = self.queue.question_of(&peer.node).cloned();
         if let Some((_, have)) = question {
@@ -76,20 +79,20 @@
         }
     }
 
-    /// A node wants no more.
+    /// Ends the transfer to a node that needs no more chunks.
     pub fn on_enough(&mut self, own: &Configuration, node: &NodeName) {
         self.queue.on_end(node);
         self.serve_waiting(own);
     }
 
-    /// Serves those whose turn has come.
+    /// Starts the transfer to each queued node whose turn has come.
     pub fn serve_waiting(&mut self, own: &Configuration) {
         while let Some((node, (shard, have))) = self.queue.take_turn(Instant::now()) {
             self.begin(own, &Peer { node, shard }, &have);
         }
     }
 
-    /// Whether a node waits for its turn.
+    /// Whether a node is queued.
     pub fn has_waiting(&self) -> bool {
         self.queue.has_waiting()
     }
@@ -111,7 +114,7 @@
         send_part(own, peer, transfer, &bytes, 0);
     }
 
-    /// The delta from what a node has to what is in force.
+    /// Returns the packed delta from a node's configuration to the active one.
     fn packed_for(
         &mut self,
         own: &Configuration,
@@ -127,7 +130,7 @@
         if let Some(known) = self.packed.iter().find(|packed| packed.span == span) {
             return Some((known.transfer, known.bytes.clone()));
         }
-        // Packing a large one takes a slow processor longer than an answer is waited for.
+        // Packing a large delta on a slow CPU takes longer than the peer waits for an answer.
         own.send(peer, ConfigurationMessage::Queued);
         let bytes = match catalog_transfer::pack(&catalog.delta_for(have)) {
             Ok(bytes) => bytes,
--- a/crates/daemon/src/agent/configuration/distribution.rs
+++ b/crates/daemon/src/agent/configuration/distribution.rs
@@ -1,4 +1,5 @@
-//! Answers peers that want a newer configuration, and asks them for one.
+//! Distributes the configuration between nodes: answers peers that request or fetch a newer
+//! configuration, and fetches it from them.
 
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
@@ -14,10 +15,10 @@
 use crate::shared::inbox::Received;
 use crate::supervisor::StopFlag;
 
-/// Longest wait for a message before the time is looked at.
+/// Longest wait for a message before the thread checks what is due.
 const STEP: Duration = Duration::from_millis(100);
 
-/// Exchanges configuration with peers until told to stop.
+/// Exchanges configuration with peers until `stop` is set.
 pub fn distribute(configuration: &Configuration, stop: &StopFlag) {
     let mut exchange = Distribution::new(configuration);
     while !stop.is_stopping() {
@@ -33,7 +34,7 @@
     }
 }
 
-/// What is under way between this node and its peers.
+/// State of the exchange with peers.
 struct Distribution<'a> {
     own: &'a Configuration,
     puller: Puller,
@@ -65,7 +66,7 @@
         let live = self.own.live();
         let view = View { now, have, newer: newer.as_ref(), live: &live, random: rand::random() };
         let Some(node) = self.puller.next(&view) else { return };
-        // The dead are forgotten here, since a dead node may be the only one that was newer.
+        // Dead nodes are removed here, because a dead node may be the only one with a newer revision.
         let live: HashSet<&NodeName> = live.iter().map(|other| &other.node).collect();
         context.revisions.retain(|node| live.contains(node));
         let peer = Peer::first_shard_of(node);
--- a/crates/daemon/src/agent/configuration/excluded_entries.rs
+++ b/crates/daemon/src/agent/configuration/excluded_entries.rs
@@ -1,4 +1,5 @@
-//! Tells what is left out of the configuration: once when it comes, and once when it has gone.
+//! Logs the invalid entries that are excluded from the configuration: once when an entry is excluded,
+//! and once when that is over.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +8,16 @@
 use super::Origin;
 use crate::metrics::{ConfigurationEvent, Metrics};
 
-/// What is left out of the configuration in force, by subject: what is wrong with it.
+/// The entries that are excluded from the active configuration, by subject, each with its problem.
 #[derive(Debug, Default)]
 pub(super) struct ExcludedEntries {
     told: BTreeMap<String, String>,
 }
 
 impl ExcludedEntries {
-    /// A configuration of that revision comes into force without what has these faults. What peers send
-    /// has been through this before: that nothing is left out of it says nothing.
+    /// Logs the changes when a configuration becomes active without the entries that have `faults`.
+    /// Peers send their configuration without the entries that they have excluded, so an entry that is
+    /// missing from a peer's `faults` may still be invalid in the store.
     pub fn tell(
         &mut self,
         faults: &[Fault],
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -1,5 +1,6 @@
-//! Keeps the node's configuration: follows the store where that is this node's part, exchanges
-//! revisions with peers, and puts only newer catalogs in force, without what is faulty in them.
+//! Keeps the node's configuration up to date: watches the store if this node is a store watcher,
+//! exchanges revisions and catalogs with peers, and activates only newer catalogs, without their
+//! invalid entries.
 
 mod confirmation_queries;
 mod delta_receiver;
@@ -27,57 +28,58 @@
 pub use distribution::distribute;
 pub use source_watch::watch_source;
 
-/// Shard whose connections carry messages that this node begins.
+/// Shard whose connections carry messages that are not answers.
 const FIRST_SHARD: u16 = 0;
 
-/// A node that configuration is exchanged with.
+/// A node that this node exchanges configuration with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Peer {
     node: NodeName,
-    /// Shard whose connection is used: an answer goes back over the one that the message came over.
+    /// Shard whose connection is used: an answer uses the connection on which the message arrived.
     shard: u16,
 }
 
 impl Peer {
-    /// For messages that this node begins.
+    /// The peer for messages that are not answers.
     fn first_shard_of(node: NodeName) -> Self {
         Self { node, shard: FIRST_SHARD }
     }
 }
 
-/// Where a catalog comes from.
+/// Where a catalog was received from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// The store, through this node's source.
+    /// The store, through this node's catalog source.
     Source,
     /// Another node.
     Peer,
 }
 
-/// What became of a catalog.
+/// Result of offering a catalog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is in force.
+    /// The catalog is now active.
     Activated,
-    /// One as new is in force already.
+    /// The active catalog is at least as new.
     NotNewer,
-    /// It cannot be used; the one in force stays.
+    /// The catalog is invalid; the active one stays.
     Rejected,
 }
 
-/// The node's configuration and the way to its peers.
+/// The node's configuration and its connection to the peers.
 pub struct Configuration {
     context: Arc<NodeContext>,
     mailboxes: Arc<Mailboxes>,
-    /// Whether the platform keeps a list of nodes, which names others before they are known to live.
+    /// Whether the platform keeps a machine list, which names other nodes before they are known to be
+    /// live.
     has_machine_list: bool,
     started: Instant,
-    /// Held while a catalog replaces another, so that an older one never replaces a newer.
+    /// Locked while a catalog is activated, so that an older one never replaces a newer one.
     replacing: Mutex<ExcludedEntries>,
 }
 
 impl Configuration {
-    /// Nothing in force yet.
+    /// Starts without an active configuration.
     pub fn new(
         context: Arc<NodeContext>,
         mailboxes: Arc<Mailboxes>,
@@ -87,9 +89,9 @@
         Self { context, mailboxes, has_machine_list, started, replacing }
     }
 
-    /// Puts a catalog in force if it is newer than the one in force. Entries and instances that cannot be
-    /// used are left out, each by itself: what an instance says of itself holds no change of the operators
-    /// back, nor one entry another.
+    /// Activates a catalog if it is newer than the active one. Invalid entries and instances are
+    /// excluded individually, so that neither an instance's report of itself blocks a change by
+    /// operators nor one entry blocks another.
     pub fn offer(&self, catalog: VersionedCatalog, origin: Origin) -> OfferOutcome {
         let mut left_out = self.replacing.lock().expect("a holder of the lock panicked");
         let revision = catalog.revision;
@@ -103,7 +105,7 @@
         if !faults.is_empty()
             && let Err(error) = catalog.validate()
         {
-            // Leaving out what is faulty leaves a valid rest: this is a defect of the program.
+            // The rest is valid once the invalid entries are excluded, so this is a bug.
             log::error!(event = "configuration_refused", revision = revision.0, problem = error.to_string().as_str(); "KL3001 the configuration cannot be used; the one in force stays");
             metrics.configuration.count(ConfigurationEvent::Refused);
             return OfferOutcome::Rejected;
@@ -115,8 +117,9 @@
         OfferOutcome::Activated
     }
 
-    /// The catalog, if need be with what operators wrote in the one in force: they were told that it is, and a
-    /// store that has gone back to an older one lacks it until they write it again.
+    /// Returns the catalog, with the operators' part of the active one if that has a newer edition.
+    /// Operators were told that this edition is active, and after a store restore the store lacks it
+    /// until they write it again.
     fn with_newest_edition(&self, catalog: VersionedCatalog) -> VersionedCatalog {
         let in_force = self.context.catalog.load();
         if !catalog.is_older_edition_than(&in_force) {
@@ -132,19 +135,20 @@
         catalog.with_operators_part_of(&in_force)
     }
 
-    /// Which configuration is in force.
+    /// Version of the active configuration.
     fn version(&self) -> CatalogVersion {
         self.context.catalog.load().version()
     }
 
-    /// Revision in force.
+    /// Active revision.
     pub fn revision(&self) -> Revision {
         self.context.catalog.load().revision
     }
 
-    /// Tells the nodes that ask this one what it has in force. A node that is being stopped leaves that
-    /// to the other followers: what its zone asks of it then fills a slow link for hundreds of
-    /// milliseconds, in which its callers' requests and the ends of their connections would cross.
+    /// Announces the active revision to the nodes that fetch from this one. A node that is stopping
+    /// leaves that to the other store watchers: the fetches of its zone would saturate a slow link for
+    /// hundreds of milliseconds, which would delay its clients' requests and the closing of their
+    /// connections.
     fn announce(&self) {
         if self.context.is_stopping() {
             return;
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Asks live nodes for their revisions where none as new as this node's is known.
+    /// Asks the live nodes that are not known to have this node's revision for theirs.
     pub fn request_revisions(&self) {
         let have = self.revision();
         for node in self.nodes_behind() {
@@ -164,7 +168,7 @@
         }
     }
 
-    /// Live nodes not known to have this node's revision.
+    /// Live nodes that are not known to have this node's revision or a newer one.
     pub fn nodes_behind(&self) -> Vec<NodeName> {
         let revision = self.revision();
         let mut nodes: Vec<NodeName> =
@@ -177,7 +181,7 @@
 
     fn own(&self) -> Candidate {
         let identity = &self.context.identity;
-        // What this node's link carries is no matter of its own: the others' list tells it.
+        // The own bandwidth is not set here: decisions take it from this node's entry among the live nodes.
         Candidate { node: identity.node.clone(), zone: identity.zone.clone(), link_mbps: 0 }
     }
 
--- a/crates/daemon/src/agent/configuration/role.rs
+++ b/crates/daemon/src/agent/configuration/role.rs
@@ -1,8 +1,8 @@
-//! Whether following the source of the configuration is this node's part.
+//! Decides whether this node is a store watcher, which reads its configuration from the store.
 //!
-//! A node that has just started knows few others. If it judged by those alone, each of hundreds that start
-//! together would take itself for a follower, and would read all that the store holds. So the machine list
-//! counts as well while the node is young.
+//! A node that has just started knows few other nodes. If the decision used those alone, each of
+//! hundreds of nodes that start together would become a store watcher and read the whole store. So for
+//! some time after its start the node also counts the nodes in the machine list.
 
 use std::time::{Duration, Instant};
 
@@ -13,21 +13,21 @@
 use crate::shared::live::listed_but_unknown;
 use crate::supervisor::StopFlag;
 
-/// Time that a node without configuration gives its peers before it asks the store.
+/// Time that a node without configuration waits for its peers before it reads the store.
 pub(super) const PEER_WAIT: Duration = Duration::from_secs(1);
-/// Time for which the machine list counts beside the nodes known to live: as long as membership compares
-/// its table often. Later an entry may be that of a machine which is gone for good.
+/// Time after the start for which listed nodes count like live ones: as long as membership runs its
+/// anti-entropy sync often. Later an entry may be that of a machine that is gone for good.
 const LIST_COUNTS_FOR: Duration = Duration::from_secs(10);
-/// The list is taken for whole once it has not grown for so long: nodes that start together enter
-/// themselves within some hundred milliseconds.
+/// The machine list counts as complete once it has not changed in length for this long: nodes that
+/// start together add themselves within a few hundred milliseconds.
 const LIST_QUIET: Duration = Duration::from_millis(200);
-/// Longest wait for that.
+/// Longest wait for a complete machine list.
 const LIST_LIMIT: Duration = Duration::from_secs(1);
 const LIST_STEP: Duration = Duration::from_millis(10);
 
 impl Configuration {
-    /// A node that the machine list does not name yet starts for the first time, perhaps with many others:
-    /// it waits until the list grows no more.
+    /// Waits until the machine list is complete or names this node. A node that is not listed yet
+    /// starts for the first time, perhaps together with many others.
     pub(super) fn wait_for_machine_list(&self, stop: &StopFlag) {
         let own = &self.context.identity.node;
         let mut length = 0;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Whether following the source is this node's part: before it knows of any other node, it is.
+    /// Whether this node is a store watcher. It is one as long as it knows of no other node.
     pub(super) fn is_store_watcher(&self) -> bool {
         let mut expected = self.live();
         let known = expected.len();
@@ -59,8 +59,8 @@
         is_its_part || (expected.len() > known && self.has_waited_for_peers(expected.len()))
     }
 
-    /// Whether no peer has brought a configuration for so long that this node reads it itself. The nodes do
-    /// so one after the other, so that the store is not asked by all of them at once.
+    /// Whether this node has waited for a configuration from peers for so long that it reads the store
+    /// itself. The nodes take turns, so that not all of them read the store at once.
     fn has_waited_for_peers(&self, nodes: usize) -> bool {
         let turn = own_turn(&self.context.identity.node, nodes);
         let has_none = self.revision() == Revision::default();
--- a/crates/daemon/src/agent/configuration/source_watch.rs
+++ b/crates/daemon/src/agent/configuration/source_watch.rs
@@ -1,4 +1,7 @@
-//! Follows the source of the configuration, where that is this node's part.
+//! Watches the source of the configuration if this node is a store watcher.
+//!
+//! The thread activates each newer catalog from the source, announces it to the nodes that fetch from
+//! this one, and records when the source confirmed the active configuration as the newest.
 
 use std::time::{Duration, Instant};
 
@@ -15,17 +18,17 @@
 use crate::metrics::{ConfigurationEvent, Metrics};
 use crate::supervisor::StopFlag;
 
-/// Longest wait for a change before the stop flag is looked at.
+/// Longest wait for a change before the stop flag is checked.
 const WATCH_STEP: Duration = Duration::from_millis(100);
-/// Time between looks whether following has become this node's part.
+/// Time between two checks whether this node has become a store watcher.
 const IDLE_STEP: Duration = Duration::from_millis(200);
 const PEERS_STEP: Duration = Duration::from_millis(10);
 const FIRST_RETRY: Duration = Duration::from_millis(200);
 const LAST_RETRY: Duration = Duration::from_secs(5);
-/// A source that failed counts as well again after this time without another failure.
+/// A source that failed counts as recovered after this time without another failure.
 const WELL_AFTER: Duration = Duration::from_secs(1);
 
-/// Follows the source until told to stop.
+/// Watches the source until `stop` is set.
 pub fn watch_source(
     configuration: &Configuration,
     source: &mut dyn CatalogSource,
@@ -52,7 +55,7 @@
                 match configuration.offer(read.catalog, Origin::Source) {
                     OfferOutcome::Activated => configuration.announce(),
                     OfferOutcome::NotNewer => configuration.log_not_newer(offered),
-                    // Told where it was refused.
+                    // Logged by `offer`.
                     OfferOutcome::Rejected => {}
                 }
             }
@@ -70,7 +73,7 @@
     }
 }
 
-/// Entries of the source that could not be read, as far as they have been counted.
+/// Number of unreadable entries of the source that the metrics include.
 #[derive(Debug, Default)]
 struct Unreadable {
     counted: u64,
@@ -93,9 +96,10 @@
 }
 
 impl Configuration {
-    /// A node that boots takes the configuration from its peers, if they have one, so that many
-    /// booting at once do not all turn to the store; and so that nothing older than theirs is in force
-    /// where the store lacks what operators have been told is.
+    /// Waits a limited time for a configuration from peers. A node that starts prefers the peers'
+    /// configuration for two reasons: many nodes that start at once do not all read the store, and the
+    /// node does not activate an older configuration if the store lacks changes that operators were
+    /// told are active.
     fn wait_for_peers(&self, source: &dyn CatalogSource, stop: &StopFlag) {
         let end = Instant::now() + PEER_WAIT;
         while self.expects_peers(source) && !stop.is_stopping() && Instant::now() < end {
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Whether other nodes live, or may, that know better than the source.
+    /// Whether other nodes are live, or may be, that could have a newer configuration than the source.
     fn expects_peers(&self, source: &dyn CatalogSource) -> bool {
         let own = &self.context.identity.node;
         let are_listed = || {
@@ -119,7 +123,7 @@
         self.live().len() > 1 || (source.may_lack_changes() && are_listed())
     }
 
-    /// What the source told last is not put in force.
+    /// Logs that the source returned a configuration that is not newer than the active one.
     fn log_not_newer(&self, offered: Revision) {
         log::info!(
             event = "configuration_not_newer",
@@ -129,8 +133,9 @@
         );
     }
 
-    /// The source has said that the catalog it told last was the newest. That shows nothing while a newer
-    /// one is not in force, nor where the source has gone back behind what is.
+    /// Takes in that the source confirmed its last catalog as the newest. The confirmation is not used
+    /// while this node has yet to activate that catalog, nor if a store restore has taken the source
+    /// back to an older edition than the active one.
     fn confirm(&self, confirmation: Confirmation) {
         let in_force = self.version();
         let is_of_it = confirmation.version.edition == in_force.edition;
@@ -139,7 +144,8 @@
         }
     }
 
-    /// A follower that learnt of a revision from a peer tells its zone.
+    /// Announces a revision that was fetched from a peer, if this node is a store watcher with nodes
+    /// that fetch from it.
     pub(super) fn announce_if_store_watcher(&self) {
         let (own, live) = (self.own(), self.live());
         if is_follower(&own, &live) && !audience(&own, &live).is_empty() {
--- a/crates/daemon/src/agent/counted_store.rs
+++ b/crates/daemon/src/agent/counted_store.rs
@@ -1,4 +1,4 @@
-//! The store with every request counted.
+//! A wrapper of the configuration store that counts requests by their result.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 use crate::context::NodeContext;
 use crate::metrics::StoreResult;
 
-/// Counts the requests that pass through it in the node's metrics.
+/// Counts each request in the node's metrics and forwards it to the store.
 pub struct CountedStore {
     inner: Arc<dyn ConfigStore>,
     context: Arc<NodeContext>,
 }
 
 impl CountedStore {
-    /// Counts requests to `inner`.
+    /// Wraps `inner`.
     pub fn new(inner: Arc<dyn ConfigStore>, context: Arc<NodeContext>) -> Self {
         Self { inner, context }
     }
--- a/crates/daemon/src/agent/machines.rs
+++ b/crates/daemon/src/agent/machines.rs
@@ -1,5 +1,5 @@
-//! Finds further nodes to join through in the platform's machine list, which lags and may be wrong:
-//! its entries are only tried, never believed.
+//! Reads the platform's machine list to find more seeds for membership. The list lags and may be
+//! wrong, so its entries are contacted, but do not count as live until they respond.
 
 use std::time::Duration;
 
@@ -12,20 +12,21 @@
 use crate::shared::live::LiveNode;
 use crate::supervisor::StopFlag;
 
-/// Mean time between two looks at the list.
+/// Mean time between two reads of the list.
 const INTERVAL: Duration = Duration::from_secs(10);
-/// Looks in short succession at the start: other nodes may be starting, too, and which nodes follow the store
-/// is judged by the list until they are known. A look costs no call where the list is a copy.
+/// Number of first reads, which follow each other quickly: other nodes may be starting at the same
+/// time, and the store watchers are chosen by the list until the other nodes are known. A read costs no
+/// request where the list is a local copy.
 const FIRST_LOOKS: u32 = 10;
 const FIRST_INTERVAL: Duration = Duration::from_millis(100);
-/// The same a little later.
+/// Reads up to this number, the first ones included, are one second apart.
 const EARLY_LOOKS: u32 = 15;
 const EARLY_INTERVAL: Duration = Duration::from_secs(1);
 const FIRST_RETRY: Duration = Duration::from_millis(50);
 const LAST_RETRY: Duration = Duration::from_secs(5);
 
-/// Enters this node in the list, where nodes enter themselves, and looks at the list until told to
-/// stop. `peers` are seeds that stand beyond it.
+/// Adds this node to the list, where nodes add themselves, and reads the list at intervals until `stop`
+/// is set. `peers` are seeds in addition to the listed ones.
 pub fn poll(
     list: &dyn MachineList,
     own: &Machine,
--- a/crates/daemon/src/agent/membership.rs
+++ b/crates/daemon/src/agent/membership.rs
@@ -1,7 +1,7 @@
-//! Runs membership: its socket, its clock, and what it tells the rest of the node.
+//! Runs the membership protocol: its socket, its clock, and the state that it publishes in the node.
 //!
-//! Decisions are taken in `core::membership`; here datagrams are received and sent, time passes,
-//! and the list of live nodes is published whenever it changes.
+//! Decisions are made in `core::membership`. This module receives and sends the datagrams, drives the
+//! ticks, and publishes the list of live nodes whenever it changes.
 
 use std::io;
 use std::net::UdpSocket;
@@ -25,14 +25,14 @@
 
 /// Time between two ticks of the state machine.
 const TICK: Duration = Duration::from_millis(50);
-/// Longest time for which the published list of members may be out of date.
+/// Longest time between two publications of the member list.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
-/// Datagrams handled before the clock is looked at again.
+/// Most datagrams handled in a row before the clock is checked for a due tick.
 const DATAGRAMS_AT_ONCE: usize = 256;
-/// Outdated senders told of it between two ticks.
+/// Most senders with an outdated incarnation that are notified between two ticks.
 const OUTDATED_AT_ONCE: usize = 4;
 
-/// Who this node is to the others and how it finds them.
+/// This node's own member record, and how it finds and authenticates other nodes.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
     own: MemberRecord,
@@ -42,7 +42,7 @@
 }
 
 impl MembershipConfig {
-    /// From the settings, with `process` as the incarnation of this process.
+    /// Builds the configuration from the settings, with `process` as the incarnation of this process.
     pub fn new(settings: &Settings, process: u64, keys: ClusterKeys) -> Self {
         let own = MemberRecord {
             node: settings.node.clone(),
@@ -60,7 +60,7 @@
     }
 }
 
-/// This node as the machine list shows it.
+/// This node's entry in the machine list.
 pub fn own_machine(settings: &Settings) -> Machine {
     Machine {
         node: settings.node.clone(),
@@ -71,13 +71,13 @@
     }
 }
 
-/// The peers of the settings.
+/// The peers from the settings, as seeds.
 pub fn configured_seeds(settings: &Settings) -> Vec<Seed> {
     let peers = settings.peers.iter();
     peers.map(|peer| Seed { node: peer.node.clone(), address: peer.address }).collect()
 }
 
-/// Takes part in membership until told to stop.
+/// Takes part in membership until `stop` is set, and sends a leave message if the node is leaving.
 pub fn run(socket: &UdpSocket, joining: &MembershipConfig, context: &NodeContext, stop: &StopFlag) {
     let mut agent = Agent::new(socket, joining, context);
     while !stop.is_stopping() {
@@ -130,7 +130,7 @@
         self.origin.elapsed()
     }
 
-    /// Takes in what has arrived, waiting for it until the next tick.
+    /// Receives and handles datagrams until the next tick is due.
     fn receive(&mut self) {
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..DATAGRAMS_AT_ONCE {
@@ -140,7 +140,7 @@
             }
             match self.socket.recv_from(&mut buffer) {
                 Ok((count, _)) => self.take_in(&buffer[..count]),
-                // The system reports here that an earlier datagram met a closed port.
+                // The operating system reports here that an earlier datagram reached a closed port.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 Err(_) => return,
             }
@@ -187,7 +187,7 @@
                     continue;
                 }
             };
-            // A datagram that cannot be sent now counts as lost on the way.
+            // A datagram that cannot be sent counts as lost in the network.
             if self.socket.send_to(&bytes, outgoing.to.address).is_ok() {
                 metrics.datagrams.count(MessageEvent::Sent);
                 metrics.datagram_bytes.add(MessageEvent::Sent, bytes.len() as u64);
@@ -240,7 +240,7 @@
         self.context.membership.set_counters(self.membership.counters());
     }
 
-    /// Replaces the list of live nodes if it differs.
+    /// Publishes the list of live nodes if it has changed.
     fn publish_live(&self, members: &[MemberRecord]) {
         let live: Vec<LiveNode> =
             members.iter().filter(|member| member.health.is_live()).map(live_node).collect();
--- a/crates/daemon/src/agent/mod.rs
+++ b/crates/daemon/src/agent/mod.rs
@@ -1,4 +1,4 @@
-//! The agent: keeps the catalog up to date and knows the other nodes.
+//! The agent: keeps the catalog up to date, takes part in membership and replaces primaries.
 
 pub mod configuration;
 pub mod counted_store;
--- a/crates/daemon/src/agent/promotion/announcer.rs
+++ b/crates/daemon/src/agent/promotion/announcer.rs
@@ -1,5 +1,6 @@
-//! Tells the owners of a group that its primary is being replaced, beside what the store says: an owner that does not
-//! reach the store would go on at the old primary.
+//! Announces the replacements that this node coordinates to the owners of their groups. The owners also
+//! learn of them from the store, but an owner that cannot reach the store would otherwise continue to
+//! use the old primary.
 
 use std::time::Instant;
 
@@ -10,17 +11,17 @@
 use crate::context::NodeContext;
 use crate::shard::mailbox::{Mailboxes, ShardMessage};
 
-/// Shard whose connections carry messages that this node begins.
+/// Shard whose connections carry messages that are not answers.
 pub const FIRST_SHARD: u16 = 0;
 
-/// What this node tells others of the replacements that it carries out.
+/// Announces the replacements that this node coordinates.
 #[derive(Debug, Default)]
 pub struct ReplacementAnnouncer {
     last: Option<Instant>,
 }
 
 impl ReplacementAnnouncer {
-    /// Tells what is due.
+    /// Sends the announcements, unless the last ones are more recent than [`TELL_INTERVAL`].
     pub fn step(&mut self, context: &NodeContext, mailboxes: &Mailboxes, now: Instant) {
         let is_early = self.last.is_some_and(|last| now < last + TELL_INTERVAL);
         if is_early || !context.replacements.has_updates() {
--- a/crates/daemon/src/agent/promotion/coordinator.rs
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -1,4 +1,13 @@
-//! Acts on needs for as long as this node holds the right to.
+//! Runs primary replacements for as long as this node holds the coordinator lease.
+//!
+//! The thread acquires the lease, starts an attempt for each group whose primary needs to be replaced,
+//! executes the commands of each attempt, and releases the lease when nothing is left to replace. It
+//! renews the lease before its end and stops once the lease has ended, because another node may be the
+//! coordinator from then on.
+//!
+//! After a store restore the store may not contain the lease any more, so the node acquires it again.
+//! No other node may be the coordinator until the old lease would have ended, so the attempts in the
+//! store can continue under the new fencing token.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -17,44 +26,45 @@
 use crate::context::NodeContext;
 use crate::supervisor::StopFlag;
 
-/// Time between two looks at the attempts.
+/// Longest time between two steps of the attempts.
 const STEP: Duration = Duration::from_millis(3);
-/// Time between two attempts to take the right anew.
+/// Time between two attempts to acquire the lease again after a store restore.
 const TAKE_AGAIN_STEP: Duration = Duration::from_millis(50);
-/// Part of its life before whose end a hold is prolonged.
+/// The lease is renewed when less than this is left of it.
 const RENEW_BEFORE: Duration = Duration::from_millis(1_500);
-/// Time without a need after which the right is given up.
+/// The lease is released after this time without an attempt.
 const LINGER: Duration = Duration::from_millis(300);
-/// Time between two attempts at one change of the store.
+/// Delay before a failed change of the store is retried.
 const STORE_RETRY: Duration = Duration::from_millis(100);
-/// Time after the end of an attempt in which needs may not have heard of it.
+/// Needs are ignored for this long after an attempt of their group has ended: they may have been
+/// computed before its end.
 const OLD_NEEDS: Duration = Duration::from_millis(200);
-/// A promotion is only sent while the hold lasts for so long yet.
+/// A promotion is sent only if at least this much is left of the lease.
 const LEAST_HOLD: Duration = Duration::from_millis(100);
 
-/// What the watch tells the holder.
+/// What the watcher passes to the coordinator thread, and the attempts that this reports back.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorInput {
-    /// Needs by group.
+    /// The replacement that each group needs.
     pub needs: BTreeMap<GroupName, Need>,
     /// The instances of each group.
     pub known: KnownInstances,
-    /// Whether the store may tell starts of instances that are over.
+    /// Whether the store may return outdated incarnations of instances.
     pub starts_may_be_old: bool,
-    /// Attempts that were called off since the watch last looked.
+    /// Groups whose attempt was cancelled since the watcher last took this list.
     pub cancelled: Vec<GroupName>,
 }
 
-/// The situation, shared between watch and holder.
+/// The input, shared between the watcher and the coordinator thread.
 pub type SharedCoordinatorInput = Arc<Mutex<CoordinatorInput>>;
 
 struct Running {
     attempt: Attempt,
-    /// The change of the store that has to be given again at that time.
+    /// The change of the store that failed, and when to retry it.
     again: Option<(Instant, Command)>,
     pending: Option<Command>,
     began: Instant,
-    /// When the intent was first known to be recorded.
+    /// When the store first confirmed the intent.
     recorded: Option<Instant>,
     phase: Phase,
 }
@@ -65,30 +75,30 @@
     coordination: Arc<dyn Coordination>,
     orders: Executor,
     hold: Hold,
-    /// Whether the store has said that the hold is over.
+    /// Whether the store has reported that the lease has ended.
     is_over: bool,
-    /// Whether the store may tell starts of instances that are over.
+    /// Whether the store may return outdated incarnations of instances.
     starts_may_be_old: bool,
     renewing: bool,
     attempts: BTreeMap<GroupName, Running>,
-    /// Attempts begun under this hold.
+    /// Number of attempts started under this lease.
     begun: u32,
-    /// When attempts ended: needs that were judged before do not count.
+    /// When the last attempt of each group ended, to ignore needs that were computed before.
     ended: BTreeMap<GroupName, Instant>,
 }
 
-/// How acting under a hold ended.
+/// Why the thread stopped acting under a lease.
 enum Ending {
-    /// The node stops, nothing is left to do, or the hold is over.
+    /// The node stops, nothing is left to replace, or the lease has ended.
     Done,
-    /// The store has come back from a copy, which knows nothing of the hold.
+    /// The store was restored from a copy that does not contain the lease.
     StoreCameBack {
-        /// Until when it would have lasted.
+        /// When the lease would have ended.
         until: Instant,
     },
 }
 
-/// Takes the right to act, acts on all needs, and gives the right up.
+/// Acquires the coordinator lease, runs all replacements that are needed, and releases the lease.
 pub fn run(
     context: &NodeContext,
     services: &ReplacementServices,
@@ -106,8 +116,8 @@
     }
 }
 
-/// Takes the right anew, in place of a hold that would have lasted until `until`: as long as that nobody else can
-/// have it, and what was begun goes on.
+/// Acquires the lease again after a store restore, in place of one that would have lasted until `until`.
+/// Until then no other node can acquire it, so the attempts that are under way can continue.
 fn take_again(
     until: Instant,
     context: &NodeContext,
@@ -162,7 +172,7 @@
     loop {
         stop.wait_while_paused();
         if stop.is_stopping() {
-            // A planned stop lets another node act at once.
+            // Releasing the lease at a planned stop lets another node become the coordinator at once.
             if context.is_stopping() {
                 let _ = coordination.release(&thread.hold);
             }
@@ -187,7 +197,7 @@
             break;
         }
     }
-    // If it cannot be given up, it ends by itself.
+    // If the release fails, the lease expires by itself.
     let _ = coordination.release(&thread.hold);
     log::info!(event = "hold_given_up", fence = thread.hold.fence; "nothing is left to replace");
     Ending::Done
@@ -230,7 +240,7 @@
         }
     }
 
-    /// Has the other nodes told that an attempt is over.
+    /// Has the end of an attempt announced to the owners of the group.
     fn tell_end(&self, group: &GroupName) {
         let Some(running) = self.attempts.get(group) else { return };
         let led = running.attempt.successor_term();
@@ -381,8 +391,10 @@
     }
 }
 
-/// The nodes whose word is waited for. This node's own list may be seconds old, and lack nodes that have entered
-/// themselves since; the store's was read anew when the intent was recorded. None while nothing has been read.
+/// The nodes that have to report before the successor is promoted: the machine list that this node has
+/// read, extended by the store's. This node's list may be seconds old and lack nodes that were added
+/// since; the store's list was read again when the intent was recorded. Empty while this node has not
+/// read a machine list.
 fn nodes_to_hear(context: &NodeContext, coordination: &dyn Coordination) -> Vec<NodeName> {
     let mut nodes = context.listed_names();
     if nodes.is_empty() {
--- a/crates/daemon/src/agent/promotion/electors.rs
+++ b/crates/daemon/src/agent/promotion/electors.rs
@@ -1,5 +1,5 @@
-//! The nodes whose word counts, as this node knows them: gathered anew when a list changes, and now and
-//! then because time passes, not at each look.
+//! The nodes whose votes count, as this node knows them. They are collected when a list of nodes
+//! changes, and regularly because time passes, but not at each step.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,12 +10,12 @@
 use crate::context::NodeContext;
 use crate::shared::live::LiveNode;
 
-/// Longest time for which the electors are taken for the same although no list has changed: a node
-/// counts for 20 s after its last sign of life. Gathering them takes time with the number of nodes,
-/// which a look each 20 ms would spend in vain.
+/// Longest time between two refreshes while no list changes: a node counts for 20 s after it was last
+/// known to be live. Collecting the electors takes time proportional to the number of nodes, which
+/// would be wasted at each step of 20 ms.
 const REFRESH: Duration = Duration::from_millis(500);
 
-/// The nodes that live, and those whose word counts.
+/// The live nodes, and those whose votes count.
 #[derive(Debug, Default)]
 pub(super) struct Electors {
     electorate: Electorate,
@@ -31,7 +31,7 @@
 }
 
 impl Electors {
-    /// Follows the lists of nodes.
+    /// Collects the nodes again if a list has changed or the last refresh is too old.
     pub fn follow(&mut self, context: &NodeContext, now: Instant) {
         let (live, listed) = (context.live.load(), context.listed_nodes.load());
         let is_same =
@@ -46,12 +46,12 @@
         self.gathered = Some(now);
     }
 
-    /// Nodes that live.
+    /// Live nodes.
     pub fn live(&self) -> &[NodeName] {
         &self.live
     }
 
-    /// Listed nodes that live, or did a while ago.
+    /// Listed nodes that are live, or were until recently.
     pub fn counted(&self) -> &[NodeName] {
         &self.counted
     }
--- a/crates/daemon/src/agent/promotion/executor.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -1,5 +1,10 @@
-//! Threads that carry commands out, so that a silent instance or a slow store holds nothing up.
-//! Each has one command under way; whoever gives more waits, and gives them again.
+//! Threads that execute the coordinator's commands, so that an instance that does not respond or a
+//! slow store does not block the coordinator.
+//!
+//! There is a thread for each instance and one for changes of the store, each with one command at a
+//! time; promotions and reads of incarnations have a thread for each call. Changes of the store are
+//! queued. An order to an instance is dropped if an earlier order to it is still queued; the attempt
+//! sends its orders again until the instance has answered.
 
 use std::collections::HashMap;
 use std::thread;
@@ -15,20 +20,20 @@
 
 use super::ReplacementServices;
 
-/// What a thread reports.
+/// Result of a command, or an event that follows from it.
 #[derive(Debug)]
 pub enum Report {
     /// An event of one group's attempt.
     Event(GroupName, Event),
-    /// A successor was recorded, or will be with the end of its attempt.
+    /// The successor was recorded, or will be recorded when its attempt ends.
     Installed,
-    /// The record of a group's attempt was taken back.
+    /// The intent of a group's attempt was removed from the store.
     Finished(GroupName),
-    /// A change of the store did not succeed: give it again.
+    /// A change of the store failed and has to be retried.
     StoreFailed(GroupName),
-    /// The hold was prolonged.
+    /// The coordinator lease was renewed, or its renewal has to be retried.
     Renewed(Hold),
-    /// The hold is over.
+    /// The coordinator lease has ended.
     LeaseOver,
 }
 
@@ -41,7 +46,7 @@
     Renew(Hold),
 }
 
-/// The threads.
+/// Sends commands to the threads that execute them.
 pub struct Executor {
     services: ReplacementServices,
     reports: Sender<Report>,
@@ -50,7 +55,7 @@
 }
 
 impl Executor {
-    /// Starts the thread for the store; the others start with their first command.
+    /// Starts the thread for the store; the thread of an instance starts with its first order.
     pub fn start(services: ReplacementServices) -> (Self, Receiver<Report>) {
         let (reports, received) = unbounded();
         let (store, commands) = bounded(64);
@@ -68,7 +73,7 @@
         (orders, received)
     }
 
-    /// Gives an order to an instance, unless its thread is still at an earlier one.
+    /// Sends an order to an instance, unless an earlier order to it is still queued.
     pub fn send_order(&mut self, target: ControlTarget, order: Order) {
         let sender = self.instances.entry(target.instance.clone()).or_insert_with(|| {
             let (sender, orders) = bounded::<(ControlTarget, Order)>(1);
@@ -88,24 +93,25 @@
             });
             sender
         });
-        // An order that finds its thread busy is given again.
+        // If an earlier order is still queued, this one is dropped: the attempt sends it again.
         let _ = sender.try_send((target, order));
     }
 
-    /// Has the platform promote an instance.
+    /// Asks the platform to promote an instance.
     pub fn promote(&self, group: GroupName, instance: InstanceName, holder: NodeName, hold: &Hold) {
         let promotions = self.services.promotions.clone();
         let (reports, fence) = (self.reports.clone(), hold.fence);
         let until = hold.until;
         spawn("promotion-call", move || {
-            // Read again: this process may have stood still. After its hold nothing is sent.
+            // The time is read again here, because this process may have been suspended. No promotion
+            // is sent after the end of the lease.
             let answer = match Instant::now() < until {
                 true => promotions.promote(&group, &instance, &holder, fence),
                 false => PromotionAnswer::Unknown,
             };
             log::info!(event = "promotion", group = group.as_str(), instance = instance.as_str(), fence = fence, answer:? = answer; "promotion call");
             let event = Event::Promoted { instance, answer };
-            // Whoever asked may be gone by now.
+            // The coordinator thread may have ended by now.
             let _ = reports.send(Report::Event(group, event));
         });
     }
@@ -115,23 +121,23 @@
         self.change(StoreCommand::Record(hold.clone(), group, intent));
     }
 
-    /// Asks the store which starts of their processes instances tell.
+    /// Reads the incarnations of instances from the store.
     pub fn read_starts(&self, group: GroupName, instances: Vec<InstanceName>) {
         let coordination = self.services.coordination.clone();
         let reports = self.reports.clone();
         spawn("promotion-starts", move || {
             let event = read_starts(coordination.as_ref(), &instances);
-            // Whoever asked may be gone by now.
+            // The coordinator thread may have ended by now.
             let _ = reports.send(Report::Event(group, event));
         });
     }
 
-    /// Records a successor.
+    /// Records the successor of a group's primary.
     pub fn install(&self, hold: &Hold, group: GroupName, successor: InstanceName) {
         self.change(StoreCommand::Install(hold.clone(), group, successor));
     }
 
-    /// Takes a record back.
+    /// Removes the intent of an attempt that has ended.
     pub fn finish(
         &self,
         hold: &Hold,
@@ -142,13 +148,14 @@
         self.change(StoreCommand::Finish(hold.clone(), group, id, successor));
     }
 
-    /// Prolongs the hold.
+    /// Renews the coordinator lease.
     pub fn renew(&self, hold: &Hold) {
         self.change(StoreCommand::Renew(hold.clone()));
     }
 
     fn change(&self, command: StoreCommand) {
-        // With 64 changes waiting the store has not answered for long: the hold is over soon.
+        // A full queue of 64 changes means that the store has not responded for a long time, so the
+        // lease is about to end.
         let _ = self.store.try_send(command);
     }
 }
@@ -173,7 +180,7 @@
             match coordination.install(&hold, &group, &successor) {
                 Ok(true) => Report::Installed,
                 Ok(false) => Report::LeaseOver,
-                // It is recorded with the end of the attempt at the latest.
+                // Not retried: the successor is recorded when the attempt ends at the latest.
                 Err(_) => Report::Installed,
             }
         }
@@ -187,7 +194,7 @@
         StoreCommand::Renew(hold) => match coordination.renew(&hold) {
             Ok(Some(renewed)) => Report::Renewed(renewed),
             Ok(None) => Report::LeaseOver,
-            // It lasts as long as it did; the next attempt may succeed.
+            // The lease keeps its end; the next renewal may succeed.
             Err(_) => Report::Renewed(hold),
         },
     }
@@ -204,7 +211,7 @@
     }
 }
 
-/// What an order's outcome means for the attempt.
+/// The events for the attempt that follow from the outcome of an order.
 fn events_of(
     target: &ControlTarget,
     order: Order,
@@ -222,7 +229,7 @@
         }
         Err(ControlError::Refused) => vec![Event::Refused { instance, sent }],
         Err(ControlError::Displaced) => vec![Event::Displaced { instance, sent }],
-        // An instance that has nothing to be released from says so.
+        // An instance that was not stopped rejects the release.
         Err(ControlError::Rejected(_)) if order == Order::Release => {
             vec![Event::Released(instance)]
         }
--- a/crates/daemon/src/agent/promotion/mod.rs
+++ b/crates/daemon/src/agent/promotion/mod.rs
@@ -1,14 +1,16 @@
-//! Replaces primaries where their groups do not elect: watches them, agrees with the other nodes
-//! through the store, and acts while this node holds the right to.
+//! Replaces the primaries of groups that do not elect their own: watches the primaries, publishes
+//! this node's votes through the store, and replaces primaries while this node is the coordinator.
 //!
-//! Decisions are in `core::suspicion` and `core::promotion` (which primaries are to be replaced by
-//! everybody's word, and each step of that); here threads carry them out.
+//! The decisions are made in `core::suspicion` (which primaries this node suspects) and
+//! `core::promotion` (which primaries the votes of all nodes replace, and each step of a replacement).
+//! The threads in this module carry them out:
 //!
-//! * [`watch`] judges each group's primary by this node's own exchanges, and says what it suspects;
-//! * [`holder`] acts on that while it holds the right to;
-//! * [`looks`] ask the store whether nobody replaces a primary, to confirm what replicas say;
-//! * [`write_back`] records again what the store has lost by coming back from a copy;
-//! * [`orders`] are the threads that talk to instances, the store and the platform.
+//! * [`watch`] assesses each group's primary by this node's own exchanges and publishes the votes;
+//! * [`coordinator`] runs primary replacements while this node holds the coordinator lease;
+//! * [`replacement_checker`] confirms with the store that no primary replacement is running, which
+//!   makes the status reports of replicas usable as evidence for their primary;
+//! * [`write_back`] records again what a store restore has lost;
+//! * [`executor`] runs the threads that call instances, the store and the platform.
 
 mod announcer;
 mod coordinator;
@@ -28,13 +30,13 @@
 
 pub use watch::run;
 
-/// What replacing primaries needs of the platform.
+/// Platform services that primary replacement uses.
 #[derive(Clone)]
 pub struct ReplacementServices {
-    /// How nodes agree.
+    /// Coordination between nodes through the store: votes, intents and the coordinator lease.
     pub coordination: Arc<dyn Coordination>,
-    /// How instances are told.
+    /// Sends orders to instances.
     pub control: Arc<dyn InstanceControl>,
-    /// How one is promoted.
+    /// Asks the platform to promote a replica.
     pub promotions: Arc<dyn Promotions>,
 }
--- a/crates/daemon/src/agent/promotion/owned.rs
+++ b/crates/daemon/src/agent/promotion/owned.rs
@@ -1,4 +1,4 @@
-//! The groups that this node owns: gathered when owners change, not at each look.
+//! The groups that this node owns, collected when the owners change and not at each step.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::context::NodeContext;
 use crate::ownership::OwnershipSnapshot;
 
-/// The groups that this node is one of several owners of, by the newest owners.
+/// The groups that this node is an owner of.
 #[derive(Debug, Default)]
 pub(super) struct OwnedGroups {
     owners: Arc<OwnershipSnapshot>,
@@ -15,7 +15,7 @@
 }
 
 impl OwnedGroups {
-    /// The groups by the owners as they are now.
+    /// The groups by the current owners.
     pub fn follow(&mut self, context: &NodeContext) -> Arc<[GroupName]> {
         let owners = context.ownerships();
         if !Arc::ptr_eq(&owners, &self.owners) {
--- a/crates/daemon/src/agent/promotion/replacement_checker.rs
+++ b/crates/daemon/src/agent/promotion/replacement_checker.rs
@@ -1,7 +1,8 @@
-//! Looks at the store that confirm the word of replicas: nobody replaces the primary.
+//! Replacement checks: requests to the store that confirm that no primary replacement is running.
 //!
-//! A look asks the store whether this node's copy is complete. If so, what the copy says of replacements
-//! and of the instance promoted last held when the look began.
+//! Replicas' status reports are evidence for a primary only together with such a check. A check asks
+//! the store whether this node's copy of the replacement state is complete. If it is, the intents and
+//! the last promoted instance in the copy were valid when the check began.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,30 +17,30 @@
 use super::ReplacementServices;
 use crate::context::NodeContext;
 
-/// Least time between two looks of a node: calls of the store are few and dear, and evidence that a
-/// look confirms lasts for a second.
+/// Least time between two checks of a node. Requests to the store are limited in number and
+/// expensive, and the evidence that a check confirms lasts for a second.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// A look that was answered.
+/// Result of a check.
 #[derive(Clone, Copy, Debug)]
 struct Looked {
-    /// When it began.
+    /// When the check began.
     asked: Instant,
-    /// Revision of the copy, if the store had nothing newer.
+    /// Revision of the copy, if the copy is complete.
     revision: Option<u64>,
 }
 
-/// Looks of one node, one at a time.
+/// Runs the replacement checks of a node, one at a time.
 pub struct ReplacementChecker {
     requests: Sender<()>,
     answers: Receiver<Looked>,
-    /// Groups that the look under way is for.
+    /// Groups that the check in progress is for.
     under_way: Option<BTreeSet<GroupName>>,
     last: Option<Instant>,
 }
 
 impl ReplacementChecker {
-    /// Starts the thread that asks the store; it ends with the looks.
+    /// Starts the thread that sends the requests; it ends when the checker is dropped.
     pub fn start(services: &ReplacementServices) -> Self {
         let (requests, wanted) = bounded::<()>(1);
         let (answered, answers) = unbounded();
@@ -53,8 +54,8 @@
         Self { requests, answers, under_way: None, last: None }
     }
 
-    /// Takes in the look that was answered, and begins one if groups wait for it. `view` is what this
-    /// node goes by.
+    /// Takes in the result of a check, and begins another one if groups wait for it. `view` is the copy
+    /// of the replacement state that this node uses.
     pub fn step(&mut self, context: &NodeContext, view: &CoordinationView, now: Instant) {
         match self.answers.try_recv() {
             Ok(looked) => {
@@ -62,7 +63,7 @@
                 take_in(&groups, looked, context, view);
             }
             Err(TryRecvError::Empty) => {}
-            // The thread could not be started, which was told.
+            // The thread could not be started, which was logged.
             Err(TryRecvError::Disconnected) => return,
         }
         let is_early = self.last.is_some_and(|last| now < last + PAUSE);
--- a/crates/daemon/src/agent/promotion/status_queries.rs
+++ b/crates/daemon/src/agent/promotion/status_queries.rs
@@ -1,8 +1,9 @@
-//! What instances say when they are asked for themselves: primaries, because others suspect them or they may be
-//! old ones, and instances that have started again.
+//! Direct status queries to instances: to primaries that other nodes suspect or that may be old
+//! primaries, and to restarted instances.
 //!
-//! A primary that says that it leads a term lower than one that has been led is told to step down at once: it
-//! would answer commits at nodes that have not heard of its successor.
+//! A primary that reports a lower term than the highest one known to have been led is an old primary.
+//! It is ordered to step down at once, because otherwise it would acknowledge commits at nodes that have
+//! not learned of its successor.
 
 use std::collections::HashMap;
 use std::thread;
@@ -18,31 +19,31 @@
 
 use super::ReplacementServices;
 
-/// How long an opinion counts.
+/// Time for which an assessment is used.
 const OPINION_LIFE: Duration = Duration::from_millis(600);
 
 pub(super) type Subject = (GroupName, InstanceName);
 
-/// What asking a primary for itself showed.
+/// What a status query showed about a primary.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Assessment {
-    /// Why it is to be replaced, if it is.
+    /// Why the primary has to be replaced, if it has to be.
     pub cause: Option<Cause>,
     at: Instant,
 }
 
-/// How an instance that was asked for itself stands.
+/// The replication status that an instance reported.
 #[derive(Clone, Debug)]
 pub(super) struct StatusReport {
     /// The instance.
     pub subject: Subject,
-    /// How it stands.
+    /// Its replication status.
     pub standing: Standing,
-    /// When it was asked.
+    /// When the query was sent.
     pub asked: Instant,
 }
 
-/// What a question came to.
+/// Result of a query.
 struct Answered {
     subject: Subject,
     opinion: Assessment,
@@ -50,7 +51,7 @@
     asked: Instant,
 }
 
-/// Questions to primaries, each in a thread of its own, and what they showed.
+/// Status queries, each in a thread of its own, and the assessments that follow from them.
 pub(super) struct StatusQueries {
     known: HashMap<Subject, Assessment>,
     asking: Vec<Subject>,
@@ -59,18 +60,18 @@
 }
 
 impl StatusQueries {
-    /// Nobody has been asked.
+    /// Starts without queries and assessments.
     pub fn new() -> Self {
         let (answered, answers) = unbounded();
         Self { known: HashMap::new(), asking: Vec::new(), answers, answered }
     }
 
-    /// Whether a question is under way.
+    /// Whether a query is in progress.
     pub fn is_asking(&self) -> bool {
         !self.asking.is_empty()
     }
 
-    /// Takes in what has been answered, and drops what is old. Returns how instances have said that they stand.
+    /// Takes in the results that have arrived and drops expired assessments. Returns the status reports.
     pub fn step(&mut self, now: Instant) -> Vec<StatusReport> {
         let mut standings = Vec::new();
         for Answered { subject, opinion, standing, asked } in self.answers.try_iter() {
@@ -83,13 +84,13 @@
         standings
     }
 
-    /// What a primary showed a moment ago.
+    /// The current assessment of a primary.
     pub fn of(&self, group: &GroupName, primary: &InstanceName) -> Option<Assessment> {
         self.known.get(&(group.clone(), primary.clone())).copied()
     }
 
-    /// Asks a primary, unless it has been asked a moment ago; `highest` is the highest term of
-    /// its group that is known to have been led.
+    /// Sends a query to an instance, unless one is in progress or its assessment has not expired.
+    /// `highest` is the highest term of its group that is known to have been led.
     pub fn ask(&mut self, target: ControlTarget, highest: Term, services: &ReplacementServices) {
         let subject = (target.group.clone(), target.instance.clone());
         if self.asking.contains(&subject) || self.known.contains_key(&subject) {
@@ -104,7 +105,7 @@
                 let standing = outcome.as_ref().ok().copied();
                 let cause = judge(control.as_ref(), &target, highest, outcome);
                 let opinion = Assessment { cause, at: Instant::now() };
-                // The node may be stopping.
+                // The receiver is gone if the node is stopping.
                 let _ = answered.send(Answered { subject, opinion, standing, asked });
             });
         if let Err(error) = spawned {
@@ -113,7 +114,8 @@
     }
 }
 
-/// Why a primary that answered so is to be replaced, if it is. An old one is told to step down.
+/// Why a primary with this query result has to be replaced, if it has to be. Orders an old primary to
+/// step down.
 fn judge(
     control: &dyn InstanceControl,
     target: &ControlTarget,
--- a/crates/daemon/src/agent/promotion/vote_publisher.rs
+++ b/crates/daemon/src/agent/promotion/vote_publisher.rs
@@ -1,4 +1,5 @@
-//! The thread that tells the store what this node suspects, newest first.
+//! The thread that writes this node's votes to the store. It writes the newest votes only and retries
+//! until the store has accepted them.
 
 use std::sync::Arc;
 use std::thread;
@@ -11,7 +12,7 @@
 use crate::context::NodeContext;
 use crate::supervisor::StopFlag;
 
-/// Time between two attempts at telling the store.
+/// Delay before a failed write is retried.
 const VOTE_RETRY: Duration = Duration::from_millis(100);
 
 /// Starts the thread; it ends when the sender is dropped or the node stops.
--- a/crates/daemon/src/agent/promotion/watch.rs
+++ b/crates/daemon/src/agent/promotion/watch.rs
@@ -1,4 +1,15 @@
-//! Watches the primaries: says what this node suspects, and has it act where it is its turn.
+//! Watches the primaries: publishes which of them this node suspects, follows the replacements that
+//! other nodes run, and makes this node the coordinator when it is its turn.
+//!
+//! Each step of the watcher
+//!
+//! * takes in the catalog and the replacement state from the store and from coordinators;
+//! * revokes this node's evidence for primaries that are being replaced, and reports that to the
+//!   coordinator, which otherwise has to wait until the evidence expires;
+//! * votes for the replacement of primaries that this node suspects, by its own exchanges and, if
+//!   these are not recent, by a direct status query;
+//! * computes from all votes which groups need a replacement, and starts the coordinator thread for
+//!   them if no other node is the coordinator.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -30,16 +41,17 @@
 use crate::shard::mailbox::{Mailboxes, ShardMessage};
 use crate::supervisor::StopFlag;
 
-/// Time between two looks while something is suspected, replaced or asked.
+/// Time between two steps while a primary is suspected, replaced or queried.
 const STEP: Duration = Duration::from_millis(20);
-/// The same while nothing is: a suspicion needs several hundred milliseconds of silence, and each look
-/// wakes a node that has nothing to do.
+/// Time between two steps otherwise. A suspicion needs several hundred milliseconds without a
+/// response, and each step wakes a node that has nothing to do.
 const CALM_STEP: Duration = Duration::from_millis(50);
-/// Time that a node waits for each that is before it, so that not all act at once.
+/// Delay before a node tries to become the coordinator, for each live node that is ahead of it in the
+/// order of turns, so that not all nodes try at once.
 const TURN: Duration = Duration::from_millis(120);
-/// An answer of a primary that is younger than this needs no second opinion.
+/// A primary whose last response is more recent than this is not suspected because of other nodes' votes.
 const RECENT_ANSWER: Duration = Duration::from_millis(100);
-/// Time between two messages to a holder.
+/// Time between two messages to a coordinator.
 const TELL_INTERVAL: Duration = Duration::from_millis(60);
 
 struct Watcher<'a> {
@@ -48,11 +60,11 @@
     judge: Judge,
     needs_judge: NeedsJudge,
     known: KnownInstances,
-    /// The catalog that was followed last.
+    /// The catalog that was taken in last.
     followed: Arc<IndexedCatalog>,
     owned: OwnedGroups,
     view: Arc<CoordinationView>,
-    /// Replacements that this node has heard of, from the store or from whoever carries them out.
+    /// Running replacements, as reported by the store or by their coordinators.
     intents: BTreeMap<GroupName, Intent>,
     telling: ReplacementAnnouncer,
     era: KnownEra,
@@ -60,8 +72,8 @@
     votes: NodeVotes,
     voter: Sender<NodeVotes>,
     opinions: StatusQueries,
-    /// Questions to instances that have started again, and their primaries: no answer to one of these is an
-    /// opinion of a primary.
+    /// Queries to restarted instances and their primaries. Their results are not used as assessments
+    /// of a primary.
     refill_questions: StatusQueries,
     situation: SharedCoordinatorInput,
     needed_since: Option<Instant>,
@@ -69,11 +81,11 @@
     looks: ReplacementChecker,
     mailboxes: &'a Mailboxes,
     stop: &'a StopFlag,
-    /// When holders were last told that evidence has been given up.
+    /// When coordinators were last told which evidence this node has revoked.
     told: Option<Instant>,
 }
 
-/// Watches until told to stop.
+/// Watches the primaries until `stop` is set.
 pub fn run(
     context: &Arc<NodeContext>,
     mailboxes: &Mailboxes,
@@ -130,7 +142,7 @@
         self.act(needs, now);
     }
 
-    /// Time until the next look.
+    /// Time until the next step.
     fn pause(&self) -> Duration {
         let nothing_said = self.view.votes.is_empty() && self.votes.is_empty();
         let nothing_begun = self.intents.is_empty() && self.needed_since.is_none();
@@ -138,7 +150,7 @@
         if is_calm { CALM_STEP } else { STEP }
     }
 
-    /// Takes in the catalog if it is another one than before; otherwise only time has passed.
+    /// Takes in the catalog if it has changed since the last step.
     fn follow_catalog(&mut self, catalog: &Arc<IndexedCatalog>, now: Instant) {
         if Arc::ptr_eq(catalog, &self.followed) {
             self.known.pass_time(now);
@@ -169,13 +181,13 @@
         self.view = view;
     }
 
-    /// Takes in which replacements are under way, by the store or by those who carry them out.
+    /// Takes in which replacements are running, as reported by the store or by their coordinators.
     fn follow_intents(&mut self, view: &CoordinationView, now: Instant) {
         let intents = self.context.replacements.intents(now);
         if intents == self.intents {
             return;
         }
-        // Before the holder hears of it: from here on nothing is read on older evidence.
+        // Evidence is revoked before the coordinator is told: from here on no read relies on it.
         let heeded = heeded(&intents);
         self.context.statuses.follow_replacements(&heeded);
         log::info!(
@@ -191,8 +203,9 @@
         self.tell_holders();
     }
 
-    /// The store has come back from an older copy: what this node has told it is told again, and nothing that
-    /// it says of replacements is taken for complete yet.
+    /// Handles a store restore: the copy may lack this node's votes and the replacement records of its
+    /// groups, so the node writes both again. `KnownEra` tracks for how long the replacement state in
+    /// the store may be incomplete.
     fn on_store_came_back(&mut self, view: &CoordinationView) {
         self.context.metrics.store_returns.inc();
         log::warn!(
@@ -204,14 +217,15 @@
             "what this node has told the store is told again"
         );
         if !self.votes.is_empty() {
-            // The voter lives as long as the node.
+            // The vote publisher runs until the node stops.
             let _ = self.voter.send(self.votes.clone());
         }
         let owned = self.owned.follow(self.context);
         write_back::start(self.services, owned.to_vec(), self.stop);
     }
 
-    /// Takes in which terms have been led: whoever leads a lower one is an old primary, whatever it says.
+    /// Takes in the terms that promoted instances lead. An instance that leads a lower term is an old
+    /// primary, whatever role it reports.
     fn follow_successors(&self, view: &CoordinationView) {
         for (group, successor) in &view.promoted {
             let is_new = self.view.promoted.get(group) != Some(successor);
@@ -221,8 +235,8 @@
         }
     }
 
-    /// Tells whoever replaces a primary that this node has given its evidence up; again and again,
-    /// because a message may be lost.
+    /// Tells each coordinator that this node has revoked its evidence of the primary being replaced.
+    /// The message is repeated for as long as the replacement runs, because it may be lost.
     fn tell_holders(&mut self) {
         let now = Instant::now();
         let told = self.told.is_some_and(|told| now < told + TELL_INTERVAL);
@@ -257,7 +271,7 @@
         }
     }
 
-    /// Takes in what instances have said that were asked for themselves.
+    /// Takes in the status reports of instances that were queried directly.
     fn take_in_answers(&mut self, now: Instant) {
         let answers = self.opinions.step(now).into_iter().chain(self.refill_questions.step(now));
         for answer in answers {
@@ -266,8 +280,9 @@
         }
     }
 
-    /// Asks instances that have started again, and their primaries, how much they have received: whoever
-    /// replaces a primary counts them once a node has seen that they hold everything. Owners alone, as in votes.
+    /// Asks restarted instances and their primaries how much they have received. A coordinator counts a
+    /// restarted instance once a node has seen that it has received everything. Only owners ask, as in
+    /// [`Self::vote`].
     fn watch_refills(&mut self) {
         let owned = self.owned.follow(self.context);
         let refilling = self.known.refilling_groups().filter(|group| owned.contains(*group));
@@ -281,10 +296,11 @@
         }
     }
 
-    /// Says what this node suspects now, if that has changed.
+    /// Publishes which primaries this node suspects, if that has changed.
     fn vote(&mut self, catalog: &IndexedCatalog, now: Instant) {
         let mut votes = NodeVotes::new();
-        // Others send a group's primary nothing, and would only take connections to ask it.
+        // Only owners send requests to a group's primary. For other nodes a query would only take up
+        // connections of the instance.
         for name in self.owned.follow(self.context).iter() {
             let Some(group) = catalog.groups.get(name) else { continue };
             let Some(primary) = self.context.leader(name, group) else { continue };
@@ -296,7 +312,7 @@
         if votes != self.votes {
             log::info!(event = "vote", votes:? = votes; "what this node suspects has changed");
             self.votes.clone_from(&votes);
-            // The voter lives as long as the node.
+            // The vote publisher runs until the node stops.
             let _ = self.voter.send(votes);
         }
     }
@@ -309,7 +325,7 @@
     ) -> Option<Cause> {
         let mut signs = self.context.statuses.signs(group, primary);
         if signs.is_outdated && !self.says_it_is_outdated(group, primary) {
-            // What is known of its term may be from before it was promoted again.
+            // The known term may be from before this instance was promoted again, so ask it first.
             signs.is_outdated = false;
             self.ask(group, primary);
         }
@@ -326,7 +342,7 @@
         self.opinions.of(group, primary)?.cause
     }
 
-    /// Whether the primary has said a moment ago that it leads a term lower than one that has been seen.
+    /// Whether a recent status query showed that the primary leads a lower term than the newest known one.
     fn says_it_is_outdated(&self, group: &GroupName, primary: &InstanceName) -> bool {
         let opinion = self.opinions.of(group, primary);
         opinion.is_some_and(|opinion| opinion.cause == Some(Cause::Outdated))
@@ -344,15 +360,16 @@
         Some(ControlTarget { group: group.clone(), instance: instance.clone(), address })
     }
 
-    /// Asks a primary for itself.
+    /// Sends a status query to a primary.
     fn ask(&mut self, group: &GroupName, primary: &InstanceName) {
         let Some(target) = self.target(group, primary) else { return };
         let highest = self.context.statuses.highest_led_term(group);
         self.opinions.ask(target, highest, self.services);
     }
 
-    /// Asks others that say they lead beside the primary, unless they are known to lead the newest term: a node
-    /// out of reach of the store may take one of them for the primary.
+    /// Sends status queries to the other instances of a group that report the role of primary. A node
+    /// that cannot reach the store may use one of them as the primary; an instance that leads a lower
+    /// term than the newest known one is ordered to step down.
     fn question_others_that_lead(
         &mut self,
         name: &GroupName,
@@ -418,8 +435,9 @@
         }
     }
 
-    /// Tells the thread that acts, if there is one, of the groups that need something, and of those that it
-    /// acts on already: it copies what it is told at each of its steps.
+    /// Passes the needs to the coordinator thread, with the instances of the groups that need a
+    /// replacement and, if the thread runs, of those that it was given before. No other groups are
+    /// included, because the thread copies its input at each step.
     fn tell_holder_thread(&self, needs: BTreeMap<GroupName, Need>, now: Instant) {
         let mut situation = self.situation.lock().unwrap_or_else(PoisonError::into_inner);
         let acted_on: Vec<GroupName> = match self.acting {
@@ -431,7 +449,7 @@
         situation.starts_may_be_old = self.era.starts_may_be_old(now);
     }
 
-    /// How many live nodes are before this one.
+    /// Number of live nodes that are ahead of this one in the order of turns.
     fn turn(&self) -> u32 {
         let weight = |node: &NodeName| xxh3_64(node.as_str().as_bytes());
         let own = weight(&self.context.identity.node);
--- a/crates/daemon/src/agent/promotion/write_back.rs
+++ b/crates/daemon/src/agent/promotion/write_back.rs
@@ -1,5 +1,6 @@
-//! Records again what the store has lost of replacements by coming back from a copy: whoever starts later knows by
-//! that which of two primaries is the old one, and begins nothing again that is over.
+//! Records again what the store has lost about replacements in a store restore. From these records,
+//! nodes that start later can tell which of two primaries is the old one, and do not repeat a
+//! replacement that has ended.
 
 use std::thread;
 use std::time::Duration;
@@ -13,14 +14,15 @@
 const FIRST_RETRY: Duration = Duration::from_millis(100);
 const LAST_RETRY: Duration = Duration::from_secs(2);
 
-/// Records what concerns `groups`, in a thread of its own; what the store still has costs no call.
+/// Records the replacement state of `groups` again, in a thread of its own. Records that the store still
+/// has cost no request.
 pub(super) fn start(services: &ReplacementServices, groups: Vec<GroupName>, stop: &StopFlag) {
     let (coordination, stop) = (services.coordination.clone(), stop.clone());
     let spawned = thread::Builder::new().name("promotion-write-back".to_owned()).spawn(move || {
         let mut backoff = Backoff::new(FIRST_RETRY, LAST_RETRY);
         let mut groups = groups;
         let era = coordination.era();
-        // The next return is another thread's.
+        // Another store restore starts another thread.
         while !groups.is_empty() && !stop.is_stopping() && coordination.era() == era {
             groups.retain(|group| match coordination.write_back(group) {
                 Ok(()) => false,
--- a/crates/daemon/src/shared/address_occupants.rs
+++ b/crates/daemon/src/shared/address_occupants.rs
@@ -1,8 +1,8 @@
-//! Which instance answers at an address, by its own word.
+//! Which instance runs at an address, as shown by the connections that it has accepted.
 //!
-//! An instance that crashed is told for seconds after another one has started at its address. Each is
-//! spoken to under its own name, so whoever accepts a connection under that name is there, and every other
-//! one told there has ended.
+//! The configuration lists an instance that crashed for seconds after another one has started at its
+//! address. Each connection names the instance that it is for. So the instance that accepts a connection
+//! under its name runs at the address, and every other one that is listed there has ended.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,19 +12,19 @@
 use kestrellock_core::ids::InstanceName;
 
 const POISONED: &str = "a holder of the lock on addresses panicked";
-/// Most addresses that are remembered. Beyond it all are forgotten: each is learnt again with the next
-/// connection that is made there.
+/// Most addresses that are kept. When the limit is reached, all are dropped: each is learned again with
+/// the next connection to it.
 const MAX_ADDRESSES: usize = 16_384;
 
-/// Who was last heard at each address.
+/// The instance that last accepted a connection at each address.
 #[derive(Debug, Default)]
 pub struct AddressOccupants {
     by_address: ShardedLock<HashMap<SocketAddr, InstanceName>>,
 }
 
 impl AddressOccupants {
-    /// `instance` has accepted a connection under its name. Returns the instance that was heard there
-    /// before, if that was another one.
+    /// Records that `instance` has accepted a connection under its name. Returns the instance that was
+    /// known at the address before, if it was a different one.
     pub fn on_answered(
         &self,
         address: SocketAddr,
@@ -44,7 +44,7 @@
         known.insert(address, instance.clone())
     }
 
-    /// Whether another instance of its group stands at the address of `instance`.
+    /// Whether another instance of its group runs at the address of `instance`.
     pub fn is_displaced(&self, group: &Group, instance: &Instance) -> bool {
         let is_other =
             |other: &Instance| other.address == instance.address && other.name != instance.name;
@@ -53,7 +53,7 @@
         }
         let known = self.by_address.read().expect(POISONED);
         let occupant = known.get(&instance.address);
-        // One that is not told any more says nothing of those that are.
+        // An instance that is no longer listed in the group shows nothing about the listed ones.
         occupant.is_some_and(|name| *name != instance.name && group.instance(name).is_some())
     }
 }
--- a/crates/daemon/src/shared/exchange_record.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -1,4 +1,4 @@
-//! What this node's own exchanges with one instance tell of it.
+//! What this node's own exchanges and connections with one instance show about it.
 
 use std::time::{Duration, Instant};
 
@@ -7,15 +7,15 @@
 use kestrellock_core::routing::Role;
 use kestrellock_core::suspicion::{GivenUpRequests, Signs};
 
-/// Time between two questions to an instance in doubt: reads avoid it, so that nothing else would show
-/// that it answers. A question costs a slot for a moment; half a second is a tenth of what an instance
-/// that is silent takes to be replaced or to return.
+/// Time between two status queries to an instance in doubt. Reads avoid such an instance, so without
+/// queries nothing would show that it responds again. A query uses a connection slot for a moment. Half
+/// a second is a tenth of the time until an unresponsive instance is replaced or returns.
 const DOUBT_QUESTION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Weight of the newest answer in the mean service time: one in so many.
+/// The newest response has a weight of one in this many in the mean service time.
 const SERVICE_WEIGHT: u32 = 8;
 
-/// An exchange that waits for its answer.
+/// An exchange that waits for its response.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     number: u64,
@@ -23,24 +23,24 @@
     commits: bool,
 }
 
-/// What this node's own exchanges with an instance tell of it.
+/// State of one instance as derived from this node's own exchanges and connections with it.
 #[derive(Clone, Debug, Default)]
 pub struct ExchangeRecord {
-    /// Position that it last told.
+    /// Position that the instance last reported.
     pub last_position: Option<Position>,
-    /// When it told that.
+    /// When it reported that position.
     pub last_position_at: Option<Instant>,
-    /// Highest term by its own word. Its position lags behind that: until the first commit of a new
-    /// term its log ends with one of the term before.
+    /// Highest term that it reported. Its position lags behind: until the first commit of a new term, its
+    /// log ends with a record of the previous term.
     term: Option<Term>,
-    /// Highest term that it has shown to lead: by saying so, or by a commit that it answered. The terms
-    /// of its positions do not show it: a primary that was demoted tells those of its successor.
+    /// Highest term that it has been shown to lead: by its own report, or by a commit that it answered.
+    /// The terms of its positions do not show that: a demoted primary reports those of its successor.
     leads: Option<Term>,
-    /// Mean time that its answers took lately.
+    /// Moving average of its response time.
     pub mean_service_time: Option<Duration>,
-    /// Whether an exchange or a connection has failed there since it last answered.
+    /// Whether an exchange or a connection has failed since it last responded.
     pub in_doubt: bool,
-    /// When it was last asked how it stands because it is in doubt.
+    /// When it was last sent a status query because it is in doubt.
     asked_in_doubt: Option<Instant>,
     waiting: Vec<Waiting>,
     given_up: GivenUpRequests,
@@ -48,23 +48,24 @@
     next_number: u64,
     answered: Option<Instant>,
     refused: Option<Instant>,
-    /// Which start of its process the platform tells.
+    /// Incarnation of its process that the platform reported last.
     incarnation: Option<InstanceIncarnation>,
 }
 
 impl ExchangeRecord {
-    /// Exchanges that are under way.
+    /// Number of exchanges in flight.
     pub fn in_flight(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Which start of its process the platform told last.
+    /// Incarnation of its process that the platform reported last.
     pub(super) fn incarnation(&self) -> Option<InstanceIncarnation> {
         self.incarnation
     }
 
-    /// The platform tells which start of its process this is. Returns whether it has started again: then
-    /// nothing is known of it but what is under way on connections, which end with the process before.
+    /// Takes in the incarnation that the platform reports. Returns whether the instance has restarted.
+    /// In that case everything is reset except for the exchanges in flight, whose connections end with
+    /// the previous process.
     pub(super) fn on_incarnation(&mut self, incarnation: InstanceIncarnation) -> bool {
         let now = Some(incarnation);
         let has_started_again = has_started_again(self.incarnation, now);
@@ -76,7 +77,8 @@
         has_started_again
     }
 
-    /// An exchange was sent at `sent`; `commits`: it may commit. Returns its number.
+    /// Records an exchange that was sent at `sent`; `commits` says whether it may commit. Returns its
+    /// number.
     pub(super) fn on_sent(&mut self, sent: Instant, commits: bool) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -84,7 +86,8 @@
         number
     }
 
-    /// What it shows of the instance's health; whether it commits is known of its group.
+    /// Signs of the instance's health, except for what is known only of its group: the last commit, and
+    /// whether the instance is an old primary.
     pub(super) fn signs(&self) -> Signs {
         let waiting = self.waiting.iter().map(|waiting| waiting.sent);
         let now = Instant::now();
@@ -101,33 +104,33 @@
         }
     }
 
-    /// Whether it is to be asked now how it stands, to take the doubt back.
+    /// Whether a status query is due, because the instance is in doubt.
     pub(super) fn is_status_query_due(&self, now: Instant) -> bool {
         let asked = self.asked_in_doubt;
         self.in_doubt && asked.is_none_or(|asked| now >= asked + DOUBT_QUESTION_INTERVAL)
     }
 
-    /// It is asked now how it stands, because it is in doubt.
+    /// Records that a status query is sent because the instance is in doubt.
     pub(super) fn on_status_query(&mut self, now: Instant) {
         self.asked_in_doubt = Some(now);
     }
 
-    /// Highest term by its own word.
+    /// Highest term that it reported.
     pub(super) fn term(&self) -> Option<Term> {
         self.term
     }
 
-    /// Highest term that it has shown to lead.
+    /// Highest term that it has been shown to lead.
     pub(super) fn led_term(&self) -> Option<Term> {
         self.leads
     }
 
-    /// It has shown that it leads `term`.
+    /// Records that it has been shown to lead `term`.
     pub(super) fn on_led_term(&mut self, term: Term) {
         self.leads = self.leads.max(Some(term));
     }
 
-    /// It said how it stands: it answers, whatever failed there before.
+    /// Takes in its replication status. The instance responds, so earlier failures no longer count.
     pub(super) fn on_replication_status(&mut self, role: Role, term: Term) {
         self.in_doubt = false;
         if role == Role::Primary {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// An exchange is over, answered or not.
+    /// Records the end of an exchange, with its response if there was one.
     pub(super) fn on_ended(&mut self, number: u64, answer: Option<&ExchangeResponse>) {
         let place = self.waiting.iter().position(|waiting| waiting.number == number);
         let ended = place.map(|place| self.waiting.swap_remove(place));
@@ -154,7 +157,7 @@
         }
     }
 
-    /// What became of a connection to it.
+    /// Records the outcome of a connection to it.
     pub(super) fn on_connection(&mut self, reachability: ConnectionOutcome) {
         self.in_doubt = !matches!(reachability, ConnectionOutcome::Established(_));
         match reachability {
@@ -198,25 +201,25 @@
     }
 }
 
-/// What became of a connection to an instance.
+/// Outcome of a connection to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOutcome {
-    /// It was made; the instance told this position.
+    /// The connection was established, and the instance reported this position.
     Established(Option<Position>),
-    /// It could not be made.
+    /// The connection could not be established.
     Refused,
-    /// It broke, or was given up, with something under way.
+    /// The connection broke, or was closed, with an exchange in flight.
     Broken,
 }
 
-/// An answer of an instance, as far as it tells of the instance.
+/// The parts of a response that show something about the instance.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeResponse {
     /// When the exchange was sent.
     pub sent: Instant,
-    /// When its answer ended.
+    /// When its response was complete.
     pub at: Instant,
-    /// Position that it told.
+    /// Position that the instance reported.
     pub position: Option<Position>,
     /// Role of the instance.
     pub role: Option<Role>,
--- a/crates/daemon/src/shared/inbox.rs
+++ b/crates/daemon/src/shared/inbox.rs
@@ -1,18 +1,18 @@
-//! Configuration messages from peers, on their way from the shards to the agent.
+//! Queue of configuration messages from peers, from the shards to the agent.
 
 use crossbeam::channel::{Receiver, Sender, bounded};
 use kestrellock_core::ids::NodeName;
 use kestrellock_peer::message::ConfigurationMessage;
 
-/// Messages kept; more are dropped, and their senders ask again.
+/// Most messages that are queued. Further ones are dropped, and their senders retry.
 const CAPACITY: usize = 1024;
 
-/// A message and where it came from.
+/// A message and its origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
     /// Sender.
     pub from: NodeName,
-    /// Shard whose connection it arrived on; an answer goes back over the same.
+    /// Shard whose connection it arrived on; an answer uses the same one.
     pub shard: u16,
     /// The message.
     pub message: ConfigurationMessage,
@@ -34,9 +34,9 @@
 }
 
 impl Inbox {
-    /// Hands a message to the agent, unless it is overrun.
+    /// Passes a message to the agent, unless the queue is full.
     pub fn deliver(&self, received: Received) {
-        // A dropped message is one that the network lost.
+        // A message that is dropped here has the same effect as one lost in the network.
         let _ = self.sender.try_send(received);
     }
 }
--- a/crates/daemon/src/shared/live.rs
+++ b/crates/daemon/src/shared/live.rs
@@ -1,4 +1,4 @@
-//! Nodes believed to live, and values that threads replace whole.
+//! Nodes that are considered live, and a container for values that are replaced as a whole.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -9,19 +9,20 @@
 use kestrellock_core::ids::NodeName;
 use kestrellock_core::rendezvous::Candidate;
 
-/// A node believed to live.
+/// A node that is considered live.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LiveNode {
-    /// Name and zone.
+    /// Name, zone and link bandwidth.
     pub candidate: Candidate,
-    /// Where it accepts peers.
+    /// Address at which it accepts peers.
     pub peer_address: SocketAddr,
     /// Whether it may own instances (a leaving node may not).
     pub accepts_work: bool,
 }
 
-/// Nodes that the machine list names and that are not known to live; none where most of those listed are, since
-/// the others may be gone. For a node that has just started and may know few of the others yet.
+/// Nodes in the machine list that are not known to be live, for a node that has just started and may
+/// know few of the others yet. Returns none if most of the listed nodes are known, because the rest
+/// may be gone.
 pub fn listed_but_unknown<'a>(
     live: &[LiveNode],
     listed: &'a [LiveNode],
@@ -35,7 +36,7 @@
     candidates.filter(move |candidate| !known.contains(&candidate.node))
 }
 
-/// A value replaced whole and read often.
+/// A value that is read often and replaced as a whole.
 #[derive(Debug, Default)]
 pub struct Shared<T> {
     value: ShardedLock<Arc<T>>,
@@ -47,7 +48,7 @@
         Self { value: ShardedLock::new(Arc::new(value)) }
     }
 
-    /// The value now in force.
+    /// The current value.
     pub fn load(&self) -> Arc<T> {
         self.value.read().expect("a holder of the lock panicked").clone()
     }
--- a/crates/daemon/src/shared/membership.rs
+++ b/crates/daemon/src/shared/membership.rs
@@ -1,4 +1,4 @@
-//! What membership shares with the other parts of the node.
+//! State that membership shares with the other parts of the node.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -12,23 +12,23 @@
 
 const POISONED: &str = "a holder of the membership lock panicked";
 
-/// A node that has a revision of the configuration in force.
+/// The newest active revision that is known, and a node that has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewestRevision {
     /// The node.
     pub node: NodeName,
-    /// Where it accepts peers.
+    /// Address at which it accepts peers.
     pub peer_address: SocketAddr,
-    /// Where operators connect to it.
+    /// Address at which it accepts operators.
     pub admin_address: SocketAddr,
     /// The revision.
     pub revision: Revision,
 }
 
-/// State that membership publishes, and wishes that it takes.
+/// State that membership publishes, and hints that it receives.
 #[derive(Debug, Default)]
 pub struct SharedMembership {
-    /// Every member known, this node first, dead ones among them; renewed at least each second.
+    /// All known members, this node first, including dead ones; updated at least once a second.
     pub members: Shared<Vec<MemberRecord>>,
     hints: SegQueue<NodeName>,
     newest: Mutex<Option<NewestRevision>>,
@@ -36,32 +36,32 @@
 }
 
 impl SharedMembership {
-    /// A connection to `node` broke: membership probes it at once.
+    /// Reports that a connection to `node` broke, so that membership probes it at once.
     pub fn hint_unreachable(&self, node: &NodeName) {
         self.hints.push(node.clone());
     }
 
-    /// The hints since the last call.
+    /// Takes the hints since the last call.
     pub fn take_hints(&self) -> Vec<NodeName> {
         std::iter::from_fn(|| self.hints.pop()).collect()
     }
 
-    /// The first node heard to have the newest revision in force.
+    /// The newest revision, with the first node that was known to have it active.
     pub fn newest_revision(&self) -> Option<NewestRevision> {
         self.newest.lock().expect(POISONED).clone()
     }
 
-    /// Notes who has a newer revision than any before.
+    /// Records a node with a newer revision than any before.
     pub fn set_newest_revision(&self, holder: NewestRevision) {
         *self.newest.lock().expect(POISONED) = Some(holder);
     }
 
-    /// Counts of membership since the start.
+    /// Counters of membership since the start.
     pub fn counters(&self) -> Counters {
         *self.counters.lock().expect(POISONED)
     }
 
-    /// Renews the counts.
+    /// Updates the counters.
     pub fn set_counters(&self, counters: Counters) {
         *self.counters.lock().expect(POISONED) = counters;
     }
--- a/crates/daemon/src/shared/mod.rs
+++ b/crates/daemon/src/shared/mod.rs
@@ -1,4 +1,5 @@
-//! What the threads of a node share, below everything that uses it.
+//! State that the threads of a node share. These modules depend on no other part of the node that
+//! uses them.
 
 pub mod address_occupants;
 pub mod confirmations;
--- a/crates/daemon/src/shared/quotas.rs
+++ b/crates/daemon/src/shared/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of accounts, shared by the shards of a node: decisions are in `core::quota`.
+//! Quotas of accounts, shared by the shards of a node. The decisions are made in `core::quota`.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,15 +12,15 @@
 use crate::context::NodeContext;
 use crate::shared::live::LiveNode;
 
-/// Longest time for which the nodes that lived a short time ago are taken for the same although no list
-/// has changed.
+/// Longest time between two refreshes of the nodes while no list changes. Time alone changes which
+/// nodes were live recently.
 const REFRESH: Duration = Duration::from_millis(500);
 
 /// Quotas of a node.
 #[derive(Debug, Default)]
 pub struct SharedQuotas {
     state: Mutex<State>,
-    /// Whether there is something for [`Self::take_outgoing`] or [`Self::take_answered`].
+    /// Whether [`Self::take_updates`] has something to return.
     has_news: AtomicBool,
 }
 
@@ -30,7 +30,7 @@
     nodes: Nodes,
 }
 
-/// The nodes that quotas depend on, gathered anew when a list changes.
+/// The nodes that quotas depend on, collected again when a list changes.
 #[derive(Debug, Default)]
 struct Nodes {
     live_list: Arc<Vec<LiveNode>>,
@@ -61,7 +61,7 @@
 }
 
 impl SharedQuotas {
-    /// An operation of an account needs a token; `ticket` is its own for as long as it waits.
+    /// Takes a token for an operation of an account. `ticket` identifies the operation while it waits.
     pub fn take(
         &self,
         account: &AccountName,
@@ -72,12 +72,12 @@
         self.with(context, now, |quotas, view| quotas.take(account, ticket, view))
     }
 
-    /// An operation of an account that had a token has not run.
+    /// Returns the token of an operation that has not run.
     pub fn return_token(&self, account: &AccountName) {
         self.lock().quotas.give_back(account);
     }
 
-    /// Takes in a message of another node.
+    /// Handles a message from another node.
     pub fn on_message(
         &self,
         from: &NodeName,
@@ -88,12 +88,12 @@
         self.with(context, now, |quotas, view| quotas.on_message(from, message, view));
     }
 
-    /// A connection to a node broke, or a message could not be sent to it.
+    /// Records that a connection to a node broke, or that a message could not be sent to it.
     pub fn on_unreachable(&self, node: &NodeName, now: Instant) {
         self.lock().quotas.on_unreachable(node, now);
     }
 
-    /// Time passes.
+    /// Handles a timer tick.
     pub fn on_tick(&self, context: &NodeContext, now: Instant) {
         if context.catalog.load().accounts.is_empty() {
             return;
@@ -101,7 +101,8 @@
         self.with(context, now, |quotas, view| quotas.on_tick(view));
     }
 
-    /// Messages to send and accounts whose waiting operations can go on, since the last call.
+    /// Takes the messages to send, and the accounts whose waiting operations can continue, since the
+    /// last call.
     pub fn take_updates(&self) -> (Vec<Outgoing>, Vec<AccountName>) {
         if !self.has_news.swap(false, Ordering::AcqRel) {
             return (Vec::new(), Vec::new());
--- a/crates/daemon/src/shared/replacements.rs
+++ b/crates/daemon/src/shared/replacements.rs
@@ -1,4 +1,4 @@
-//! Replacements of primaries that this node has heard of, and those that it tells others of.
+//! Primary replacements that this node knows of, and the announcements of those that it coordinates.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,16 +8,17 @@
 use kestrellock_core::position::Term;
 use kestrellock_core::promotion::{HeardReplacements, Intent, ReplacementId};
 
-/// What the node that carries replacements out has to tell the others.
+/// What the coordinator has to announce to the owners of the groups.
 #[derive(Clone, Debug, Default)]
 pub struct ReplacementUpdates {
-    /// Those under way, and since when each is known to be recorded.
+    /// Running replacements, and since when each is known to be recorded.
     pub running: BTreeMap<GroupName, (Intent, Instant)>,
-    /// Those that have ended since it was last told, and the terms that their successors lead.
+    /// Replacements that have ended since the last announcement, and the terms that their successors
+    /// lead.
     pub ended: Vec<(GroupName, ReplacementId, Option<Term>)>,
 }
 
-/// Shared by the threads of a node.
+/// Primary replacements, shared by the threads of a node.
 #[derive(Debug, Default)]
 pub struct Replacements {
     heard: Mutex<HeardReplacements>,
@@ -25,29 +26,30 @@
 }
 
 impl Replacements {
-    /// The store shows `intents` now.
+    /// Takes in the intents that the store has now.
     pub fn follow_store(&self, intents: &BTreeMap<GroupName, Intent>, now: Instant) {
         self.heard().follow_store(intents, now);
     }
 
-    /// The holder of a replacement says that it is under way, and has known it to be recorded for `age`.
+    /// Takes in the report of a coordinator that it runs a replacement, and that the intent has been
+    /// known to be recorded for `age`.
     pub fn on_reported(&self, group: &GroupName, intent: Intent, age: Duration, now: Instant) {
         self.heard().on_told(group, intent, age, now);
     }
 
-    /// The holder of a replacement says that it is over.
+    /// Takes in the report of a coordinator that a replacement has ended.
     pub fn on_reported_end(&self, group: &GroupName, id: ReplacementId) {
         self.heard().on_over(group, id);
     }
 
-    /// Those under way, also those that have been called off.
+    /// The intents of running replacements, including cancelled ones.
     pub fn intents(&self, now: Instant) -> BTreeMap<GroupName, Intent> {
         let mut heard = self.heard();
         heard.pass_time(now);
         heard.intents()
     }
 
-    /// Whether a commit counts that `instance` answers now.
+    /// Whether a commit that `instance` answers now may be acknowledged to the client.
     pub fn may_acknowledge_commit(
         &self,
         group: &GroupName,
@@ -57,30 +59,31 @@
         self.heard().answer_counts(group, instance, now)
     }
 
-    /// This node carries a replacement out, which it has known to be recorded since `recorded`.
+    /// Records that this node runs a replacement whose intent has been recorded since `recorded`.
     pub fn on_attempt_running(&self, group: &GroupName, intent: &Intent, recorded: Instant) {
         self.news().running.insert(group.clone(), (intent.clone(), recorded));
     }
 
-    /// This node has ended a replacement, with a successor that leads `led`.
+    /// Records that this node has ended a replacement, with a successor that leads the term `led`.
     pub fn on_attempt_ended(&self, group: &GroupName, id: ReplacementId, led: Option<Term>) {
         let mut news = self.news();
         news.running.remove(group);
         news.ended.push((group.clone(), id, led));
     }
 
-    /// This node carries nothing out any more: whoever goes on with it tells of it.
+    /// Stops the announcements, because this node's coordinator lease has ended. The next coordinator
+    /// continues the replacements and announces them.
     pub fn on_coordinator_lease_ended(&self) {
         self.news().running.clear();
     }
 
-    /// What is to be told now; ends are told once.
+    /// Takes what has to be announced now. Ends are announced once, running replacements each time.
     pub fn take_updates(&self) -> ReplacementUpdates {
         let mut news = self.news();
         ReplacementUpdates { running: news.running.clone(), ended: std::mem::take(&mut news.ended) }
     }
 
-    /// Whether anything is to be told.
+    /// Whether there is anything to announce.
     pub fn has_updates(&self) -> bool {
         let news = self.news();
         !news.running.is_empty() || !news.ended.is_empty()
--- a/crates/daemon/src/shared/revisions.rs
+++ b/crates/daemon/src/shared/revisions.rs
@@ -1,4 +1,4 @@
-//! Which revision of the configuration each node is known to have in force.
+//! Which revision of the configuration each node is known to have active.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
@@ -6,14 +6,14 @@
 use kestrellock_core::catalog::Revision;
 use kestrellock_core::ids::NodeName;
 
-/// Newest revision heard of each node. A node never goes back, so neither does its entry.
+/// Newest known revision of each node. A node never activates an older revision, so entries only grow.
 #[derive(Debug, Default)]
 pub struct Revisions {
     heard: Mutex<HashMap<NodeName, Revision>>,
 }
 
 impl Revisions {
-    /// A node said, or was said, to have `revision` in force.
+    /// Records that a node has `revision` active, as reported by itself or by another node.
     pub fn record(&self, node: &NodeName, revision: Revision) {
         let mut heard = self.lock();
         match heard.get_mut(node) {
@@ -24,29 +24,29 @@
         }
     }
 
-    /// Newest revision heard of a node; zero if none.
+    /// Newest known revision of a node; zero if there is none.
     pub fn of(&self, node: &NodeName) -> Revision {
         self.lock().get(node).copied().unwrap_or_default()
     }
 
-    /// Whether any node was heard of.
+    /// Whether the revision of any node is known.
     pub fn has_reports(&self) -> bool {
         !self.lock().is_empty()
     }
 
-    /// A node with the newest revision heard of, if that is newer than `own`.
+    /// A node with the newest known revision, if that is newer than `own`.
     pub fn newer_than(&self, own: Revision) -> Option<NodeName> {
         let heard = self.lock();
         let newest = heard.iter().max_by_key(|(_, revision)| **revision)?;
         (*newest.1 > own).then(|| newest.0.clone())
     }
 
-    /// Newest revision heard of.
+    /// Newest known revision of all nodes.
     pub fn newest(&self) -> Revision {
         self.lock().values().copied().max().unwrap_or_default()
     }
 
-    /// Forgets nodes that are no longer live.
+    /// Removes nodes that are not live.
     pub fn retain(&self, is_live: impl Fn(&NodeName) -> bool) {
         self.lock().retain(|node, _| is_live(node));
     }
--- a/crates/daemon/src/shared/revoked_evidence.rs
+++ b/crates/daemon/src/shared/revoked_evidence.rs
@@ -1,5 +1,8 @@
-//! Which nodes have given their evidence of a primary up, so that whoever replaces it need not wait
-//! for it to lapse, and what they have seen of instances that have started again.
+//! Which nodes have revoked their evidence of a primary that this node replaces, and what they know
+//! of restarted instances.
+//!
+//! A coordinator has to wait until all evidence of the old primary has expired, unless every node has
+//! reported that it revoked its evidence.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -7,14 +10,14 @@
 use kestrellock_core::ids::{GroupName, NodeName};
 use kestrellock_core::promotion::{ReplacementId, Witness, Witnesses};
 
-/// What nodes have said by group, for the newest replacement of each.
+/// The nodes' reports by group, for the newest replacement of each group.
 #[derive(Debug, Default)]
 pub struct RevokedEvidence {
     groups: Mutex<HashMap<GroupName, (ReplacementId, Witnesses)>>,
 }
 
 impl RevokedEvidence {
-    /// A node has given its evidence up for the replacement with `id`, and says what it knows.
+    /// Records that a node has revoked its evidence for the replacement `id`, and what it knows.
     pub fn add(&self, group: &GroupName, id: ReplacementId, node: &NodeName, witness: Witness) {
         let mut groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
         let said = groups.entry(group.clone()).or_insert_with(|| (id, Witnesses::default()));
@@ -26,7 +29,7 @@
         }
     }
 
-    /// What has been said for the replacement with `id`.
+    /// The reports for the replacement `id`.
     pub fn for_replacement(&self, group: &GroupName, id: ReplacementId) -> Option<Witnesses> {
         let groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
         let said = groups.get(group).filter(|(newest, _)| *newest == id);
--- a/crates/daemon/src/shared/routine_log_lines.rs
+++ b/crates/daemon/src/shared/routine_log_lines.rs
@@ -1,14 +1,14 @@
-//! Log lines of ordinary successes are told up to a rate, so that load does not turn into lines; how
-//! many were not told stands in a line of its own.
+//! Rate limit for the routine log lines of successful operations, so that load does not flood the log.
+//! A separate line states how many were suppressed.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Ordinary successes told in a second, unless the settings say otherwise.
+/// Routine log lines per second, unless the settings say otherwise.
 pub const DEFAULT_ROUTINE_LINES_PER_SECOND: u32 = 20;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Counts the lines of ordinary successes.
+/// Limits the rate of routine log lines.
 #[derive(Debug)]
 pub struct RoutineLogLimiter {
     per_second: u32,
@@ -23,12 +23,12 @@
 }
 
 impl RoutineLogLimiter {
-    /// At most so many lines a second.
+    /// Allows at most `per_second` lines in each second.
     pub fn new(per_second: u32) -> Self {
         Self { per_second, window: Mutex::default() }
     }
 
-    /// Whether another line may be told at `now`.
+    /// Whether another line may be logged at `now`.
     pub fn admits(&self, now: Instant) -> bool {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         let over = window.since.is_none_or(|since| now >= since + SECOND);
--- a/crates/daemon/src/shared/stage.rs
+++ b/crates/daemon/src/shared/stage.rs
@@ -1,17 +1,18 @@
-//! How far a planned stop of the node has come.
+//! Stages of a planned stop of the node.
 
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// How far a node's stop has come.
+/// Stage of a node's planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// It serves.
+    /// The node serves clients.
     Running,
-    /// It serves, and says that it will not for long: whoever sends callers has not heard yet.
+    /// The node still serves clients and announces that it is about to stop, because load balancers
+    /// have not noticed that yet.
     Notice,
-    /// It finishes what is under way.
+    /// The node finishes open work and accepts nothing new.
     Leaving,
-    /// It runs nothing any more.
+    /// The node runs no work.
     Closed,
 }
 
@@ -20,7 +21,7 @@
 pub struct SharedStage(AtomicU8);
 
 impl SharedStage {
-    /// The stage now.
+    /// The current stage.
     pub fn load(&self) -> Stage {
         match self.0.load(Ordering::Acquire) {
             0 => Stage::Running,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Goes on to `stage`; there is no way back.
+    /// Advances to `stage`; a stage before the current one has no effect.
     pub fn advance_to(&self, stage: Stage) {
         self.0.fetch_max(stage as u8, Ordering::AcqRel);
     }
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -1,4 +1,4 @@
-//! What this node has last heard of back-end instances.
+//! What this node knows of the status of instances, and the evidence about each group's primary.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -18,11 +18,12 @@
 use super::exchange_record::ExchangeRecord;
 pub use super::exchange_record::{ConnectionOutcome, ExchangeResponse};
 
-/// Time that replicas get to answer before the store is asked instead of the slowest: zones are a few
-/// milliseconds apart, and a call of the store costs as much as dozens of questions.
+/// Time that replicas have to respond before a replacement check replaces the answers of the slowest.
+/// Zones are a few milliseconds apart, and a request to the store costs as much as dozens of status
+/// queries.
 const REPLICAS_ANSWER_WITHIN: Duration = Duration::from_millis(10);
 
-/// Newest status of every instance this node has heard of, a lock for each group.
+/// Newest status of every known instance, with a lock for each group.
 #[derive(Debug, Default)]
 pub struct StatusTable {
     groups: ShardedLock<HashMap<GroupName, Arc<ShardedLock<GroupStatuses>>>>,
@@ -31,20 +32,20 @@
 /// What is known of one group.
 #[derive(Debug, Default)]
 pub struct GroupStatuses {
-    /// Statuses of its instances, where probes tell them.
+    /// Statuses of its instances, if probes report them.
     pub instances: HashMap<InstanceName, KnownStatus>,
-    /// What answers told of its instances, where answers tell positions.
+    /// Records of the exchanges with its instances, if responses report positions.
     pub exchange_records: HashMap<InstanceName, ExchangeRecord>,
-    /// What answers told of its primary's position.
+    /// Positions of its primary, as reported in responses.
     pub primary_samples: PrimarySamples,
-    /// What shows that no other instance leads.
+    /// Evidence that no other instance is primary.
     pub evidence: PrimaryEvidence,
-    /// When its primary last answered a commit that wrote.
+    /// When its primary last answered a commit that wrote data.
     committed: Option<Instant>,
 }
 
 impl GroupStatuses {
-    /// Term that the instance leads or led, by its own last word.
+    /// Highest term that the instance has been shown to lead.
     pub fn led_term_of(&self, instance: &InstanceName) -> Option<Term> {
         self.exchange_records.get(instance)?.led_term()
     }
@@ -54,7 +55,8 @@
         self.committed = Some(Instant::now());
     }
 
-    /// Until when arrivals are known to see everything at the primary `instance` of a group.
+    /// Until when the evidence covers the arrival of reads at the primary `instance`: such a read sees
+    /// every acknowledged commit.
     pub fn covered_until(
         &self,
         instance: &InstanceName,
@@ -64,8 +66,8 @@
         self.evidence.covers_until(self.led_term_of(instance)?, group, life)
     }
 
-    /// Whether arrivals until `moment` would be covered if the store said that nobody replaces the
-    /// primary, and replicas that have not answered yet are not worth waiting for.
+    /// Whether a replacement check is all that is missing for the evidence to cover arrivals until
+    /// `moment`, and the replicas have had [`REPLICAS_ANSWER_WITHIN`] to respond.
     pub fn lacks_only_replacement_check(
         &self,
         instance: &InstanceName,
@@ -82,31 +84,30 @@
     }
 }
 
-/// What replicas have said since a primary answered a commit.
+/// What the evidence shows about a commit that the primary has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitConfirmation {
-    /// Nobody was about to be promoted.
+    /// The primary had not been replaced, so the commit may be acknowledged.
     Confirmed,
-    /// Enough of them show that, the others are not worth waiting for, and the store has yet to say that nobody
-    /// replaces the primary.
+    /// Enough replicas show that, the others have had time to respond, and a replacement check is missing.
     LacksReplacementCheck,
-    /// Too few have said anything.
+    /// Too few replicas have reported their status.
     Unconfirmed,
     /// The primary is being replaced, or has been.
     Replaced,
 }
 
-/// What was last heard of an instance, and when.
+/// Last known status of an instance, and when it was received.
 #[derive(Clone, Debug)]
 pub struct KnownStatus {
-    /// What was heard.
+    /// The status.
     pub status: InstanceStatus,
-    /// When it came; it has grown older since.
+    /// When it was received; ages in `status` are as of this time.
     pub received: Instant,
 }
 
 impl StatusTable {
-    /// The group's statuses, shared.
+    /// The statuses of a group, which are created if they do not exist.
     pub fn group(&self, name: &GroupName) -> Arc<ShardedLock<GroupStatuses>> {
         const POISONED: &str = "a holder of the status lock panicked";
         if let Some(found) = self.groups.read().expect(POISONED).get(name) {
@@ -115,13 +116,14 @@
         self.groups.write().expect(POISONED).entry(name.clone()).or_default().clone()
     }
 
-    /// Calls `change` with what answers told of a group.
+    /// Calls `change` with the statuses of a group, under their write lock.
     fn with_group(&self, group: &GroupName, change: impl FnOnce(&mut GroupStatuses)) {
         let board = self.group(group);
         change(&mut board.write().expect("a holder of the status lock panicked"));
     }
 
-    /// An exchange was sent to an instance; `commits`: it may commit. Returns its number.
+    /// Records that an exchange was sent to an instance; `commits` says whether it may commit. Returns
+    /// its number.
     pub fn on_sent(&self, group: &GroupName, instance: &InstanceName, commits: bool) -> u64 {
         let mut number = 0;
         self.with_group(group, |known| {
@@ -131,7 +133,7 @@
         number
     }
 
-    /// An exchange with an instance is over, answered or not.
+    /// Records the end of an exchange with an instance, with its response if there was one.
     pub fn on_ended(
         &self,
         group: &GroupName,
@@ -149,7 +151,7 @@
         });
     }
 
-    /// What became of a connection to an instance.
+    /// Records the outcome of a connection to an instance.
     pub fn on_connection(
         &self,
         group: &GroupName,
@@ -161,13 +163,14 @@
         });
     }
 
-    /// A connection to the group broke: its evidence was that of a process that may be gone.
+    /// Drops the evidence of a group after a connection to it broke: the process behind the evidence may
+    /// be gone.
     pub fn forget_evidence(&self, group: &GroupName) {
         self.with_group(group, |known| known.evidence.forget());
     }
 
-    /// The platform tells which start of its process an instance is: what is remembered of an earlier one
-    /// ends.
+    /// Takes in the incarnation of an instance that the platform reports. State of an earlier
+    /// incarnation is dropped.
     pub fn on_incarnation(
         &self,
         group: &GroupName,
@@ -192,7 +195,8 @@
         });
     }
 
-    /// `instance` answered, as the primary of `term`, a commit that wrote and was sent at `sent`.
+    /// Records that `instance`, as the primary of `term`, answered a commit that wrote data and was sent
+    /// at `sent`.
     pub fn on_commit(&self, group: &GroupName, instance: &InstanceName, term: Term, sent: Instant) {
         self.with_group(group, |known| {
             known.on_commit_answered(instance, term);
@@ -200,7 +204,8 @@
         });
     }
 
-    /// The same at a node whose word nobody waits for before another instance is promoted: it is no evidence.
+    /// The same at a node that coordinators do not wait for before a promotion. There the commit is no
+    /// evidence, because another instance may have been promoted meanwhile.
     pub fn on_commit_without_evidence(
         &self,
         group: &GroupName,
@@ -210,8 +215,7 @@
         self.with_group(group, |known| known.on_commit_answered(instance, term));
     }
 
-    /// What the replicas' word says at `now` of a commit that the primary had answered at `answered`, in a group of
-    /// such a kind.
+    /// What the evidence shows at `now` about a commit that the primary of `term` answered at `answered`.
     pub fn commit_confirmation(
         &self,
         group: &GroupName,
@@ -237,12 +241,12 @@
         }
     }
 
-    /// The store says that an instance of the group has led `term`.
+    /// Takes in from the store that an instance of the group has led `term`.
     pub fn on_led(&self, group: &GroupName, term: Term) {
         self.with_group(group, |known| known.evidence.on_led(term));
     }
 
-    /// Gives evidence of groups up for the replacements under way, and takes it up again for others.
+    /// Revokes the evidence of groups with an active intent, and allows evidence again for all others.
     pub fn follow_replacements(&self, intents: &BTreeMap<GroupName, Intent>) {
         let groups: Vec<GroupName> = self
             .groups
@@ -259,7 +263,7 @@
         }
     }
 
-    /// An instance said how it stands, asked at `asked`.
+    /// Takes in the replication status that an instance reported to a query sent at `asked`.
     pub fn on_replication_status(
         &self,
         group: &GroupName,
@@ -281,7 +285,8 @@
         });
     }
 
-    /// Instances in doubt that are to be asked now how they stand; each again after a while.
+    /// Instances in doubt for which a status query is due. The queries are recorded as sent, so each
+    /// instance is due again after an interval.
     pub fn take_due_status_queries(&self, group: &GroupName, now: Instant) -> Vec<InstanceName> {
         let board = self.group(group);
         let is_due = {
@@ -301,12 +306,13 @@
         asked.collect()
     }
 
-    /// The store, asked at `asked`, had nobody replace the primary that this node takes for it.
+    /// Takes in a replacement check: the store confirmed at `asked` that no replacement of the primary
+    /// that this node uses was running.
     pub fn on_replacement_check(&self, group: &GroupName, asked: Instant) {
         self.with_group(group, |known| known.evidence.on_unreplaced(asked));
     }
 
-    /// What this node's exchanges with an instance show of its health.
+    /// Signs of an instance's health from this node's exchanges with it.
     pub fn signs(&self, group: &GroupName, instance: &InstanceName) -> Signs {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
@@ -316,14 +322,14 @@
         Signs { committed: known.committed, is_outdated, ..signs }
     }
 
-    /// The highest position that a group's primary has told this node.
+    /// Highest position that a group's primary has reported to this node.
     pub fn highest_primary_position(&self, group: &GroupName) -> Option<Position> {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
         known.primary_samples.highest()
     }
 
-    /// Highest term of a group that is known to have been led.
+    /// Highest term of a group that an instance is known to have led.
     pub fn highest_led_term(&self, group: &GroupName) -> Term {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
@@ -331,7 +337,7 @@
         told.max().unwrap_or_default().max(known.evidence.highest_led())
     }
 
-    /// Highest term known of a group.
+    /// Highest known term of a group.
     pub fn highest_term(&self, group: &GroupName) -> Term {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
@@ -339,12 +345,13 @@
         told.max().unwrap_or_default().max(known.evidence.term())
     }
 
-    /// Takes in newer statuses of a group.
+    /// Takes in newer statuses of instances of a group.
     pub fn update(&self, group: &GroupName, statuses: impl IntoIterator<Item = InstanceStatus>) {
         let board = self.group(group);
         let mut board = board.write().expect("a holder of the status lock panicked");
         for mut status in statuses {
-            // Only the owner of an instance knows its queue; other gateways probe it too.
+            // Only the owner of an instance knows its queue. Other gateways probe the instance too, and their
+            // statuses must not clear the queue wait.
             let known =
                 board.instances.get(&status.instance).and_then(|known| known.status.queue_wait);
             status.queue_wait = status.queue_wait.or(known);
