--- a/crates/daemon/src/agent/configuration/confirmation_queries.rs
+++ b/crates/daemon/src/agent/configuration/confirmation_queries.rs
@@ -22,16 +22,17 @@
 
 impl ConfirmationQueries {
     /// Uses the revocation limit from the node's settings.
-    pub fn new(own: &Configuration) -> Self {
-        Self { seeker: own.context.revocation_limit.map(EvidenceSeeker::new) }
+    pub fn new(configuration: &Configuration) -> Self {
+        Self { seeker: configuration.context.revocation_limit.map(EvidenceSeeker::new) }
     }
 
     /// Asks a node for newer evidence if a query is due.
-    pub fn ask_if_due(&mut self, own: &Configuration) {
+    pub fn query_if_due(&mut self, configuration: &Configuration) {
         let Some(seeker) = &mut self.seeker else { return };
-        let context = &own.context;
-        let (own_candidate, live) = (own.own(), own.live());
-        let newest = context.confirmations.newest(own.version()).map(|known| known.at);
+        let context = &configuration.context;
+        let (own_candidate, live) =
+            (configuration.own_candidate(), configuration.live_candidates());
+        let newest = context.confirmations.newest(configuration.version()).map(|known| known.at);
         let view = SeekerView {
             now: Instant::now(),
             own: &own_candidate,
@@ -41,22 +42,23 @@
         };
         if let Some((node, number)) = seeker.next(&view) {
             let number = number.0;
-            own.send(&Peer::first_shard_of(node), ConfigurationMessage::Confirm { number });
+            configuration
+                .send(&Peer::first_shard_of(node), ConfigurationMessage::Confirm { number });
         }
     }
 
     /// Answers the query of a node.
-    pub fn on_question(&self, own: &Configuration, peer: &Peer, number: u64) {
-        let newest = own.context.confirmations.newest(own.version());
+    pub fn on_query(&self, configuration: &Configuration, peer: &Peer, number: u64) {
+        let newest = configuration.context.confirmations.newest(configuration.version());
         let newest = newest.map(|known| (known.version, known.at.elapsed()));
-        own.send(peer, ConfigurationMessage::Confirmed { number, newest });
+        configuration.send(peer, ConfigurationMessage::Confirmed { number, newest });
     }
 
     /// Handles the answer of a node. The confirmation counts from the time of the query, less the age
     /// that the node reported, so that no clocks are compared between nodes.
     pub fn on_answer(
         &mut self,
-        own: &Configuration,
+        configuration: &Configuration,
         peer: &Peer,
         number: u64,
         newest: Option<(CatalogVersion, Duration)>,
@@ -64,12 +66,12 @@
         let Some(seeker) = &mut self.seeker else { return };
         let Some(asked) = seeker.on_answer(&peer.node, EvidenceQuestion(number)) else { return };
         let confirmation = newest.and_then(|(version, age)| {
-            own.context.revisions.record(&peer.node, version.revision);
+            configuration.context.revisions.record(&peer.node, version.revision);
             Some(Confirmation { version, at: asked.checked_sub(age)? })
         });
         seeker.on_evidence(&peer.node, asked, confirmation.map(|known| known.at));
         if let Some(confirmation) = confirmation {
-            own.context.confirmations.add(confirmation);
+            configuration.context.confirmations.add(confirmation);
         }
     }
 }
--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 struct Fetch {
     from: NodeName,
-    asked: Instant,
+    requested_at: Instant,
     /// Fingerprint of this node's catalog when it sent the request.
     base: Fingerprint,
     incoming: Option<Incoming>,
@@ -32,42 +32,48 @@
 
 impl DeltaReceiver {
     /// Asks `peer` for the difference to `summary`; a fetch that is in progress is dropped.
-    pub fn begin(&mut self, own: &Configuration, peer: &Peer, summary: CatalogSummary) {
+    pub fn start(&mut self, configuration: &Configuration, peer: &Peer, summary: CatalogSummary) {
         let fetch = Fetch {
             from: peer.node.clone(),
-            asked: Instant::now(),
+            requested_at: Instant::now(),
             base: summary.fingerprint,
             incoming: None,
         };
-        if let Some(given_up) = self.current.replace(fetch) {
-            own.context.metrics.configuration.count(ConfigurationEvent::GivenUp);
+        if let Some(dropped) = self.current.replace(fetch) {
+            configuration.context.metrics.configuration.count(ConfigurationEvent::GivenUp);
             log::info!(
                 event = "configuration_asked_elsewhere",
-                peer = given_up.from.as_str(),
+                peer = dropped.from.as_str(),
                 next = peer.node.as_str(),
-                after_ms = given_up.asked.elapsed().as_millis() as u64,
-                received = given_up.incoming.as_ref().map_or(0, |incoming| incoming.next_offset());
-                "a node has not sent the configuration in time"
+                after_ms = dropped.requested_at.elapsed().as_millis() as u64,
+                received = dropped.incoming.as_ref().map_or(0, |incoming| incoming.next_offset());
+                "a node did not send the configuration in time; fetching it again"
             );
         }
-        own.send(peer, ConfigurationMessage::Fetch { have: summary });
+        configuration.send(peer, ConfigurationMessage::Fetch { have: summary });
     }
 
     /// Handles the answer that a node has no configuration newer than `revision`.
-    pub fn on_nothing(&mut self, node: &NodeName, revision: Revision) {
+    pub fn on_nothing_newer(&mut self, node: &NodeName, revision: Revision) {
         if let Some(fetch) = self.current.take_if(|fetch| fetch.from == *node) {
             log::info!(
                 event = "configuration_nothing_newer",
                 peer = node.as_str(),
                 revision = revision.0,
-                after_ms = fetch.asked.elapsed().as_millis() as u64;
-                "a node that was asked for the configuration has none that is newer"
+                after_ms = fetch.requested_at.elapsed().as_millis() as u64;
+                "the node that this node fetches from has no newer configuration"
             );
         }
     }
 
     /// Handles a chunk.
-    pub fn on_part(&mut self, own: &Configuration, peer: &Peer, part: &Part, puller: &mut Puller) {
+    pub fn on_chunk(
+        &mut self,
+        configuration: &Configuration,
+        peer: &Peer,
+        part: &Part,
+        puller: &mut Puller,
+    ) {
         let Some(fetch) = self.current.as_mut().filter(|fetch| fetch.from == peer.node) else {
             // The fetch has moved to another node meanwhile.
             log::info!(
@@ -76,9 +82,9 @@
                 transfer = part.transfer.0,
                 offset = part.offset,
                 bytes = part.bytes.len() as u64;
-                "a node sends what is not fetched from it"
+                "dropped a chunk of the configuration from a node that this node does not fetch from"
             );
-            own.send(peer, ConfigurationMessage::Enough);
+            configuration.send(peer, ConfigurationMessage::Enough);
             return;
         };
         if let Err(error) = fetch.add(part) {
@@ -91,24 +97,24 @@
                 offset = part.offset,
                 bytes = part.bytes.len() as u64,
                 problem = error.to_string().as_str();
-                "a part of the configuration does not fit what has arrived"
+                "dropped a chunk of the configuration that does not continue the transfer"
             );
             return;
         }
         puller.on_part(&peer.node, Instant::now());
         let Some(incoming) = &fetch.incoming else { return };
         let (transfer, offset) = (part.transfer, incoming.next_offset());
-        own.send(peer, ConfigurationMessage::Next { transfer, offset });
+        configuration.send(peer, ConfigurationMessage::Next { transfer, offset });
         if incoming.is_whole() {
-            self.finish(own, peer, puller);
+            self.finish(configuration, peer, puller);
         }
     }
 
-    fn finish(&mut self, own: &Configuration, peer: &Peer, puller: &mut Puller) {
+    fn finish(&mut self, configuration: &Configuration, peer: &Peer, puller: &mut Puller) {
         let Some(fetch) = self.current.take() else { return };
         let Some(incoming) = fetch.incoming else { return };
         puller.on_answer(&peer.node);
-        let metrics = &own.context.metrics;
+        let metrics = &configuration.context.metrics;
         metrics.configuration_bytes.add(ConfigurationEvent::Pulled, incoming.bytes().len() as u64);
         match catalog_transfer::unpack(incoming.bytes()) {
             Ok(delta) => {
@@ -117,10 +123,10 @@
                     peer = peer.node.as_str(),
                     revision = delta.changed.revision.0,
                     bytes = incoming.bytes().len() as u64,
-                    after_ms = fetch.asked.elapsed().as_millis() as u64;
-                    "what the configuration lacks has arrived"
+                    after_ms = fetch.requested_at.elapsed().as_millis() as u64;
+                    "received a configuration delta"
                 );
-                self.apply(own, peer, fetch.base, delta, puller);
+                self.apply(configuration, peer, fetch.base, delta, puller);
             }
             Err(error) => {
                 log::warn!("KL3001 the configuration from {} is dropped: {error}", peer.node);
@@ -131,20 +137,20 @@
 
     fn apply(
         &mut self,
-        own: &Configuration,
+        configuration: &Configuration,
         peer: &Peer,
-        asked_with: Fingerprint,
+        requested_with: Fingerprint,
         delta: CatalogDelta,
         puller: &mut Puller,
     ) {
-        own.context.revisions.record(&peer.node, delta.changed.revision);
+        configuration.context.revisions.record(&peer.node, delta.changed.revision);
         let is_whole = delta.base.is_none();
-        let catalog = own.context.catalog.load();
+        let catalog = configuration.context.catalog.load();
         match catalog.with(delta) {
             Ok(catalog) => {
-                own.context.metrics.configuration.count(ConfigurationEvent::Pulled);
-                match own.offer(catalog, Origin::Peer) {
-                    OfferOutcome::Activated => own.announce_if_store_watcher(),
+                configuration.context.metrics.configuration.count(ConfigurationEvent::Pulled);
+                match configuration.offer(catalog, Origin::Peer) {
+                    OfferOutcome::Activated => configuration.announce_if_store_watcher(),
                     OfferOutcome::NotNewer => {}
                     OfferOutcome::Rejected => puller.on_refused(&peer.node, Instant::now()),
                 }
@@ -156,12 +162,12 @@
             Err(DeltaError::DoesNotFit) => {
                 let summary = match catalog.summary() {
                     // This node's catalog has changed since the request.
-                    summary if summary.fingerprint != asked_with => summary,
+                    summary if summary.fingerprint != requested_with => summary,
                     // It has not changed: fetch the whole configuration.
                     _ => CatalogSummary::of_nothing(),
                 };
                 puller.on_fetch_again(&peer.node, catalog.revision, Instant::now());
-                self.begin(own, peer, summary);
+                self.start(configuration, peer, summary);
             }
         }
     }
--- a/crates/daemon/src/agent/configuration/delta_server.rs
+++ b/crates/daemon/src/agent/configuration/delta_server.rs
@@ -16,11 +16,11 @@
 
 /// Number of packed deltas that are kept: nodes of a zone usually have the same configuration and
 /// request the same delta.
-const KEPT_DELTAS: usize = 8;
+const MAX_CACHED_DELTAS: usize = 8;
 
 /// The configurations that a delta leads from and to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Span {
+struct DeltaSpan {
     base: Fingerprint,
     buckets: usize,
     revision: Revision,
@@ -28,7 +28,7 @@
 
 #[derive(Debug)]
 struct PackedDelta {
-    span: Span,
+    span: DeltaSpan,
     transfer: TransferId,
     bytes: Bytes,
 }
@@ -43,52 +43,58 @@
 
 impl DeltaServer {
     /// Handles a fetch request: starts the transfer, or queues the node.
-    pub fn on_fetch(&mut self, own: &Configuration, peer: &Peer, have: CatalogSummary) {
-        let revision = own.revision();
+    pub fn on_fetch(&mut self, configuration: &Configuration, peer: &Peer, have: CatalogSummary) {
+        let revision = configuration.revision();
         if revision <= have.revision {
-            own.send(peer, ConfigurationMessage::InForce { revision });
+            configuration.send(peer, ConfigurationMessage::InForce { revision });
             return;
         }
         match self.queue.ask(&peer.node, (peer.shard, have.clone()), Instant::now()) {
-            Turn::Now => self.begin(own, peer, &have),
-            Turn::Later => own.send(peer, ConfigurationMessage::Queued),
+            Turn::Now => self.start(configuration, peer, &have),
+            Turn::Later => configuration.send(peer, ConfigurationMessage::Queued),
         }
     }
 
     /// Handles the acknowledgement of everything before `offset`, and sends the next chunk.
-    pub fn on_next(&mut self, own: &Configuration, peer: &Peer, transfer: TransferId, offset: u32) {
+    pub fn on_next(
+        &mut self,
+        configuration: &Configuration,
+        peer: &Peer,
+        transfer: TransferId,
+        offset: u32,
+    ) {
         let packed = self.packed.iter().find(|packed| packed.transfer == transfer);
         match packed.map(|packed| packed.bytes.clone()) {
             Some(bytes) if (offset as usize) < bytes.len() => {
                 self.queue.on_next(&peer.node, Instant::now());
-                send_part(own, peer, transfer, &bytes, offset);
+                send_chunk(configuration, peer, transfer, &bytes, offset);
             }
             Some(_) => self.queue.on_end(&peer.node),
             // This delta was dropped in favor of newer ones.
-            None => self.begin_again(own, peer),
+            None => self.restart(configuration, peer),
         }
-        self.serve_waiting(own);
+        self.serve_waiting(configuration);
     }
 
     /// Restarts the transfer to a node that is being served. A node that is not being served any more
     /// requests the configuration again by itself.
-    fn begin_again(&mut self, own: &Configuration, peer: &Peer) {
+    fn restart(&mut self, configuration: &Configuration, peer: &Peer) {
         let question = self.queue.question_of(&peer.node).cloned();
         if let Some((_, have)) = question {
-            self.begin(own, peer, &have);
+            self.start(configuration, peer, &have);
         }
     }
 
     /// Ends the transfer to a node that needs no more chunks.
-    pub fn on_enough(&mut self, own: &Configuration, node: &NodeName) {
+    pub fn on_enough(&mut self, configuration: &Configuration, node: &NodeName) {
         self.queue.on_end(node);
-        self.serve_waiting(own);
+        self.serve_waiting(configuration);
     }
 
     /// Starts the transfer to each queued node whose turn has come.
-    pub fn serve_waiting(&mut self, own: &Configuration) {
+    pub fn serve_waiting(&mut self, configuration: &Configuration) {
         while let Some((node, (shard, have))) = self.queue.take_turn(Instant::now()) {
-            self.begin(own, &Peer { node, shard }, &have);
+            self.start(configuration, &Peer { node, shard }, &have);
         }
     }
 
@@ -97,9 +103,9 @@
         self.queue.has_waiting()
     }
 
-    fn begin(&mut self, own: &Configuration, peer: &Peer, have: &CatalogSummary) {
-        own.context.metrics.configuration.count(ConfigurationEvent::Served);
-        let Some((transfer, bytes)) = self.packed_for(own, peer, have) else {
+    fn start(&mut self, configuration: &Configuration, peer: &Peer, have: &CatalogSummary) {
+        configuration.context.metrics.configuration.count(ConfigurationEvent::Served);
+        let Some((transfer, bytes)) = self.packed_delta(configuration, peer, have) else {
             self.queue.on_end(&peer.node);
             return;
         };
@@ -107,22 +113,22 @@
             event = "configuration_sent",
             peer = peer.node.as_str(),
             from_revision = have.revision.0,
-            revision = own.revision().0,
+            revision = configuration.revision().0,
             bytes = bytes.len() as u64;
-            "a node fetches what its configuration lacks"
+            "sending a configuration delta to a node"
         );
-        send_part(own, peer, transfer, &bytes, 0);
+        send_chunk(configuration, peer, transfer, &bytes, 0);
     }
 
     /// Returns the packed delta from a node's configuration to the active one.
-    fn packed_for(
+    fn packed_delta(
         &mut self,
-        own: &Configuration,
+        configuration: &Configuration,
         peer: &Peer,
         have: &CatalogSummary,
     ) -> Option<(TransferId, Bytes)> {
-        let catalog = own.context.catalog.load();
-        let span = Span {
+        let catalog = configuration.context.catalog.load();
+        let span = DeltaSpan {
             base: have.fingerprint,
             buckets: have.buckets.len(),
             revision: catalog.revision,
@@ -131,7 +137,7 @@
             return Some((known.transfer, known.bytes.clone()));
         }
         // Packing a large delta on a slow CPU takes longer than the peer waits for an answer.
-        own.send(peer, ConfigurationMessage::Queued);
+        configuration.send(peer, ConfigurationMessage::Queued);
         let bytes = match catalog_transfer::pack(&catalog.delta_for(have)) {
             Ok(bytes) => bytes,
             Err(error) => {
@@ -141,15 +147,21 @@
         };
         let transfer = TransferId(self.next_transfer);
         self.next_transfer += 1;
-        self.packed.truncate(KEPT_DELTAS - 1);
+        self.packed.truncate(MAX_CACHED_DELTAS - 1);
         self.packed.push_front(PackedDelta { span, transfer, bytes: bytes.clone() });
         Some((transfer, bytes))
     }
 }
 
-fn send_part(own: &Configuration, peer: &Peer, transfer: TransferId, bytes: &Bytes, offset: u32) {
-    let part = catalog_transfer::part_of(transfer, bytes, offset, PART_BYTES);
-    let metrics = &own.context.metrics.configuration_bytes;
-    metrics.add(ConfigurationEvent::Served, part.bytes.len() as u64);
-    own.send(peer, ConfigurationMessage::Part(part));
+fn send_chunk(
+    configuration: &Configuration,
+    peer: &Peer,
+    transfer: TransferId,
+    bytes: &Bytes,
+    offset: u32,
+) {
+    let chunk = catalog_transfer::part_of(transfer, bytes, offset, PART_BYTES);
+    let metrics = &configuration.context.metrics.configuration_bytes;
+    metrics.add(ConfigurationEvent::Served, chunk.bytes.len() as u64);
+    configuration.send(peer, ConfigurationMessage::Part(chunk));
 }
--- a/crates/daemon/src/agent/configuration/distribution.rs
+++ b/crates/daemon/src/agent/configuration/distribution.rs
@@ -16,54 +16,56 @@
 use crate::supervisor::StopFlag;
 
 /// Longest wait for a message before the thread checks what is due.
-const STEP: Duration = Duration::from_millis(100);
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Exchanges configuration with peers until `stop` is set.
 pub fn distribute(configuration: &Configuration, stop: &StopFlag) {
-    let mut exchange = Distribution::new(configuration);
+    let mut distribution = Distribution::new(configuration);
     while !stop.is_stopping() {
         stop.wait_while_paused();
-        if let Ok(received) = configuration.context.configuration.receiver.recv_timeout(STEP) {
-            exchange.on_message(received);
+        if let Ok(received) =
+            configuration.context.configuration.receiver.recv_timeout(RECEIVE_TIMEOUT)
+        {
+            distribution.on_message(received);
         }
-        exchange.ask_if_due();
-        exchange.confirming.ask_if_due(configuration);
-        if exchange.serving.has_waiting() {
-            exchange.serving.serve_waiting(configuration);
+        distribution.fetch_if_due();
+        distribution.confirmation_queries.query_if_due(configuration);
+        if distribution.delta_server.has_waiting() {
+            distribution.delta_server.serve_waiting(configuration);
         }
     }
 }
 
 /// State of the exchange with peers.
 struct Distribution<'a> {
-    own: &'a Configuration,
+    configuration: &'a Configuration,
     puller: Puller,
-    serving: DeltaServer,
-    fetching: DeltaReceiver,
-    confirming: ConfirmationQueries,
+    delta_server: DeltaServer,
+    delta_receiver: DeltaReceiver,
+    confirmation_queries: ConfirmationQueries,
 }
 
 impl<'a> Distribution<'a> {
-    fn new(own: &'a Configuration) -> Self {
-        let puller = Puller::new(own.own());
-        let confirming = ConfirmationQueries::new(own);
+    fn new(configuration: &'a Configuration) -> Self {
+        let puller = Puller::new(configuration.own_candidate());
+        let confirmation_queries = ConfirmationQueries::new(configuration);
         Self {
-            own,
+            configuration,
             puller,
-            serving: DeltaServer::default(),
-            fetching: DeltaReceiver::default(),
-            confirming,
+            delta_server: DeltaServer::default(),
+            delta_receiver: DeltaReceiver::default(),
+            confirmation_queries,
         }
     }
 
-    fn ask_if_due(&mut self) {
-        let context = &self.own.context;
-        let (now, have) = (Instant::now(), self.own.revision());
+    fn fetch_if_due(&mut self) {
+        let context = &self.configuration.context;
+        let (now, have) = (Instant::now(), self.configuration.revision());
         let newer = context.revisions.newer_than(have);
         if !self.puller.is_due(newer.is_some(), now) {
             return;
         }
-        let live = self.own.live();
+        let live = self.configuration.live_candidates();
         let view = View { now, have, newer: newer.as_ref(), live: &live, random: rand::random() };
         let Some(node) = self.puller.next(&view) else { return };
         // Dead nodes are removed here, because a dead node may be the only one with a newer revision.
@@ -71,46 +73,46 @@
         context.revisions.retain(|node| live.contains(node));
         let peer = Peer::first_shard_of(node);
         if newer.is_none() {
-            self.own.send(&peer, ConfigurationMessage::Request { have });
+            self.configuration.send(&peer, ConfigurationMessage::Request { have });
             return;
         }
-        self.fetching.begin(self.own, &peer, context.catalog.load().summary());
+        self.delta_receiver.start(self.configuration, &peer, context.catalog.load().summary());
     }
 
     fn on_message(&mut self, received: Received) {
-        let own = self.own;
+        let configuration = self.configuration;
         let Received { from, shard, message } = received;
         let peer = Peer { node: from, shard };
         match message {
             ConfigurationMessage::Request { have } => {
-                own.context.revisions.record(&peer.node, have);
-                let revision = own.revision();
-                own.send(&peer, ConfigurationMessage::InForce { revision });
+                configuration.context.revisions.record(&peer.node, have);
+                let revision = configuration.revision();
+                configuration.send(&peer, ConfigurationMessage::InForce { revision });
             }
             ConfigurationMessage::InForce { revision } => {
-                own.context.revisions.record(&peer.node, revision);
+                configuration.context.revisions.record(&peer.node, revision);
                 if self.puller.on_revision(&peer.node, revision) {
-                    self.fetching.on_nothing(&peer.node, revision);
+                    self.delta_receiver.on_nothing_newer(&peer.node, revision);
                 }
             }
             ConfigurationMessage::Fetch { have } => {
-                own.context.revisions.record(&peer.node, have.revision);
-                self.serving.on_fetch(own, &peer, have);
+                configuration.context.revisions.record(&peer.node, have.revision);
+                self.delta_server.on_fetch(configuration, &peer, have);
             }
             ConfigurationMessage::Queued => self.puller.on_queued(&peer.node, Instant::now()),
             ConfigurationMessage::Part(part) => {
-                self.fetching.on_part(own, &peer, &part, &mut self.puller);
+                self.delta_receiver.on_chunk(configuration, &peer, &part, &mut self.puller);
             }
             ConfigurationMessage::Next { transfer, offset } => {
-                self.serving.on_next(own, &peer, transfer, offset);
+                self.delta_server.on_next(configuration, &peer, transfer, offset);
             }
             ConfigurationMessage::Confirm { number } => {
-                self.confirming.on_question(own, &peer, number);
+                self.confirmation_queries.on_query(configuration, &peer, number);
             }
             ConfigurationMessage::Confirmed { number, newest } => {
-                self.confirming.on_answer(own, &peer, number, newest);
+                self.confirmation_queries.on_answer(configuration, &peer, number, newest);
             }
-            ConfigurationMessage::Enough => self.serving.on_enough(own, &peer.node),
+            ConfigurationMessage::Enough => self.delta_server.on_enough(configuration, &peer.node),
         }
     }
 }
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -75,7 +75,7 @@
     has_machine_list: bool,
     started: Instant,
     /// Locked while a catalog is activated, so that an older one never replaces a newer one.
-    replacing: Mutex<ExcludedEntries>,
+    activation: Mutex<ExcludedEntries>,
 }
 
 impl Configuration {
@@ -85,15 +85,16 @@
         mailboxes: Arc<Mailboxes>,
         has_machine_list: bool,
     ) -> Self {
-        let (started, replacing) = (Instant::now(), Mutex::default());
-        Self { context, mailboxes, has_machine_list, started, replacing }
+        let (started, activation) = (Instant::now(), Mutex::default());
+        Self { context, mailboxes, has_machine_list, started, activation }
     }
 
     /// Activates a catalog if it is newer than the active one. Invalid entries and instances are
     /// excluded individually, so that neither an instance's report of itself blocks a change by
     /// operators nor one entry blocks another.
     pub fn offer(&self, catalog: VersionedCatalog, origin: Origin) -> OfferOutcome {
-        let mut left_out = self.replacing.lock().expect("a holder of the lock panicked");
+        let mut excluded =
+            self.activation.lock().expect("a thread panicked while it held the lock");
         let revision = catalog.revision;
         if revision <= self.revision() {
             return OfferOutcome::NotNewer;
@@ -101,17 +102,17 @@
         let catalog = self.with_newest_edition(catalog);
         let metrics = &self.context.metrics;
         let (catalog, faults) = catalog.usable();
-        left_out.tell(&faults, origin, revision, metrics);
+        excluded.log_changes(&faults, origin, revision, metrics);
         if !faults.is_empty()
             && let Err(error) = catalog.validate()
         {
             // The rest is valid once the invalid entries are excluded, so this is a bug.
-            log::error!(event = "configuration_refused", revision = revision.0, problem = error.to_string().as_str(); "KL3001 the configuration cannot be used; the one in force stays");
+            log::error!(event = "configuration_refused", revision = revision.0, problem = error.to_string().as_str(); "KL3001 the configuration is invalid; the active one stays");
             metrics.configuration.count(ConfigurationEvent::Refused);
             return OfferOutcome::Rejected;
         }
         self.context.catalog.store(IndexedCatalog::new(catalog));
-        log::info!("configuration revision {} in force", revision.0);
+        log::info!("configuration revision {} is active", revision.0);
         metrics.revision.set(revision.0 as i64);
         metrics.configuration.count(ConfigurationEvent::Applied);
         OfferOutcome::Activated
@@ -121,18 +122,18 @@
     /// Operators were told that this edition is active, and after a store restore the store lacks it
     /// until they write it again.
     fn with_newest_edition(&self, catalog: VersionedCatalog) -> VersionedCatalog {
-        let in_force = self.context.catalog.load();
-        if !catalog.is_older_edition_than(&in_force) {
+        let active = self.context.catalog.load();
+        if !catalog.is_older_edition_than(&active) {
             return catalog;
         }
         log::warn!(
             event = "configuration_kept",
             revision = catalog.revision.0,
             edition = catalog.edition.0,
-            kept_edition = in_force.edition.0;
-            "an older configuration of the operators is not put in force"
+            kept_edition = active.edition.0;
+            "the store has an older edition of the operators' configuration; the active edition stays"
         );
-        catalog.with_operators_part_of(&in_force)
+        catalog.with_operators_part_of(&active)
     }
 
     /// Version of the active configuration.
@@ -155,7 +156,7 @@
         }
         self.context.metrics.configuration.count(ConfigurationEvent::Announced);
         let revision = self.revision();
-        for node in spreading::audience(&self.own(), &self.live()) {
+        for node in spreading::audience(&self.own_candidate(), &self.live_candidates()) {
             self.send(&Peer::first_shard_of(node), ConfigurationMessage::InForce { revision });
         }
     }
@@ -172,20 +173,20 @@
     pub fn nodes_behind(&self) -> Vec<NodeName> {
         let revision = self.revision();
         let mut nodes: Vec<NodeName> =
-            self.live().into_iter().map(|candidate| candidate.node).collect();
+            self.live_candidates().into_iter().map(|candidate| candidate.node).collect();
         nodes.retain(|node| {
             *node != self.context.identity.node && self.context.revisions.of(node) < revision
         });
         nodes
     }
 
-    fn own(&self) -> Candidate {
+    fn own_candidate(&self) -> Candidate {
         let identity = &self.context.identity;
         // The own bandwidth is not set here: decisions take it from this node's entry among the live nodes.
         Candidate { node: identity.node.clone(), zone: identity.zone.clone(), link_mbps: 0 }
     }
 
-    fn live(&self) -> Vec<Candidate> {
+    fn live_candidates(&self) -> Vec<Candidate> {
         let live = self.context.live.load();
         let working = live.iter().filter(|node| node.accepts_work);
         working.map(|node| node.candidate.clone()).collect()
--- a/crates/daemon/src/agent/configuration/role.rs
+++ b/crates/daemon/src/agent/configuration/role.rs
@@ -17,13 +17,13 @@
 pub(super) const PEER_WAIT: Duration = Duration::from_secs(1);
 /// Time after the start for which listed nodes count like live ones: as long as membership runs its
 /// anti-entropy sync often. Later an entry may be that of a machine that is gone for good.
-const LIST_COUNTS_FOR: Duration = Duration::from_secs(10);
+const LIST_USE_PERIOD: Duration = Duration::from_secs(10);
 /// The machine list counts as complete once it has not changed in length for this long: nodes that
 /// start together add themselves within a few hundred milliseconds.
-const LIST_QUIET: Duration = Duration::from_millis(200);
+const LIST_STABLE_TIME: Duration = Duration::from_millis(200);
 /// Longest wait for a complete machine list.
-const LIST_LIMIT: Duration = Duration::from_secs(1);
-const LIST_STEP: Duration = Duration::from_millis(10);
+const LIST_TIMEOUT: Duration = Duration::from_secs(1);
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Configuration {
     /// Waits until the machine list is complete or names this node. A node that is not listed yet
@@ -32,7 +32,8 @@
         let own = &self.context.identity.node;
         let mut length = 0;
         let mut since = Instant::now();
-        while self.has_machine_list && self.started.elapsed() < LIST_LIMIT && !stop.is_stopping() {
+        while self.has_machine_list && self.started.elapsed() < LIST_TIMEOUT && !stop.is_stopping()
+        {
             let listed = self.context.listed_nodes.load();
             if listed.iter().any(|node| node.candidate.node == *own) {
                 return;
@@ -40,30 +41,30 @@
             if listed.len() != length {
                 (length, since) = (listed.len(), Instant::now());
             }
-            if length > 0 && since.elapsed() >= LIST_QUIET {
+            if length > 0 && since.elapsed() >= LIST_STABLE_TIME {
                 return;
             }
-            stop.sleep(LIST_STEP);
+            stop.sleep(LIST_POLL_INTERVAL);
         }
     }
 
     /// Whether this node is a store watcher. It is one as long as it knows of no other node.
     pub(super) fn is_store_watcher(&self) -> bool {
-        let mut expected = self.live();
+        let mut expected = self.live_candidates();
         let known = expected.len();
-        if self.started.elapsed() < LIST_COUNTS_FOR {
+        if self.started.elapsed() < LIST_USE_PERIOD {
             let (live, listed) = (self.context.live.load(), self.context.listed_nodes.load());
             expected.extend(listed_but_unknown(&live, &listed).cloned());
         }
-        let is_its_part = expected.is_empty() || is_follower(&self.own(), &expected);
-        is_its_part || (expected.len() > known && self.has_waited_for_peers(expected.len()))
+        let is_chosen = expected.is_empty() || is_follower(&self.own_candidate(), &expected);
+        is_chosen || (expected.len() > known && self.has_waited_for_peers(expected.len()))
     }
 
     /// Whether this node has waited for a configuration from peers for so long that it reads the store
     /// itself. The nodes take turns, so that not all of them read the store at once.
     fn has_waited_for_peers(&self, nodes: usize) -> bool {
-        let turn = own_turn(&self.context.identity.node, nodes);
+        let turn_delay = own_turn(&self.context.identity.node, nodes);
         let has_none = self.revision() == Revision::default();
-        has_none && self.started.elapsed() >= PEER_WAIT + turn
+        has_none && self.started.elapsed() >= PEER_WAIT + turn_delay
     }
 }
--- a/crates/daemon/src/agent/configuration/source_watch.rs
+++ b/crates/daemon/src/agent/configuration/source_watch.rs
@@ -19,14 +19,14 @@
 use crate::supervisor::StopFlag;
 
 /// Longest wait for a change before the stop flag is checked.
-const WATCH_STEP: Duration = Duration::from_millis(100);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time between two checks whether this node has become a store watcher.
-const IDLE_STEP: Duration = Duration::from_millis(200);
-const PEERS_STEP: Duration = Duration::from_millis(10);
-const FIRST_RETRY: Duration = Duration::from_millis(200);
-const LAST_RETRY: Duration = Duration::from_secs(5);
+const IDLE_INTERVAL: Duration = Duration::from_millis(200);
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(10);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 /// A source that failed counts as recovered after this time without another failure.
-const WELL_AFTER: Duration = Duration::from_secs(1);
+const RECOVERY_TIME: Duration = Duration::from_secs(1);
 
 /// Watches the source until `stop` is set.
 pub fn watch_source(
@@ -34,20 +34,20 @@
     source: &mut dyn CatalogSource,
     stop: &StopFlag,
 ) {
-    let mut backoff = Backoff::new(FIRST_RETRY, LAST_RETRY);
+    let mut backoff = Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
     let mut failed_at = Instant::now();
-    let mut unreadable = Unreadable::default();
+    let mut unreadable = UnreadableEntries::default();
     configuration.wait_for_machine_list(stop);
     configuration.wait_for_peers(source, stop);
     while !stop.is_stopping() {
         stop.wait_while_paused();
         if !configuration.is_store_watcher() {
             source.pause();
-            stop.sleep(IDLE_STEP);
+            stop.sleep(IDLE_INTERVAL);
             continue;
         }
-        match source.next(configuration.revision(), WATCH_STEP) {
-            Ok(None) if failed_at.elapsed() >= WELL_AFTER => backoff.reset(),
+        match source.next(configuration.revision(), WATCH_TIMEOUT) {
+            Ok(None) if failed_at.elapsed() >= RECOVERY_TIME => backoff.reset(),
             Ok(None) => {}
             Ok(Some(read)) => {
                 backoff.reset();
@@ -62,7 +62,7 @@
             Err(error) => {
                 log::debug!("configuration not read: {error}");
                 failed_at = Instant::now();
-                stop.sleep(wait_after(&error, &mut backoff));
+                stop.sleep(retry_delay(&error, &mut backoff));
                 continue;
             }
         }
@@ -75,11 +75,11 @@
 
 /// Number of unreadable entries of the source that the metrics include.
 #[derive(Debug, Default)]
-struct Unreadable {
+struct UnreadableEntries {
     counted: u64,
 }
 
-impl Unreadable {
+impl UnreadableEntries {
     fn count(&mut self, so_far: u64, metrics: &Metrics) {
         let new = so_far.saturating_sub(self.counted);
         metrics.configuration.add(ConfigurationEvent::Unreadable, new);
@@ -87,7 +87,7 @@
     }
 }
 
-fn wait_after(error: &CatalogError, backoff: &mut Backoff) -> Duration {
+fn retry_delay(error: &CatalogError, backoff: &mut Backoff) -> Duration {
     let wait = backoff.wait(rand::random());
     match error {
         CatalogError::Store(StoreError::RateLimited { retry_after }) => *retry_after + wait,
@@ -103,13 +103,13 @@
     fn wait_for_peers(&self, source: &dyn CatalogSource, stop: &StopFlag) {
         let end = Instant::now() + PEER_WAIT;
         while self.expects_peers(source) && !stop.is_stopping() && Instant::now() < end {
-            let has_one = self.revision() != Revision::default();
+            let has_configuration = self.revision() != Revision::default();
             let peers_have_none = self.context.revisions.has_reports()
                 && self.context.revisions.newest() == Revision::default();
-            if has_one || peers_have_none {
+            if has_configuration || peers_have_none {
                 return;
             }
-            stop.sleep(PEERS_STEP);
+            stop.sleep(PEER_POLL_INTERVAL);
         }
     }
 
@@ -120,7 +120,7 @@
             let listed = self.context.listed_nodes.load();
             listed.iter().any(|node| node.candidate.node != *own)
         };
-        self.live().len() > 1 || (source.may_lack_changes() && are_listed())
+        self.live_candidates().len() > 1 || (source.may_lack_changes() && are_listed())
     }
 
     /// Logs that the source returned a configuration that is not newer than the active one.
@@ -129,7 +129,7 @@
             event = "configuration_not_newer",
             revision = offered.0,
             in_force = self.revision().0;
-            "the source tells a configuration that is no newer than the one in force"
+            "the source returned a configuration that is not newer than the active one"
         );
     }
 
@@ -137,9 +137,9 @@
     /// while this node has yet to activate that catalog, nor if a store restore has taken the source
     /// back to an older edition than the active one.
     fn confirm(&self, confirmation: Confirmation) {
-        let in_force = self.version();
-        let is_of_it = confirmation.version.edition == in_force.edition;
-        if is_of_it && in_force.covers(confirmation.version) {
+        let active = self.version();
+        let is_same_edition = confirmation.version.edition == active.edition;
+        if is_same_edition && active.covers(confirmation.version) {
             self.context.confirmations.add(confirmation);
         }
     }
@@ -147,7 +147,7 @@
     /// Announces a revision that was fetched from a peer, if this node is a store watcher with nodes
     /// that fetch from it.
     pub(super) fn announce_if_store_watcher(&self) {
-        let (own, live) = (self.own(), self.live());
+        let (own, live) = (self.own_candidate(), self.live_candidates());
         if is_follower(&own, &live) && !audience(&own, &live).is_empty() {
             self.announce();
         }
--- a/crates/daemon/src/agent/machines.rs
+++ b/crates/daemon/src/agent/machines.rs
@@ -13,17 +13,17 @@
 use crate::supervisor::StopFlag;
 
 /// Mean time between two reads of the list.
-const INTERVAL: Duration = Duration::from_secs(10);
+const READ_INTERVAL: Duration = Duration::from_secs(10);
 /// Number of first reads, which follow each other quickly: other nodes may be starting at the same
 /// time, and the store watchers are chosen by the list until the other nodes are known. A read costs no
 /// request where the list is a local copy.
-const FIRST_LOOKS: u32 = 10;
-const FIRST_INTERVAL: Duration = Duration::from_millis(100);
+const FAST_READS: u32 = 10;
+const FAST_READ_INTERVAL: Duration = Duration::from_millis(100);
 /// Reads up to this number, the first ones included, are one second apart.
-const EARLY_LOOKS: u32 = 15;
-const EARLY_INTERVAL: Duration = Duration::from_secs(1);
-const FIRST_RETRY: Duration = Duration::from_millis(50);
-const LAST_RETRY: Duration = Duration::from_secs(5);
+const EARLY_READS: u32 = 15;
+const EARLY_READ_INTERVAL: Duration = Duration::from_secs(1);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Adds this node to the list, where nodes add themselves, and reads the list at intervals until `stop`
 /// is set. `peers` are seeds in addition to the listed ones.
@@ -34,21 +34,21 @@
     context: &NodeContext,
     stop: &StopFlag,
 ) {
-    let mut backoff = Backoff::new(FIRST_RETRY, LAST_RETRY);
-    let mut looks = 0;
+    let mut backoff = Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+    let mut reads = 0;
     while !stop.is_stopping() {
         stop.wait_while_paused();
         match list.machines() {
             Ok(machines) => {
-                put_in_force(machines, own, peers, context);
+                publish(machines, own, peers, context);
                 if let Err(error) = list.enter(own) {
                     log::debug!("machine list not written: {error}");
                     stop.sleep(backoff.wait(rand::random()));
                     continue;
                 }
                 backoff.reset();
-                looks += 1;
-                stop.sleep(interval_after(looks).mul_f64(0.75 + rand::random::<f64>() / 2.0));
+                reads += 1;
+                stop.sleep(interval_after(reads).mul_f64(0.75 + rand::random::<f64>() / 2.0));
             }
             Err(error) => {
                 log::debug!("machine list not read: {error}");
@@ -59,19 +59,19 @@
     if context.is_stopping()
         && let Err(error) = list.leave(own)
     {
-        log::debug!("entry in the machine list not taken back: {error}");
+        log::debug!("entry in the machine list not removed: {error}");
     }
 }
 
-fn interval_after(looks: u32) -> Duration {
-    match looks {
-        _ if looks <= FIRST_LOOKS => FIRST_INTERVAL,
-        _ if looks <= EARLY_LOOKS => EARLY_INTERVAL,
-        _ => INTERVAL,
+fn interval_after(reads: u32) -> Duration {
+    match reads {
+        _ if reads <= FAST_READS => FAST_READ_INTERVAL,
+        _ if reads <= EARLY_READS => EARLY_READ_INTERVAL,
+        _ => READ_INTERVAL,
     }
 }
 
-fn put_in_force(machines: Vec<Machine>, own: &Machine, peers: &[Seed], context: &NodeContext) {
+fn publish(machines: Vec<Machine>, own: &Machine, peers: &[Seed], context: &NodeContext) {
     let listed: Vec<LiveNode> = machines.iter().map(listed_node).collect();
     if listed != *context.listed_nodes.load() {
         context.listed_nodes.store(listed);
--- a/crates/daemon/src/agent/membership.rs
+++ b/crates/daemon/src/agent/membership.rs
@@ -24,13 +24,13 @@
 use crate::supervisor::StopFlag;
 
 /// Time between two ticks of the state machine.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest time between two publications of the member list.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
 /// Most datagrams handled in a row before the clock is checked for a due tick.
-const DATAGRAMS_AT_ONCE: usize = 256;
+const MAX_DATAGRAM_BATCH: usize = 256;
 /// Most senders with an outdated incarnation that are notified between two ticks.
-const OUTDATED_AT_ONCE: usize = 4;
+const MAX_OUTDATED_NOTICES_PER_TICK: usize = 4;
 
 /// This node's own member record, and how it finds and authenticates other nodes.
 #[derive(Clone, Debug)]
@@ -78,8 +78,8 @@
 }
 
 /// Takes part in membership until `stop` is set, and sends a leave message if the node is leaving.
-pub fn run(socket: &UdpSocket, joining: &MembershipConfig, context: &NodeContext, stop: &StopFlag) {
-    let mut agent = Agent::new(socket, joining, context);
+pub fn run(socket: &UdpSocket, config: &MembershipConfig, context: &NodeContext, stop: &StopFlag) {
+    let mut agent = Agent::new(socket, config, context);
     while !stop.is_stopping() {
         stop.wait_while_paused();
         agent.receive();
@@ -104,13 +104,13 @@
     origin: Instant,
     next_tick: Instant,
     next_publish: Instant,
-    outdated_told: usize,
+    outdated_notices: usize,
 }
 
 impl<'a> Agent<'a> {
-    fn new(socket: &'a UdpSocket, joining: &MembershipConfig, context: &'a NodeContext) -> Self {
+    fn new(socket: &'a UdpSocket, config: &MembershipConfig, context: &'a NodeContext) -> Self {
         let origin = Instant::now();
-        let MembershipConfig { own, seeds, cluster, keys } = joining.clone();
+        let MembershipConfig { own, seeds, cluster, keys } = config.clone();
         let codec = DatagramCodec::new(keys, &cluster, own.node.clone());
         let membership =
             Membership::new(own, Timing::default(), seeds, Duration::ZERO, &mut random);
@@ -122,7 +122,7 @@
             origin,
             next_tick: origin,
             next_publish: origin,
-            outdated_told: 0,
+            outdated_notices: 0,
         }
     }
 
@@ -133,13 +133,13 @@
     /// Receives and handles datagrams until the next tick is due.
     fn receive(&mut self) {
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..DATAGRAMS_AT_ONCE {
+        for _ in 0..MAX_DATAGRAM_BATCH {
             let wait = self.next_tick.saturating_duration_since(Instant::now());
             if wait.is_zero() || self.socket.set_read_timeout(Some(wait)).is_err() {
                 return;
             }
             match self.socket.recv_from(&mut buffer) {
-                Ok((count, _)) => self.take_in(&buffer[..count]),
+                Ok((count, _)) => self.handle_datagram(&buffer[..count]),
                 // The operating system reports here that an earlier datagram reached a closed port.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 Err(_) => return,
@@ -147,7 +147,7 @@
         }
     }
 
-    fn take_in(&mut self, bytes: &[u8]) {
+    fn handle_datagram(&mut self, bytes: &[u8]) {
         let metrics = &self.context.metrics;
         let now = self.now();
         let process = self.membership.own().incarnation.process;
@@ -161,18 +161,18 @@
             Err(error) => {
                 metrics.datagrams.count(MessageEvent::Refused);
                 metrics.datagram_bytes.add(MessageEvent::Refused, bytes.len() as u64);
-                self.on_refused(error);
+                self.on_rejected_datagram(error);
             }
         }
         self.send();
     }
 
-    fn on_refused(&mut self, error: DatagramError) {
+    fn on_rejected_datagram(&mut self, error: DatagramError) {
         log::debug!("datagram refused: {error}");
         if let DatagramError::OldProcess(sender) = error
-            && self.outdated_told < OUTDATED_AT_ONCE
+            && self.outdated_notices < MAX_OUTDATED_NOTICES_PER_TICK
         {
-            self.outdated_told += 1;
+            self.outdated_notices += 1;
             self.membership.on_outdated_sender(&sender);
         }
     }
@@ -200,15 +200,15 @@
         if now < self.next_tick {
             return;
         }
-        self.next_tick = now + TICK;
-        self.outdated_told = 0;
-        self.take_wishes();
+        self.next_tick = now + TICK_INTERVAL;
+        self.outdated_notices = 0;
+        self.apply_inputs();
         self.membership.on_tick(self.now(), &mut random);
         self.send();
         self.publish(now);
     }
 
-    fn take_wishes(&mut self) {
+    fn apply_inputs(&mut self) {
         let revision = self.context.catalog.load().revision;
         self.membership.set_revision(revision, &mut random);
         if let Some(seeds) = self.context.listed_seeds.take() {
@@ -225,7 +225,7 @@
     fn publish(&mut self, now: Instant) {
         let changes = self.membership.take_changes();
         for change in &changes {
-            self.report(change);
+            self.log_change(change);
         }
         if changes.is_empty() && now < self.next_publish {
             return;
@@ -249,7 +249,7 @@
         }
     }
 
-    fn report(&self, change: &Change) {
+    fn log_change(&self, change: &Change) {
         match change {
             Change::Live(member) if member.leaving => log::info!("{} is leaving", member.node),
             Change::Live(member) => {
@@ -261,8 +261,8 @@
                 log::warn!("another process used this node's name; took a newer incarnation");
             }
             Change::RevisionSeen(node, revision) => {
-                let holder = self.membership.members().find(|member| member.node == *node);
-                if let Some(member) = holder {
+                let member = self.membership.members().find(|member| member.node == *node);
+                if let Some(member) = member {
                     self.context.membership.set_newest_revision(NewestRevision {
                         node: node.clone(),
                         peer_address: member.peer_address,
--- a/crates/daemon/src/agent/promotion/announcer.rs
+++ b/crates/daemon/src/agent/promotion/announcer.rs
@@ -28,22 +28,27 @@
             return;
         }
         self.last = Some(now);
-        let news = context.replacements.take_updates();
-        for (group, (intent, recorded)) in news.running {
+        let updates = context.replacements.take_updates();
+        for (group, (intent, recorded)) in updates.running {
             let age = now.saturating_duration_since(recorded);
             context.replacements.on_reported(&group, intent.clone(), age, now);
             let message = PeerMessage::ReplacementUnderWay { group: group.clone(), intent, age };
-            tell(&group, &message, context, mailboxes);
+            announce(&group, &message, context, mailboxes);
         }
-        for (group, id, led) in news.ended {
+        for (group, id, led) in updates.ended {
             context.replacements.on_reported_end(&group, id);
             let message = PeerMessage::ReplacementOver { group: group.clone(), id, led };
-            tell(&group, &message, context, mailboxes);
+            announce(&group, &message, context, mailboxes);
         }
     }
 }
 
-fn tell(group: &GroupName, message: &PeerMessage, context: &NodeContext, mailboxes: &Mailboxes) {
+fn announce(
+    group: &GroupName,
+    message: &PeerMessage,
+    context: &NodeContext,
+    mailboxes: &Mailboxes,
+) {
     let ownerships = context.ownerships();
     let owners = ownerships.owners_of(group).iter().map(|owner| &owner.node);
     let others: Vec<&NodeName> = owners.filter(|node| **node != context.identity.node).collect();
--- a/crates/daemon/src/agent/promotion/coordinator.rs
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -27,20 +27,20 @@
 use crate::supervisor::StopFlag;
 
 /// Longest time between two steps of the attempts.
-const STEP: Duration = Duration::from_millis(3);
+const STEP_INTERVAL: Duration = Duration::from_millis(3);
 /// Time between two attempts to acquire the lease again after a store restore.
-const TAKE_AGAIN_STEP: Duration = Duration::from_millis(50);
+const REACQUIRE_INTERVAL: Duration = Duration::from_millis(50);
 /// The lease is renewed when less than this is left of it.
-const RENEW_BEFORE: Duration = Duration::from_millis(1_500);
+const RENEW_MARGIN: Duration = Duration::from_millis(1_500);
 /// The lease is released after this time without an attempt.
-const LINGER: Duration = Duration::from_millis(300);
+const IDLE_LEASE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Delay before a failed change of the store is retried.
-const STORE_RETRY: Duration = Duration::from_millis(100);
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Needs are ignored for this long after an attempt of their group has ended: they may have been
 /// computed before its end.
-const OLD_NEEDS: Duration = Duration::from_millis(200);
+const STALE_NEEDS_PERIOD: Duration = Duration::from_millis(200);
 /// A promotion is sent only if at least this much is left of the lease.
-const LEAST_HOLD: Duration = Duration::from_millis(100);
+const MIN_LEASE_FOR_PROMOTION: Duration = Duration::from_millis(100);
 
 /// What the watcher passes to the coordinator thread, and the attempts that this reports back.
 #[derive(Clone, Debug, Default)]
@@ -58,12 +58,12 @@
 /// The input, shared between the watcher and the coordinator thread.
 pub type SharedCoordinatorInput = Arc<Mutex<CoordinatorInput>>;
 
-struct Running {
+struct RunningAttempt {
     attempt: Attempt,
     /// The change of the store that failed, and when to retry it.
-    again: Option<(Instant, Command)>,
+    retry: Option<(Instant, Command)>,
     pending: Option<Command>,
-    began: Instant,
+    started: Instant,
     /// When the store first confirmed the intent.
     recorded: Option<Instant>,
     phase: Phase,
@@ -71,18 +71,18 @@
 
 struct CoordinatorThread<'a> {
     context: &'a NodeContext,
-    situation: &'a SharedCoordinatorInput,
+    input: &'a SharedCoordinatorInput,
     coordination: Arc<dyn Coordination>,
-    orders: Executor,
-    hold: Hold,
+    executor: Executor,
+    lease: Hold,
     /// Whether the store has reported that the lease has ended.
-    is_over: bool,
+    is_lease_over: bool,
     /// Whether the store may return outdated incarnations of instances.
     starts_may_be_old: bool,
     renewing: bool,
-    attempts: BTreeMap<GroupName, Running>,
+    attempts: BTreeMap<GroupName, RunningAttempt>,
     /// Number of attempts started under this lease.
-    begun: u32,
+    attempts_started: u32,
     /// When the last attempt of each group ended, to ignore needs that were computed before.
     ended: BTreeMap<GroupName, Instant>,
 }
@@ -92,7 +92,7 @@
     /// The node stops, nothing is left to replace, or the lease has ended.
     Done,
     /// The store was restored from a copy that does not contain the lease.
-    StoreCameBack {
+    StoreRestored {
         /// When the lease would have ended.
         until: Instant,
     },
@@ -102,70 +102,70 @@
 pub fn run(
     context: &NodeContext,
     services: &ReplacementServices,
-    situation: &SharedCoordinatorInput,
+    input: &SharedCoordinatorInput,
     stop: &StopFlag,
 ) {
-    let mut taken = take_hold(context, services);
-    while let Some(hold) = taken {
-        let ending = act_under(hold, context, services, situation, stop);
+    let mut acquired = acquire_lease(context, services);
+    while let Some(lease) = acquired {
+        let ending = run_under_lease(lease, context, services, input, stop);
         context.replacements.on_coordinator_lease_ended();
-        taken = match ending {
+        acquired = match ending {
             Ending::Done => None,
-            Ending::StoreCameBack { until } => take_again(until, context, services, stop),
+            Ending::StoreRestored { until } => reacquire_lease(until, context, services, stop),
         };
     }
 }
 
 /// Acquires the lease again after a store restore, in place of one that would have lasted until `until`.
 /// Until then no other node can acquire it, so the attempts that are under way can continue.
-fn take_again(
+fn reacquire_lease(
     until: Instant,
     context: &NodeContext,
     services: &ReplacementServices,
     stop: &StopFlag,
 ) -> Option<Hold> {
     while Instant::now() < until && !stop.is_stopping() {
-        let hold = take_hold(context, services);
-        if hold.is_some() {
-            return hold;
+        let lease = acquire_lease(context, services);
+        if lease.is_some() {
+            return lease;
         }
-        stop.sleep(TAKE_AGAIN_STEP);
+        stop.sleep(REACQUIRE_INTERVAL);
     }
     None
 }
 
-fn take_hold(context: &NodeContext, services: &ReplacementServices) -> Option<Hold> {
+fn acquire_lease(context: &NodeContext, services: &ReplacementServices) -> Option<Hold> {
     match services.coordination.acquire(&context.identity.node) {
-        Ok(hold) => hold,
+        Ok(lease) => lease,
         Err(error) => {
-            log::warn!(event = "hold_failed", error = error.to_string().as_str(); "the right to replace primaries could not be taken");
+            log::warn!(event = "hold_failed", error = error.to_string().as_str(); "the coordinator lease could not be acquired");
             None
         }
     }
 }
 
-fn act_under(
-    hold: Hold,
+fn run_under_lease(
+    lease: Hold,
     context: &NodeContext,
     services: &ReplacementServices,
-    situation: &SharedCoordinatorInput,
+    input: &SharedCoordinatorInput,
     stop: &StopFlag,
 ) -> Ending {
     let coordination = services.coordination.clone();
-    log::info!(event = "hold_taken", fence = hold.fence; "this node replaces primaries");
-    let era = StoreEra::of(hold.fence);
-    let (orders, reports) = Executor::start(services.clone());
-    let mut thread = CoordinatorThread {
+    log::info!(event = "hold_taken", fence = lease.fence; "this node is the coordinator and may replace primaries");
+    let era = StoreEra::of(lease.fence);
+    let (executor, reports) = Executor::start(services.clone());
+    let mut coordinator_thread = CoordinatorThread {
         context,
-        situation,
+        input,
         coordination: coordination.clone(),
-        orders,
-        hold,
-        is_over: false,
+        executor,
+        lease,
+        is_lease_over: false,
         starts_may_be_old: true,
         renewing: false,
         attempts: BTreeMap::new(),
-        begun: 0,
+        attempts_started: 0,
         ended: BTreeMap::new(),
     };
     let mut idle_since = Instant::now();
@@ -174,41 +174,41 @@
         if stop.is_stopping() {
             // Releasing the lease at a planned stop lets another node become the coordinator at once.
             if context.is_stopping() {
-                let _ = coordination.release(&thread.hold);
+                let _ = coordination.release(&coordinator_thread.lease);
             }
             return Ending::Done;
         }
         if coordination.era() > era {
-            log::warn!(event = "hold_outdated", fence = thread.hold.fence, era = coordination.era().0; "the store has come back from a copy: the right to replace primaries is taken anew");
-            return Ending::StoreCameBack { until: thread.hold.until };
+            log::warn!(event = "hold_outdated", fence = coordinator_thread.lease.fence, era = coordination.era().0; "the store was restored from an older copy: acquiring the coordinator lease again");
+            return Ending::StoreRestored { until: coordinator_thread.lease.until };
         }
-        if thread.is_over || Instant::now() >= thread.hold.until {
-            log::warn!(event = "hold_lost", fence = thread.hold.fence; "the right to replace primaries is over");
+        if coordinator_thread.is_lease_over || Instant::now() >= coordinator_thread.lease.until {
+            log::warn!(event = "hold_lost", fence = coordinator_thread.lease.fence; "the coordinator lease has ended");
             return Ending::Done;
         }
-        if let Ok(report) = reports.recv_timeout(STEP) {
-            thread.take_in(report);
-            reports.try_iter().for_each(|report| thread.take_in(report));
+        if let Ok(report) = reports.recv_timeout(STEP_INTERVAL) {
+            coordinator_thread.on_report(report);
+            reports.try_iter().for_each(|report| coordinator_thread.on_report(report));
         }
-        thread.step();
-        if !thread.attempts.is_empty() {
+        coordinator_thread.step();
+        if !coordinator_thread.attempts.is_empty() {
             idle_since = Instant::now();
-        } else if idle_since.elapsed() >= LINGER {
+        } else if idle_since.elapsed() >= IDLE_LEASE_TIMEOUT {
             break;
         }
     }
     // If the release fails, the lease expires by itself.
-    let _ = coordination.release(&thread.hold);
-    log::info!(event = "hold_given_up", fence = thread.hold.fence; "nothing is left to replace");
+    let _ = coordination.release(&coordinator_thread.lease);
+    log::info!(event = "hold_given_up", fence = coordinator_thread.lease.fence; "released the coordinator lease: nothing is left to replace");
     Ending::Done
 }
 
 impl CoordinatorThread<'_> {
-    fn situation(&self) -> CoordinatorInput {
-        self.situation.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    fn input(&self) -> CoordinatorInput {
+        self.input.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn take_in(&mut self, report: Report) {
+    fn on_report(&mut self, report: Report) {
         let now = Instant::now();
         match report {
             Report::Event(group, event) => {
@@ -222,58 +222,64 @@
             }
             Report::Installed => {}
             Report::Finished(group) => {
-                self.tell_end(&group);
+                self.announce_end(&group);
                 self.attempts.remove(&group);
                 self.ended.insert(group, now);
             }
             Report::StoreFailed(group) => {
                 if let Some(running) = self.attempts.get_mut(&group) {
                     let pending = running.pending.take();
-                    running.again = pending.map(|command| (now + STORE_RETRY, command));
+                    running.retry = pending.map(|command| (now + STORE_RETRY_DELAY, command));
                 }
             }
-            Report::Renewed(hold) => {
+            Report::Renewed(lease) => {
                 self.renewing = false;
-                self.hold = hold;
+                self.lease = lease;
             }
-            Report::LeaseOver => self.is_over = true,
+            Report::LeaseOver => self.is_lease_over = true,
         }
     }
 
     /// Has the end of an attempt announced to the owners of the group.
-    fn tell_end(&self, group: &GroupName) {
+    fn announce_end(&self, group: &GroupName) {
         let Some(running) = self.attempts.get(group) else { return };
-        let led = running.attempt.successor_term();
-        self.context.replacements.on_attempt_ended(group, running.attempt.id(), led);
+        let successor_term = running.attempt.successor_term();
+        self.context.replacements.on_attempt_ended(group, running.attempt.id(), successor_term);
     }
 
     fn step(&mut self) {
         let now = Instant::now();
-        let situation = self.situation();
-        self.starts_may_be_old = situation.starts_may_be_old;
-        if !self.renewing && now + RENEW_BEFORE >= self.hold.until {
+        let input = self.input();
+        self.starts_may_be_old = input.starts_may_be_old;
+        if !self.renewing && now + RENEW_MARGIN >= self.lease.until {
             self.renewing = true;
-            self.orders.renew(&self.hold);
+            self.executor.renew(&self.lease);
         }
-        for (group, need) in &situation.needs {
+        for (group, need) in &input.needs {
             let ended = self.ended.get(group);
-            let is_old = ended.is_some_and(|ended| now < *ended + OLD_NEEDS);
-            if !self.attempts.contains_key(group) && !is_old {
-                self.begin(group, need, &situation.known, now);
+            let is_stale = ended.is_some_and(|ended| now < *ended + STALE_NEEDS_PERIOD);
+            if !self.attempts.contains_key(group) && !is_stale {
+                self.start_attempt(group, need, &input.known, now);
             }
         }
         let groups: Vec<GroupName> = self.attempts.keys().cloned().collect();
         for group in groups {
-            self.step_group(&group, &situation, now);
+            self.step_group(&group, &input, now);
         }
     }
 
-    fn begin(&mut self, group: &GroupName, need: &Need, known: &KnownInstances, now: Instant) {
-        self.begun += 1;
+    fn start_attempt(
+        &mut self,
+        group: &GroupName,
+        need: &Need,
+        known: &KnownInstances,
+        now: Instant,
+    ) {
+        self.attempts_started += 1;
         let highest = self.context.statuses.highest_term(group);
         let attempt = Attempt::new(
             self.context.identity.node.clone(),
-            ReplacementId { fence: self.hold.fence, attempt: self.begun },
+            ReplacementId { fence: self.lease.fence, attempt: self.attempts_started },
             need,
             known.members(group),
             highest,
@@ -281,28 +287,38 @@
         );
         log::info!(event = "attempt", group = group.as_str(), reason:? = need.reason, former:? = need.former, term = highest.0; "a primary is to be replaced");
         let phase = attempt.phase();
-        let running =
-            Running { attempt, again: None, pending: None, began: now, recorded: None, phase };
+        let running = RunningAttempt {
+            attempt,
+            retry: None,
+            pending: None,
+            started: now,
+            recorded: None,
+            phase,
+        };
         self.attempts.insert(group.clone(), running);
     }
 
-    fn step_group(&mut self, group: &GroupName, situation: &CoordinatorInput, now: Instant) {
+    fn step_group(&mut self, group: &GroupName, input: &CoordinatorInput, now: Instant) {
         let Some(running) = self.attempts.get_mut(group) else { return };
-        let wanted = situation.needs.get(group).is_some_and(|need| need.wanted);
-        running.attempt.on_event(Event::Members(situation.known.members(group)), now);
+        let wanted = input.needs.get(group).is_some_and(|need| need.wanted);
+        running.attempt.on_event(Event::Members(input.known.members(group)), now);
         running.attempt.on_event(Event::Wanted(wanted), now);
         let id = running.attempt.id();
-        let said = self.context.given_up.for_replacement(group, id);
-        if let Some(said) = said {
-            running.attempt.hear(&said, &nodes_to_hear(self.context, &*self.coordination), now);
+        let witnesses = self.context.given_up.for_replacement(group, id);
+        if let Some(witnesses) = witnesses {
+            running.attempt.hear(
+                &witnesses,
+                &nodes_to_await(self.context, &*self.coordination),
+                now,
+            );
         }
         let mut commands = running.attempt.step(now);
-        if running.again.as_ref().is_some_and(|(at, _)| now >= *at) {
-            commands.extend(running.again.take().map(|(_, command)| command));
+        if running.retry.as_ref().is_some_and(|(at, _)| now >= *at) {
+            commands.extend(running.retry.take().map(|(_, command)| command));
         }
         if running.phase != running.attempt.phase() {
             running.phase = running.attempt.phase();
-            let after = now.saturating_duration_since(running.began).as_millis() as u64;
+            let after = now.saturating_duration_since(running.started).as_millis() as u64;
             log::info!(event = "phase", group = group.as_str(), phase:? = running.phase, chosen:? = running.attempt.chosen(), after_ms = after; "the attempt goes on");
         }
         if let Some(intent) = running.attempt.under_way() {
@@ -310,7 +326,7 @@
             self.context.replacements.on_attempt_running(group, intent, recorded);
         }
         for command in commands {
-            self.carry_out(group, command, &situation.known, now);
+            self.carry_out(group, command, &input.known, now);
         }
     }
 
@@ -323,7 +339,7 @@
     ) {
         match command {
             Command::ReadStarts if self.starts_may_be_old => {
-                log::info!(event = "starts_unknown", group = group.as_str(); "the store has come back from a copy: instances may not have told yet that they have started again");
+                log::info!(event = "starts_unknown", group = group.as_str(); "the store was restored from an older copy: it may not know all restarts of instances yet");
                 if let Some(running) = self.attempts.get_mut(group) {
                     running.attempt.on_event(Event::StartsUnknown, now);
                 }
@@ -331,32 +347,32 @@
             Command::ReadStarts => {
                 let members = known.members(group).all;
                 let instances = members.into_iter().map(|member| member.name).collect();
-                self.orders.read_starts(group.clone(), instances);
+                self.executor.read_starts(group.clone(), instances);
             }
-            Command::Ask(instance) => self.tell(group, &instance, Order::Ask, known),
+            Command::Ask(instance) => self.send_order(group, &instance, Order::Ask, known),
             Command::Stop { instance, term } => {
-                self.tell(group, &instance, Order::Stop(term), known);
+                self.send_order(group, &instance, Order::Stop(term), known);
             }
             Command::Demote { instance, term } => {
-                self.tell(group, &instance, Order::Demote(term), known);
+                self.send_order(group, &instance, Order::Demote(term), known);
             }
-            Command::Release(instance) => self.tell(group, &instance, Order::Release, known),
+            Command::Release(instance) => self.send_order(group, &instance, Order::Release, known),
             Command::Promote(instance) => {
-                if now + LEAST_HOLD < self.hold.until {
-                    let holder = self.context.identity.node.clone();
-                    self.orders.promote(group.clone(), instance, holder, &self.hold);
+                if now + MIN_LEASE_FOR_PROMOTION < self.lease.until {
+                    let coordinator = self.context.identity.node.clone();
+                    self.executor.promote(group.clone(), instance, coordinator, &self.lease);
                 }
             }
             Command::Record(ref intent) => {
-                self.orders.record(&self.hold, group.clone(), intent.clone());
+                self.executor.record(&self.lease, group.clone(), intent.clone());
                 self.keep_pending(group, command);
             }
             Command::Install(successor) => {
-                self.orders.install(&self.hold, group.clone(), successor);
+                self.executor.install(&self.lease, group.clone(), successor);
             }
             Command::Finish { id, ref successor } => {
-                self.report_end(group, successor.as_ref(), now);
-                self.orders.finish(&self.hold, group.clone(), id, successor.clone());
+                self.log_end(group, successor.as_ref(), now);
+                self.executor.finish(&self.lease, group.clone(), id, successor.clone());
                 self.keep_pending(group, command);
             }
         }
@@ -368,17 +384,17 @@
         }
     }
 
-    fn report_end(&self, group: &GroupName, successor: Option<&Successor>, now: Instant) {
-        let began = self.attempts.get(group).map_or(now, |running| running.began);
-        let took = now.saturating_duration_since(began).as_millis() as u64;
+    fn log_end(&self, group: &GroupName, successor: Option<&Successor>, now: Instant) {
+        let started = self.attempts.get(group).map_or(now, |running| running.started);
+        let took = now.saturating_duration_since(started).as_millis() as u64;
         log::info!(event = "attempt_over", group = group.as_str(), successor:? = successor, took_ms = took; "the attempt is over");
         if successor.is_none() {
-            let mut situation = self.situation.lock().unwrap_or_else(PoisonError::into_inner);
-            situation.cancelled.push(group.clone());
+            let mut input = self.input.lock().unwrap_or_else(PoisonError::into_inner);
+            input.cancelled.push(group.clone());
         }
     }
 
-    fn tell(
+    fn send_order(
         &mut self,
         group: &GroupName,
         instance: &InstanceName,
@@ -387,7 +403,7 @@
     ) {
         let Some(address) = known.address(group, instance) else { return };
         let (group, instance) = (group.clone(), instance.clone());
-        self.orders.send_order(ControlTarget { group, instance, address }, order);
+        self.executor.send_order(ControlTarget { group, instance, address }, order);
     }
 }
 
@@ -395,7 +411,7 @@
 /// read, extended by the store's. This node's list may be seconds old and lack nodes that were added
 /// since; the store's list was read again when the intent was recorded. Empty while this node has not
 /// read a machine list.
-fn nodes_to_hear(context: &NodeContext, coordination: &dyn Coordination) -> Vec<NodeName> {
+fn nodes_to_await(context: &NodeContext, coordination: &dyn Coordination) -> Vec<NodeName> {
     let mut nodes = context.listed_names();
     if nodes.is_empty() {
         return nodes;
--- a/crates/daemon/src/agent/promotion/electors.rs
+++ b/crates/daemon/src/agent/promotion/electors.rs
@@ -13,7 +13,7 @@
 /// Longest time between two refreshes while no list changes: a node counts for 20 s after it was last
 /// known to be live. Collecting the electors takes time proportional to the number of nodes, which
 /// would be wasted at each step of 20 ms.
-const REFRESH: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The live nodes, and those whose votes count.
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
     electorate: Electorate,
     live_list: Arc<Vec<LiveNode>>,
     listed_list: Arc<Vec<LiveNode>>,
-    gathered: Option<Instant>,
+    refreshed: Option<Instant>,
     live: Vec<NodeName>,
     counted: Vec<NodeName>,
 }
@@ -32,18 +32,18 @@
 
 impl Electors {
     /// Collects the nodes again if a list has changed or the last refresh is too old.
-    pub fn follow(&mut self, context: &NodeContext, now: Instant) {
+    pub fn refresh(&mut self, context: &NodeContext, now: Instant) {
         let (live, listed) = (context.live.load(), context.listed_nodes.load());
         let is_same =
             Arc::ptr_eq(&live, &self.live_list) && Arc::ptr_eq(&listed, &self.listed_list);
-        let is_recent = self.gathered.is_some_and(|at| now < at + REFRESH);
+        let is_recent = self.refreshed.is_some_and(|at| now < at + REFRESH_INTERVAL);
         if is_same && is_recent {
             return;
         }
         self.live = names(&live);
         self.counted = self.electorate.counted(&names(&listed), &self.live, now);
         (self.live_list, self.listed_list) = (live, listed);
-        self.gathered = Some(now);
+        self.refreshed = Some(now);
     }
 
     /// Live nodes.
--- a/crates/daemon/src/agent/promotion/executor.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -3,7 +3,7 @@
 //!
 //! There is a thread for each instance and one for changes of the store, each with one command at a
 //! time; promotions and reads of incarnations have a thread for each call. Changes of the store are
-//! queued. An order to an instance is dropped if an earlier order to it is still queued; the attempt
+//! queued. An executed an order to an instance is dropped if an earlier order to it is still queued; the attempt
 //! sends its orders again until the instance has answered.
 
 use std::collections::HashMap;
@@ -57,23 +57,23 @@
 impl Executor {
     /// Starts the thread for the store; the thread of an instance starts with its first order.
     pub fn start(services: ReplacementServices) -> (Self, Receiver<Report>) {
-        let (reports, received) = unbounded();
+        let (reports, report_receiver) = unbounded();
         let (store, commands) = bounded(64);
         let coordination = services.coordination.clone();
-        let answers = reports.clone();
+        let report_sender = reports.clone();
         spawn("promotion-store", move || {
             for command in commands {
                 let report = change_store(coordination.as_ref(), command);
-                if answers.send(report).is_err() {
+                if report_sender.send(report).is_err() {
                     return;
                 }
             }
         });
         let orders = Self { services, reports, instances: HashMap::new(), store };
-        (orders, received)
+        (orders, report_receiver)
     }
 
-    /// Sends an order to an instance, unless an earlier order to it is still queued.
+    /// Sends an executed an order to an instance, unless an earlier order to it is still queued.
     pub fn send_order(&mut self, target: ControlTarget, order: Order) {
         let sender = self.instances.entry(target.instance.clone()).or_insert_with(|| {
             let (sender, orders) = bounded::<(ControlTarget, Order)>(1);
@@ -83,8 +83,8 @@
                 for (target, order) in orders {
                     let sent = Instant::now();
                     let outcome = control.tell(&target, order);
-                    log::info!(event = "order", group = target.group.as_str(), instance = target.instance.as_str(), order:? = order, outcome:? = outcome, took_us = sent.elapsed().as_micros() as u64; "order to an instance");
-                    for event in events_of(&target, order, outcome, sent) {
+                    log::info!(event = "order", group = target.group.as_str(), instance = target.instance.as_str(), order:? = order, outcome:? = outcome, took_us = sent.elapsed().as_micros() as u64; "executed an order to an instance");
+                    for event in events_for(&target, order, outcome, sent) {
                         if reports.send(Report::Event(target.group.clone(), event)).is_err() {
                             return;
                         }
@@ -98,18 +98,24 @@
     }
 
     /// Asks the platform to promote an instance.
-    pub fn promote(&self, group: GroupName, instance: InstanceName, holder: NodeName, hold: &Hold) {
+    pub fn promote(
+        &self,
+        group: GroupName,
+        instance: InstanceName,
+        coordinator: NodeName,
+        lease: &Hold,
+    ) {
         let promotions = self.services.promotions.clone();
-        let (reports, fence) = (self.reports.clone(), hold.fence);
-        let until = hold.until;
+        let (reports, fence) = (self.reports.clone(), lease.fence);
+        let until = lease.until;
         spawn("promotion-call", move || {
             // The time is read again here, because this process may have been suspended. No promotion
             // is sent after the end of the lease.
             let answer = match Instant::now() < until {
-                true => promotions.promote(&group, &instance, &holder, fence),
+                true => promotions.promote(&group, &instance, &coordinator, fence),
                 false => PromotionAnswer::Unknown,
             };
-            log::info!(event = "promotion", group = group.as_str(), instance = instance.as_str(), fence = fence, answer:? = answer; "promotion call");
+            log::info!(event = "promotion", group = group.as_str(), instance = instance.as_str(), fence = fence, answer:? = answer; "the platform answered a promotion request");
             let event = Event::Promoted { instance, answer };
             // The coordinator thread may have ended by now.
             let _ = reports.send(Report::Event(group, event));
@@ -117,8 +123,8 @@
     }
 
     /// Records an intent.
-    pub fn record(&self, hold: &Hold, group: GroupName, intent: Intent) {
-        self.change(StoreCommand::Record(hold.clone(), group, intent));
+    pub fn record(&self, lease: &Hold, group: GroupName, intent: Intent) {
+        self.send_change(StoreCommand::Record(lease.clone(), group, intent));
     }
 
     /// Reads the incarnations of instances from the store.
@@ -133,27 +139,27 @@
     }
 
     /// Records the successor of a group's primary.
-    pub fn install(&self, hold: &Hold, group: GroupName, successor: InstanceName) {
-        self.change(StoreCommand::Install(hold.clone(), group, successor));
+    pub fn install(&self, lease: &Hold, group: GroupName, successor: InstanceName) {
+        self.send_change(StoreCommand::Install(lease.clone(), group, successor));
     }
 
     /// Removes the intent of an attempt that has ended.
     pub fn finish(
         &self,
-        hold: &Hold,
+        lease: &Hold,
         group: GroupName,
         id: ReplacementId,
         successor: Option<Successor>,
     ) {
-        self.change(StoreCommand::Finish(hold.clone(), group, id, successor));
+        self.send_change(StoreCommand::Finish(lease.clone(), group, id, successor));
     }
 
     /// Renews the coordinator lease.
-    pub fn renew(&self, hold: &Hold) {
-        self.change(StoreCommand::Renew(hold.clone()));
+    pub fn renew(&self, lease: &Hold) {
+        self.send_change(StoreCommand::Renew(lease.clone()));
     }
 
-    fn change(&self, command: StoreCommand) {
+    fn send_change(&self, command: StoreCommand) {
         // A full queue of 64 changes means that the store has not responded for a long time, so the
         // lease is about to end.
         let _ = self.store.try_send(command);
@@ -163,39 +169,39 @@
 fn spawn(name: &str, body: impl FnOnce() + Send + 'static) {
     let spawned = thread::Builder::new().name(name.to_owned()).spawn(body);
     if let Err(error) = spawned {
-        log::error!("a thread for {name} could not be started: {error}");
+        log::error!("failed to start thread {name}: {error}");
     }
 }
 
 fn change_store(coordination: &dyn Coordination, command: StoreCommand) -> Report {
     match command {
-        StoreCommand::Record(hold, group, intent) => {
-            match coordination.record(&hold, &group, &intent) {
+        StoreCommand::Record(lease, group, intent) => {
+            match coordination.record(&lease, &group, &intent) {
                 Ok(true) => Report::Event(group, Event::Recorded(intent)),
                 Ok(false) => Report::LeaseOver,
                 Err(_) => Report::StoreFailed(group),
             }
         }
-        StoreCommand::Install(hold, group, successor) => {
-            match coordination.install(&hold, &group, &successor) {
+        StoreCommand::Install(lease, group, successor) => {
+            match coordination.install(&lease, &group, &successor) {
                 Ok(true) => Report::Installed,
                 Ok(false) => Report::LeaseOver,
                 // Not retried: the successor is recorded when the attempt ends at the latest.
                 Err(_) => Report::Installed,
             }
         }
-        StoreCommand::Finish(hold, group, id, successor) => {
-            match coordination.finish(&hold, &group, id, successor.as_ref()) {
+        StoreCommand::Finish(lease, group, id, successor) => {
+            match coordination.finish(&lease, &group, id, successor.as_ref()) {
                 Ok(true) => Report::Finished(group),
                 Ok(false) => Report::LeaseOver,
                 Err(_) => Report::StoreFailed(group),
             }
         }
-        StoreCommand::Renew(hold) => match coordination.renew(&hold) {
+        StoreCommand::Renew(lease) => match coordination.renew(&lease) {
             Ok(Some(renewed)) => Report::Renewed(renewed),
             Ok(None) => Report::LeaseOver,
             // The lease keeps its end; the next renewal may succeed.
-            Err(_) => Report::Renewed(hold),
+            Err(_) => Report::Renewed(lease),
         },
     }
 }
@@ -205,14 +211,14 @@
     match coordination.starts(instances) {
         Ok(told) => Event::Starts { told, asked },
         Err(error) => {
-            log::info!(event = "starts_unknown", error = error.to_string().as_str(); "the store does not say which instances have started again");
+            log::info!(event = "starts_unknown", error = error.to_string().as_str(); "the store did not return the incarnations of the instances");
             Event::StartsUnknown
         }
     }
 }
 
 /// The events for the attempt that follow from the outcome of an order.
-fn events_of(
+fn events_for(
     target: &ControlTarget,
     order: Order,
     outcome: Result<Standing, ControlError>,
@@ -221,10 +227,10 @@
     let instance = target.instance.clone();
     match outcome {
         Ok(standing) => {
-            let stands = Event::Stands { instance: instance.clone(), standing, sent };
+            let status_event = Event::Stands { instance: instance.clone(), standing, sent };
             match order {
-                Order::Release => vec![stands, Event::Released(instance)],
-                Order::Ask | Order::Stop(_) | Order::Demote(_) => vec![stands],
+                Order::Release => vec![status_event, Event::Released(instance)],
+                Order::Ask | Order::Stop(_) | Order::Demote(_) => vec![status_event],
             }
         }
         Err(ControlError::Refused) => vec![Event::Refused { instance, sent }],
--- a/crates/daemon/src/agent/promotion/mod.rs
+++ b/crates/daemon/src/agent/promotion/mod.rs
@@ -8,7 +8,7 @@
 //! * [`watch`] assesses each group's primary by this node's own exchanges and publishes the votes;
 //! * [`coordinator`] runs primary replacements while this node holds the coordinator lease;
 //! * [`replacement_checker`] confirms with the store that no primary replacement is running, which
-//!   makes the status reports of replicas usable as evidence for their primary;
+//!   turns the status reports of some of a group's replicas into evidence for its primary;
 //! * [`write_back`] records again what a store restore has lost;
 //! * [`executor`] runs the threads that call instances, the store and the platform.
 
--- a/crates/daemon/src/agent/promotion/owned.rs
+++ b/crates/daemon/src/agent/promotion/owned.rs
@@ -16,7 +16,7 @@
 
 impl OwnedGroups {
     /// The groups by the current owners.
-    pub fn follow(&mut self, context: &NodeContext) -> Arc<[GroupName]> {
+    pub fn refresh(&mut self, context: &NodeContext) -> Arc<[GroupName]> {
         let owners = context.ownerships();
         if !Arc::ptr_eq(&owners, &self.owners) {
             self.groups = owners.owned_by(&context.identity.node).cloned().collect();
--- a/crates/daemon/src/agent/promotion/replacement_checker.rs
+++ b/crates/daemon/src/agent/promotion/replacement_checker.rs
@@ -1,8 +1,9 @@
 //! Replacement checks: requests to the store that confirm that no primary replacement is running.
 //!
-//! Replicas' status reports are evidence for a primary only together with such a check. A check asks
-//! the store whether this node's copy of the replacement state is complete. If it is, the intents and
-//! the last promoted instance in the copy were valid when the check began.
+//! If only some replicas of a group have reported their status, the reports are evidence for its primary
+//! only together with such a check (`core::primary_evidence`). A check asks the store whether this
+//! node's copy of the replacement state is complete. If it is, the intents and the last promoted
+//! instance in the copy were valid when the check began.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,11 +20,11 @@
 
 /// Least time between two checks of a node. Requests to the store are limited in number and
 /// expensive, and the evidence that a check confirms lasts for a second.
-const PAUSE: Duration = Duration::from_millis(100);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Result of a check.
 #[derive(Clone, Copy, Debug)]
-struct Looked {
+struct CheckResult {
     /// When the check began.
     asked: Instant,
     /// Revision of the copy, if the copy is complete.
@@ -33,78 +34,79 @@
 /// Runs the replacement checks of a node, one at a time.
 pub struct ReplacementChecker {
     requests: Sender<()>,
-    answers: Receiver<Looked>,
+    results: Receiver<CheckResult>,
     /// Groups that the check in progress is for.
-    under_way: Option<BTreeSet<GroupName>>,
-    last: Option<Instant>,
+    in_progress: Option<BTreeSet<GroupName>>,
+    last_start: Option<Instant>,
 }
 
 impl ReplacementChecker {
     /// Starts the thread that sends the requests; it ends when the checker is dropped.
     pub fn start(services: &ReplacementServices) -> Self {
-        let (requests, wanted) = bounded::<()>(1);
-        let (answered, answers) = unbounded();
+        let (requests, request_receiver) = bounded::<()>(1);
+        let (result_sender, results) = unbounded();
         let coordination = services.coordination.clone();
         let spawned = thread::Builder::new()
             .name("store-look".to_owned())
-            .spawn(move || answer_requests(&coordination, &wanted, &answered));
+            .spawn(move || run_checks(&coordination, &request_receiver, &result_sender));
         if let Err(error) = spawned {
-            log::error!("a thread for looks at the store could not be started: {error}");
+            log::error!("failed to start the replacement check thread: {error}");
         }
-        Self { requests, answers, under_way: None, last: None }
+        Self { requests, results, in_progress: None, last_start: None }
     }
 
     /// Takes in the result of a check, and begins another one if groups wait for it. `view` is the copy
     /// of the replacement state that this node uses.
     pub fn step(&mut self, context: &NodeContext, view: &CoordinationView, now: Instant) {
-        match self.answers.try_recv() {
-            Ok(looked) => {
-                let groups = self.under_way.take().unwrap_or_default();
-                take_in(&groups, looked, context, view);
+        match self.results.try_recv() {
+            Ok(result) => {
+                let groups = self.in_progress.take().unwrap_or_default();
+                apply_result(&groups, result, context, view);
             }
             Err(TryRecvError::Empty) => {}
             // The thread could not be started, which was logged.
             Err(TryRecvError::Disconnected) => return,
         }
-        let is_early = self.last.is_some_and(|last| now < last + PAUSE);
-        if self.under_way.is_some() || is_early {
+        let is_early =
+            self.last_start.is_some_and(|last_start| now < last_start + MIN_CHECK_INTERVAL);
+        if self.in_progress.is_some() || is_early {
             return;
         }
         let groups = context.store_looks.take();
         if !groups.is_empty() && self.requests.try_send(()).is_ok() {
-            self.under_way = Some(groups);
-            self.last = Some(now);
+            self.in_progress = Some(groups);
+            self.last_start = Some(now);
         }
     }
 }
 
-fn answer_requests(
+fn run_checks(
     coordination: &Arc<dyn Coordination>,
-    wanted: &Receiver<()>,
-    answered: &Sender<Looked>,
+    request_receiver: &Receiver<()>,
+    result_sender: &Sender<CheckResult>,
 ) {
-    while wanted.recv().is_ok() {
+    while request_receiver.recv().is_ok() {
         let asked = Instant::now();
         let revision = match coordination.complete_revision() {
             Ok(revision) => revision,
             Err(error) => {
-                log::debug!("a look at the store failed: {error}");
+                log::debug!("replacement check failed: {error}");
                 None
             }
         };
-        if answered.send(Looked { asked, revision }).is_err() {
+        if result_sender.send(CheckResult { asked, revision }).is_err() {
             return;
         }
     }
 }
 
-fn take_in(
+fn apply_result(
     groups: &BTreeSet<GroupName>,
-    looked: Looked,
+    result: CheckResult,
     context: &NodeContext,
     view: &CoordinationView,
 ) {
-    let Some(revision) = looked.revision else { return };
+    let Some(revision) = result.revision else { return };
     if view.revision < revision {
         return;
     }
@@ -112,12 +114,12 @@
     for name in groups {
         let Some(group) = catalog.groups.get(name) else { continue };
         let promoted = view.promoted.get(name).map(|successor| &successor.instance);
-        let is_in_force = group.promoted.as_ref() == promoted;
-        let is_heard_of = context.intents.load().contains_key(name);
+        let is_active = group.promoted.as_ref() == promoted;
+        let has_active_intent = context.intents.load().contains_key(name);
         let is_replaced =
-            is_heard_of || view.intents.contains_key(name) || !group.is_led_by_newest();
-        if is_in_force && !is_replaced {
-            context.statuses.on_replacement_check(name, looked.asked);
+            has_active_intent || view.intents.contains_key(name) || !group.is_led_by_newest();
+        if is_active && !is_replaced {
+            context.statuses.on_replacement_check(name, result.asked);
         }
     }
 }
--- a/crates/daemon/src/agent/promotion/status_queries.rs
+++ b/crates/daemon/src/agent/promotion/status_queries.rs
@@ -20,7 +20,7 @@
 use super::ReplacementServices;
 
 /// Time for which an assessment is used.
-const OPINION_LIFE: Duration = Duration::from_millis(600);
+const ASSESSMENT_LIFETIME: Duration = Duration::from_millis(600);
 
 pub(super) type Subject = (GroupName, InstanceName);
 
@@ -44,79 +44,79 @@
 }
 
 /// Result of a query.
-struct Answered {
+struct QueryResult {
     subject: Subject,
-    opinion: Assessment,
+    assessment: Assessment,
     standing: Option<Standing>,
     asked: Instant,
 }
 
 /// Status queries, each in a thread of its own, and the assessments that follow from them.
 pub(super) struct StatusQueries {
-    known: HashMap<Subject, Assessment>,
-    asking: Vec<Subject>,
-    answers: Receiver<Answered>,
-    answered: Sender<Answered>,
+    assessments: HashMap<Subject, Assessment>,
+    in_progress: Vec<Subject>,
+    results: Receiver<QueryResult>,
+    result_sender: Sender<QueryResult>,
 }
 
 impl StatusQueries {
     /// Starts without queries and assessments.
     pub fn new() -> Self {
-        let (answered, answers) = unbounded();
-        Self { known: HashMap::new(), asking: Vec::new(), answers, answered }
+        let (result_sender, results) = unbounded();
+        Self { assessments: HashMap::new(), in_progress: Vec::new(), results, result_sender }
     }
 
     /// Whether a query is in progress.
-    pub fn is_asking(&self) -> bool {
-        !self.asking.is_empty()
+    pub fn is_query_in_progress(&self) -> bool {
+        !self.in_progress.is_empty()
     }
 
     /// Takes in the results that have arrived and drops expired assessments. Returns the status reports.
     pub fn step(&mut self, now: Instant) -> Vec<StatusReport> {
-        let mut standings = Vec::new();
-        for Answered { subject, opinion, standing, asked } in self.answers.try_iter() {
-            self.asking.retain(|asking| *asking != subject);
-            self.known.insert(subject.clone(), opinion);
+        let mut reports = Vec::new();
+        for QueryResult { subject, assessment, standing, asked } in self.results.try_iter() {
+            self.in_progress.retain(|in_progress| *in_progress != subject);
+            self.assessments.insert(subject.clone(), assessment);
             let answer = standing.map(|standing| StatusReport { subject, standing, asked });
-            standings.extend(answer);
+            reports.extend(answer);
         }
-        self.known.retain(|_, opinion| now < opinion.at + OPINION_LIFE);
-        standings
+        self.assessments.retain(|_, assessment| now < assessment.at + ASSESSMENT_LIFETIME);
+        reports
     }
 
     /// The current assessment of a primary.
-    pub fn of(&self, group: &GroupName, primary: &InstanceName) -> Option<Assessment> {
-        self.known.get(&(group.clone(), primary.clone())).copied()
+    pub fn assessment_of(&self, group: &GroupName, primary: &InstanceName) -> Option<Assessment> {
+        self.assessments.get(&(group.clone(), primary.clone())).copied()
     }
 
     /// Sends a query to an instance, unless one is in progress or its assessment has not expired.
     /// `highest` is the highest term of its group that is known to have been led.
-    pub fn ask(&mut self, target: ControlTarget, highest: Term, services: &ReplacementServices) {
+    pub fn query(&mut self, target: ControlTarget, highest: Term, services: &ReplacementServices) {
         let subject = (target.group.clone(), target.instance.clone());
-        if self.asking.contains(&subject) || self.known.contains_key(&subject) {
+        if self.in_progress.contains(&subject) || self.assessments.contains_key(&subject) {
             return;
         }
-        self.asking.push(subject.clone());
-        let (control, answered) = (services.control.clone(), self.answered.clone());
+        self.in_progress.push(subject.clone());
+        let (control, result_sender) = (services.control.clone(), self.result_sender.clone());
         let spawned =
             thread::Builder::new().name("promotion-opinion".to_owned()).spawn(move || {
                 let asked = Instant::now();
                 let outcome = control.tell(&target, Order::Ask);
                 let standing = outcome.as_ref().ok().copied();
-                let cause = judge(control.as_ref(), &target, highest, outcome);
-                let opinion = Assessment { cause, at: Instant::now() };
+                let cause = assess(control.as_ref(), &target, highest, outcome);
+                let assessment = Assessment { cause, at: Instant::now() };
                 // The receiver is gone if the node is stopping.
-                let _ = answered.send(Answered { subject, opinion, standing, asked });
+                let _ = result_sender.send(QueryResult { subject, assessment, standing, asked });
             });
         if let Err(error) = spawned {
-            log::error!("a thread for an opinion could not be started: {error}");
+            log::error!("failed to start a status query thread: {error}");
         }
     }
 }
 
 /// Why a primary with this query result has to be replaced, if it has to be. Orders an old primary to
 /// step down.
-fn judge(
+fn assess(
     control: &dyn InstanceControl,
     target: &ControlTarget,
     highest: Term,
@@ -125,7 +125,7 @@
     match outcome {
         Ok(standing) if standing.role == Role::Primary && standing.term < highest => {
             let outcome = control.tell(target, Order::Demote(highest));
-            log::info!(event = "old_primary", group = target.group.as_str(), instance = target.instance.as_str(), leads = standing.term.0, newest = highest.0, outcome:? = outcome; "an old primary is told to step down");
+            log::info!(event = "old_primary", group = target.group.as_str(), instance = target.instance.as_str(), leads = standing.term.0, newest = highest.0, outcome:? = outcome; "an old primary was ordered to step down");
             Some(Cause::Outdated)
         }
         Ok(_) | Err(ControlError::Rejected(_)) => None,
--- a/crates/daemon/src/agent/promotion/vote_publisher.rs
+++ b/crates/daemon/src/agent/promotion/vote_publisher.rs
@@ -13,7 +13,7 @@
 use crate::supervisor::StopFlag;
 
 /// Delay before a failed write is retried.
-const VOTE_RETRY: Duration = Duration::from_millis(100);
+const VOTE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Starts the thread; it ends when the sender is dropped or the node stops.
 pub(super) fn start(
@@ -25,24 +25,24 @@
     let (context, coordination, stop) =
         (context.clone(), services.coordination.clone(), stop.clone());
     let spawned = thread::Builder::new().name("promotion-voter".to_owned()).spawn(move || {
-        let mut waiting: Option<NodeVotes> = None;
+        let mut pending: Option<NodeVotes> = None;
         while !stop.is_stopping() {
-            let next = match &waiting {
-                Some(_) => votes.recv_timeout(VOTE_RETRY).ok(),
+            let next = match &pending {
+                Some(_) => votes.recv_timeout(VOTE_RETRY_DELAY).ok(),
                 None => match votes.recv() {
                     Ok(next) => Some(next),
                     Err(_) => return,
                 },
             };
-            waiting = votes.try_iter().last().or(next).or(waiting);
-            let Some(newest) = &waiting else { continue };
+            pending = votes.try_iter().last().or(next).or(pending);
+            let Some(newest) = &pending else { continue };
             if coordination.vote(&context.identity.node, newest).is_ok() {
-                waiting = None;
+                pending = None;
             }
         }
     });
     if let Err(error) = spawned {
-        log::error!("a thread for votes could not be started: {error}");
+        log::error!("failed to start the vote publisher thread: {error}");
     }
     sender
 }
--- a/crates/daemon/src/agent/promotion/watch.rs
+++ b/crates/daemon/src/agent/promotion/watch.rs
@@ -42,17 +42,17 @@
 use crate::supervisor::StopFlag;
 
 /// Time between two steps while a primary is suspected, replaced or queried.
-const STEP: Duration = Duration::from_millis(20);
+const STEP_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two steps otherwise. A suspicion needs several hundred milliseconds without a
 /// response, and each step wakes a node that has nothing to do.
-const CALM_STEP: Duration = Duration::from_millis(50);
+const IDLE_STEP_INTERVAL: Duration = Duration::from_millis(50);
 /// Delay before a node tries to become the coordinator, for each live node that is ahead of it in the
 /// order of turns, so that not all nodes try at once.
-const TURN: Duration = Duration::from_millis(120);
+const TURN_DELAY: Duration = Duration::from_millis(120);
 /// A primary whose last response is more recent than this is not suspected because of other nodes' votes.
-const RECENT_ANSWER: Duration = Duration::from_millis(100);
+const RECENT_RESPONSE_AGE: Duration = Duration::from_millis(100);
 /// Time between two messages to a coordinator.
-const TELL_INTERVAL: Duration = Duration::from_millis(60);
+const REVOCATION_REPORT_INTERVAL: Duration = Duration::from_millis(60);
 
 struct Watcher<'a> {
     context: &'a Arc<NodeContext>,
@@ -61,28 +61,28 @@
     needs_judge: NeedsJudge,
     known: KnownInstances,
     /// The catalog that was taken in last.
-    followed: Arc<IndexedCatalog>,
+    last_catalog: Arc<IndexedCatalog>,
     owned: OwnedGroups,
     view: Arc<CoordinationView>,
     /// Running replacements, as reported by the store or by their coordinators.
     intents: BTreeMap<GroupName, Intent>,
-    telling: ReplacementAnnouncer,
+    announcer: ReplacementAnnouncer,
     era: KnownEra,
     electors: Electors,
     votes: NodeVotes,
-    voter: Sender<NodeVotes>,
-    opinions: StatusQueries,
+    vote_sender: Sender<NodeVotes>,
+    status_queries: StatusQueries,
     /// Queries to restarted instances and their primaries. Their results are not used as assessments
     /// of a primary.
-    refill_questions: StatusQueries,
-    situation: SharedCoordinatorInput,
+    refill_queries: StatusQueries,
+    coordinator_input: SharedCoordinatorInput,
     needed_since: Option<Instant>,
-    acting: Option<thread::JoinHandle<()>>,
-    looks: ReplacementChecker,
+    coordinator_thread: Option<thread::JoinHandle<()>>,
+    replacement_checker: ReplacementChecker,
     mailboxes: &'a Mailboxes,
     stop: &'a StopFlag,
     /// When coordinators were last told which evidence this node has revoked.
-    told: Option<Instant>,
+    last_report: Option<Instant>,
 }
 
 /// Watches the primaries until `stop` is set.
@@ -98,29 +98,29 @@
         judge: Judge::default(),
         needs_judge: NeedsJudge::default(),
         known: KnownInstances::default(),
-        followed: Arc::default(),
+        last_catalog: Arc::default(),
         owned: OwnedGroups::default(),
         view: Arc::default(),
         intents: BTreeMap::new(),
-        telling: ReplacementAnnouncer::default(),
+        announcer: ReplacementAnnouncer::default(),
         era: KnownEra::default(),
         electors: Electors::default(),
         votes: NodeVotes::new(),
-        voter: vote_publisher::start(context, services, stop),
-        opinions: StatusQueries::new(),
-        refill_questions: StatusQueries::new(),
-        situation: Arc::new(Mutex::new(CoordinatorInput::default())),
+        vote_sender: vote_publisher::start(context, services, stop),
+        status_queries: StatusQueries::new(),
+        refill_queries: StatusQueries::new(),
+        coordinator_input: Arc::new(Mutex::new(CoordinatorInput::default())),
         needed_since: None,
-        acting: None,
-        looks: ReplacementChecker::start(services),
+        coordinator_thread: None,
+        replacement_checker: ReplacementChecker::start(services),
         mailboxes,
         stop,
-        told: None,
+        last_report: None,
     };
     while !stop.is_stopping() {
         stop.wait_while_paused();
         watcher.step();
-        thread::sleep(watcher.pause());
+        thread::sleep(watcher.step_interval());
     }
 }
 
@@ -130,35 +130,36 @@
         self.judge.on_step(now);
         let catalog = self.context.catalog.load();
         self.follow_catalog(&catalog, now);
-        self.telling.step(self.context, self.mailboxes, now);
+        self.announcer.step(self.context, self.mailboxes, now);
         self.follow_store(now);
         if !self.era.replacement_may_be_lost(now) {
-            self.looks.step(self.context, &self.view, now);
+            self.replacement_checker.step(self.context, &self.view, now);
         }
-        self.take_in_answers(now);
-        self.watch_refills();
-        self.vote(&catalog, now);
-        let needs = self.judge_needs(&catalog, now);
-        self.act(needs, now);
+        self.take_in_status_reports(now);
+        self.query_refilling_instances();
+        self.publish_votes(&catalog, now);
+        let needs = self.compute_needs(&catalog, now);
+        self.start_coordinator_if_due(needs, now);
     }
 
     /// Time until the next step.
-    fn pause(&self) -> Duration {
-        let nothing_said = self.view.votes.is_empty() && self.votes.is_empty();
-        let nothing_begun = self.intents.is_empty() && self.needed_since.is_none();
-        let is_calm = nothing_said && nothing_begun && !self.opinions.is_asking();
-        if is_calm { CALM_STEP } else { STEP }
+    fn step_interval(&self) -> Duration {
+        let has_no_votes = self.view.votes.is_empty() && self.votes.is_empty();
+        let has_no_replacements = self.intents.is_empty() && self.needed_since.is_none();
+        let is_idle =
+            has_no_votes && has_no_replacements && !self.status_queries.is_query_in_progress();
+        if is_idle { IDLE_STEP_INTERVAL } else { STEP_INTERVAL }
     }
 
     /// Takes in the catalog if it has changed since the last step.
     fn follow_catalog(&mut self, catalog: &Arc<IndexedCatalog>, now: Instant) {
-        if Arc::ptr_eq(catalog, &self.followed) {
+        if Arc::ptr_eq(catalog, &self.last_catalog) {
             self.known.pass_time(now);
             return;
         }
         self.known.follow(catalog, now);
         self.needs_judge.follow(catalog);
-        self.followed = catalog.clone();
+        self.last_catalog = catalog.clone();
     }
 
     fn follow_store(&mut self, now: Instant) {
@@ -167,13 +168,13 @@
         if is_new {
             self.context.replacements.follow_store(&view.intents, now);
         }
-        self.tell_holders();
+        self.report_revoked_evidence();
         self.follow_intents(&view, now);
         if !is_new {
             return;
         }
         if self.era.follow(view.era, now) {
-            self.on_store_came_back(&view);
+            self.on_store_restored(&view);
         }
         if view.promoted != self.view.promoted {
             self.follow_successors(&view);
@@ -199,14 +200,14 @@
         );
         self.context.intents.store(heeded);
         self.intents = intents;
-        self.told = None;
-        self.tell_holders();
+        self.last_report = None;
+        self.report_revoked_evidence();
     }
 
     /// Handles a store restore: the copy may lack this node's votes and the replacement records of its
     /// groups, so the node writes both again. `KnownEra` tracks for how long the replacement state in
     /// the store may be incomplete.
-    fn on_store_came_back(&mut self, view: &CoordinationView) {
+    fn on_store_restored(&mut self, view: &CoordinationView) {
         self.context.metrics.store_returns.inc();
         log::warn!(
             event = "store_era",
@@ -214,13 +215,13 @@
             era_before = self.view.era.0,
             intents = view.intents.len() as u64,
             votes = self.votes.len() as u64;
-            "what this node has told the store is told again"
+            "the store was restored from an older copy: writing this node's votes and replacement records again"
         );
         if !self.votes.is_empty() {
             // The vote publisher runs until the node stops.
-            let _ = self.voter.send(self.votes.clone());
+            let _ = self.vote_sender.send(self.votes.clone());
         }
-        let owned = self.owned.follow(self.context);
+        let owned = self.owned.refresh(self.context);
         write_back::start(self.services, owned.to_vec(), self.stop);
     }
 
@@ -237,25 +238,27 @@
 
     /// Tells each coordinator that this node has revoked its evidence of the primary being replaced.
     /// The message is repeated for as long as the replacement runs, because it may be lost.
-    fn tell_holders(&mut self) {
+    fn report_revoked_evidence(&mut self) {
         let now = Instant::now();
-        let told = self.told.is_some_and(|told| now < told + TELL_INTERVAL);
-        if self.intents.is_empty() || told {
+        let last_report = self
+            .last_report
+            .is_some_and(|last_report| now < last_report + REVOCATION_REPORT_INTERVAL);
+        if self.intents.is_empty() || last_report {
             return;
         }
-        self.told = Some(now);
+        self.last_report = Some(now);
         let own = &self.context.identity.node;
         for (group, intent) in &self.intents {
-            let given_up = {
+            let is_revoked = {
                 let board = self.context.statuses.group(group);
-                let known = board.read().expect("a holder of the status lock panicked");
+                let known = board.read().expect("a thread panicked while it held the status lock");
                 known.evidence.given_up() == Some(intent.id)
             };
-            if !given_up {
+            if !is_revoked {
                 continue;
             }
-            let heard = self.context.statuses.highest_primary_position(group);
-            let witness = self.known.witness(group, heard);
+            let highest_position = self.context.statuses.highest_primary_position(group);
+            let witness = self.known.witness(group, highest_position);
             if intent.holder == *own {
                 self.context.given_up.add(group, intent.id, own, witness);
                 continue;
@@ -272,8 +275,9 @@
     }
 
     /// Takes in the status reports of instances that were queried directly.
-    fn take_in_answers(&mut self, now: Instant) {
-        let answers = self.opinions.step(now).into_iter().chain(self.refill_questions.step(now));
+    fn take_in_status_reports(&mut self, now: Instant) {
+        let answers =
+            self.status_queries.step(now).into_iter().chain(self.refill_queries.step(now));
         for answer in answers {
             let (group, instance) = &answer.subject;
             self.known.on_standing(group, instance, &answer.standing, answer.asked);
@@ -283,37 +287,37 @@
     /// Asks restarted instances and their primaries how much they have received. A coordinator counts a
     /// restarted instance once a node has seen that it has received everything. Only owners ask, as in
     /// [`Self::vote`].
-    fn watch_refills(&mut self) {
-        let owned = self.owned.follow(self.context);
+    fn query_refilling_instances(&mut self) {
+        let owned = self.owned.refresh(self.context);
         let refilling = self.known.refilling_groups().filter(|group| owned.contains(*group));
         let refilling: Vec<GroupName> = refilling.cloned().collect();
         for group in refilling {
             for instance in self.known.to_ask_for_refills(&group) {
                 let Some(target) = self.target(&group, &instance) else { continue };
                 let highest = self.context.statuses.highest_led_term(&group);
-                self.refill_questions.ask(target, highest, self.services);
+                self.refill_queries.query(target, highest, self.services);
             }
         }
     }
 
     /// Publishes which primaries this node suspects, if that has changed.
-    fn vote(&mut self, catalog: &IndexedCatalog, now: Instant) {
+    fn publish_votes(&mut self, catalog: &IndexedCatalog, now: Instant) {
         let mut votes = NodeVotes::new();
         // Only owners send requests to a group's primary. For other nodes a query would only take up
         // connections of the instance.
-        for name in self.owned.follow(self.context).iter() {
+        for name in self.owned.refresh(self.context).iter() {
             let Some(group) = catalog.groups.get(name) else { continue };
             let Some(primary) = self.context.leader(name, group) else { continue };
-            self.question_others_that_lead(name, group, &primary.name);
+            self.query_other_primaries(name, group, &primary.name);
             if let Some(cause) = self.suspect(name, &primary.name, now) {
                 votes.insert(name.clone(), Vote { instance: primary.name.clone(), cause });
             }
         }
         if votes != self.votes {
-            log::info!(event = "vote", votes:? = votes; "what this node suspects has changed");
+            log::info!(event = "vote", votes:? = votes; "this node's votes have changed");
             self.votes.clone_from(&votes);
             // The vote publisher runs until the node stops.
-            let _ = self.voter.send(votes);
+            let _ = self.vote_sender.send(votes);
         }
     }
 
@@ -324,28 +328,28 @@
         now: Instant,
     ) -> Option<Cause> {
         let mut signs = self.context.statuses.signs(group, primary);
-        if signs.is_outdated && !self.says_it_is_outdated(group, primary) {
+        if signs.is_outdated && !self.reports_outdated_term(group, primary) {
             // The known term may be from before this instance was promoted again, so ask it first.
             signs.is_outdated = false;
-            self.ask(group, primary);
+            self.query_status(group, primary);
         }
         if let Some(cause) = self.judge.suspect(&signs, now) {
             return Some(cause);
         }
-        let recent = signs.answered.is_some_and(|at| now < at + RECENT_ANSWER);
+        let recent = signs.answered.is_some_and(|at| now < at + RECENT_RESPONSE_AGE);
         if !recent && self.is_suspected_elsewhere(group, primary) {
-            self.ask(group, primary);
+            self.query_status(group, primary);
         }
         if recent {
             return None;
         }
-        self.opinions.of(group, primary)?.cause
+        self.status_queries.assessment_of(group, primary)?.cause
     }
 
     /// Whether a recent status query showed that the primary leads a lower term than the newest known one.
-    fn says_it_is_outdated(&self, group: &GroupName, primary: &InstanceName) -> bool {
-        let opinion = self.opinions.of(group, primary);
-        opinion.is_some_and(|opinion| opinion.cause == Some(Cause::Outdated))
+    fn reports_outdated_term(&self, group: &GroupName, primary: &InstanceName) -> bool {
+        let assessment = self.status_queries.assessment_of(group, primary);
+        assessment.is_some_and(|assessment| assessment.cause == Some(Cause::Outdated))
     }
 
     fn is_suspected_elsewhere(&self, group: &GroupName, primary: &InstanceName) -> bool {
@@ -361,100 +365,105 @@
     }
 
     /// Sends a status query to a primary.
-    fn ask(&mut self, group: &GroupName, primary: &InstanceName) {
+    fn query_status(&mut self, group: &GroupName, primary: &InstanceName) {
         let Some(target) = self.target(group, primary) else { return };
         let highest = self.context.statuses.highest_led_term(group);
-        self.opinions.ask(target, highest, self.services);
+        self.status_queries.query(target, highest, self.services);
     }
 
     /// Sends status queries to the other instances of a group that report the role of primary. A node
     /// that cannot reach the store may use one of them as the primary; an instance that leads a lower
     /// term than the newest known one is ordered to step down.
-    fn question_others_that_lead(
-        &mut self,
-        name: &GroupName,
-        group: &Group,
-        primary: &InstanceName,
-    ) {
-        let leads = |one: &&Instance| one.announced_role == Some(Role::Primary);
-        let others = group.instances.iter().filter(leads).filter(|one| one.name != *primary);
-        let others: Vec<InstanceName> = others.map(|one| one.name.clone()).collect();
+    fn query_other_primaries(&mut self, name: &GroupName, group: &Group, primary: &InstanceName) {
+        let reports_primary = |instance: &&Instance| instance.announced_role == Some(Role::Primary);
+        let others = group
+            .instances
+            .iter()
+            .filter(reports_primary)
+            .filter(|instance| instance.name != *primary);
+        let others: Vec<InstanceName> = others.map(|instance| instance.name.clone()).collect();
         for other in others {
-            self.ask(name, &other);
+            self.query_status(name, &other);
         }
     }
 
-    fn judge_needs(&mut self, catalog: &IndexedCatalog, now: Instant) -> BTreeMap<GroupName, Need> {
-        let called_off = {
-            let mut situation = self.situation.lock().unwrap_or_else(PoisonError::into_inner);
-            std::mem::take(&mut situation.cancelled)
+    fn compute_needs(
+        &mut self,
+        catalog: &IndexedCatalog,
+        now: Instant,
+    ) -> BTreeMap<GroupName, Need> {
+        let cancelled = {
+            let mut coordinator_input =
+                self.coordinator_input.lock().unwrap_or_else(PoisonError::into_inner);
+            std::mem::take(&mut coordinator_input.cancelled)
         };
-        for group in called_off {
+        for group in cancelled {
             self.needs_judge.on_called_off(&group, now);
         }
-        self.electors.follow(self.context, now);
+        self.electors.refresh(self.context, now);
         let own = (&self.context.identity.node, &self.votes);
         let (live, listed) = (self.electors.live(), self.electors.counted());
         let evidence = NeedsEvidence { catalog, view: &self.view, own, live, listed, now };
         self.needs_judge.judge(&evidence)
     }
 
-    fn act(&mut self, needs: BTreeMap<GroupName, Need>, now: Instant) {
-        let calls = |(group, need): (&GroupName, &Need)| {
+    fn start_coordinator_if_due(&mut self, needs: BTreeMap<GroupName, Need>, now: Instant) {
+        let calls_for_action = |(group, need): (&GroupName, &Need)| {
             need.calls_for_action() && self.known.knows_starts(group, now)
         };
-        let called = needs.iter().any(calls);
-        if called || self.acting.is_some() {
-            self.tell_holder_thread(needs, now);
+        let is_action_needed = needs.iter().any(calls_for_action);
+        if is_action_needed || self.coordinator_thread.is_some() {
+            self.update_coordinator_input(needs, now);
         }
-        if self.acting.as_ref().is_some_and(thread::JoinHandle::is_finished) {
-            self.acting = None;
+        if self.coordinator_thread.as_ref().is_some_and(thread::JoinHandle::is_finished) {
+            self.coordinator_thread = None;
         }
-        if !called {
+        if !is_action_needed {
             self.needed_since = None;
             return;
         }
         let since = *self.needed_since.get_or_insert(now);
-        let may_act = self.acting.is_none()
+        let may_start = self.coordinator_thread.is_none()
             && self.view.holder.is_none()
             && self.view.revision > 0
             && !self.era.earlier_hold_may_last(now)
             && !self.context.is_stopping();
-        if !may_act || now < since + TURN * self.turn() {
+        if !may_start || now < since + TURN_DELAY * self.turn_position() {
             return;
         }
-        let (context, services, situation) =
-            (self.context.clone(), self.services.clone(), self.situation.clone());
+        let (context, services, coordinator_input) =
+            (self.context.clone(), self.services.clone(), self.coordinator_input.clone());
         let stop = self.stop.clone();
         let spawned = thread::Builder::new()
             .name("promotion-holder".to_owned())
-            .spawn(move || coordinator::run(&context, &services, &situation, &stop));
+            .spawn(move || coordinator::run(&context, &services, &coordinator_input, &stop));
         match spawned {
-            Ok(thread) => self.acting = Some(thread),
-            Err(error) => log::error!("a thread for the holder could not be started: {error}"),
+            Ok(thread) => self.coordinator_thread = Some(thread),
+            Err(error) => log::error!("failed to start the coordinator thread: {error}"),
         }
     }
 
     /// Passes the needs to the coordinator thread, with the instances of the groups that need a
     /// replacement and, if the thread runs, of those that it was given before. No other groups are
     /// included, because the thread copies its input at each step.
-    fn tell_holder_thread(&self, needs: BTreeMap<GroupName, Need>, now: Instant) {
-        let mut situation = self.situation.lock().unwrap_or_else(PoisonError::into_inner);
-        let acted_on: Vec<GroupName> = match self.acting {
-            Some(_) => situation.known.groups().cloned().collect(),
+    fn update_coordinator_input(&self, needs: BTreeMap<GroupName, Need>, now: Instant) {
+        let mut coordinator_input =
+            self.coordinator_input.lock().unwrap_or_else(PoisonError::into_inner);
+        let current_groups: Vec<GroupName> = match self.coordinator_thread {
+            Some(_) => coordinator_input.known.groups().cloned().collect(),
             None => Vec::new(),
         };
-        situation.known = self.known.part(needs.keys().chain(&acted_on));
-        situation.needs = needs;
-        situation.starts_may_be_old = self.era.starts_may_be_old(now);
+        coordinator_input.known = self.known.part(needs.keys().chain(&current_groups));
+        coordinator_input.needs = needs;
+        coordinator_input.starts_may_be_old = self.era.starts_may_be_old(now);
     }
 
     /// Number of live nodes that are ahead of this one in the order of turns.
-    fn turn(&self) -> u32 {
+    fn turn_position(&self) -> u32 {
         let weight = |node: &NodeName| xxh3_64(node.as_str().as_bytes());
         let own = weight(&self.context.identity.node);
         let live = self.context.live.load();
-        let before = live.iter().filter(|node| node.accepts_work);
-        before.filter(|node| weight(&node.candidate.node) < own).count() as u32
+        let ahead = live.iter().filter(|node| node.accepts_work);
+        ahead.filter(|node| weight(&node.candidate.node) < own).count() as u32
     }
 }
--- a/crates/daemon/src/agent/promotion/write_back.rs
+++ b/crates/daemon/src/agent/promotion/write_back.rs
@@ -11,15 +11,15 @@
 use super::ReplacementServices;
 use crate::supervisor::StopFlag;
 
-const FIRST_RETRY: Duration = Duration::from_millis(100);
-const LAST_RETRY: Duration = Duration::from_secs(2);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Records the replacement state of `groups` again, in a thread of its own. Records that the store still
 /// has cost no request.
 pub(super) fn start(services: &ReplacementServices, groups: Vec<GroupName>, stop: &StopFlag) {
     let (coordination, stop) = (services.coordination.clone(), stop.clone());
     let spawned = thread::Builder::new().name("promotion-write-back".to_owned()).spawn(move || {
-        let mut backoff = Backoff::new(FIRST_RETRY, LAST_RETRY);
+        let mut backoff = Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
         let mut groups = groups;
         let era = coordination.era();
         // Another store restore starts another thread.
@@ -27,7 +27,7 @@
             groups.retain(|group| match coordination.write_back(group) {
                 Ok(()) => false,
                 Err(error) => {
-                    log::info!(event = "not_written_back", group = group.as_str(), error = error.to_string().as_str(); "the store does not take what it has lost of a group's replacements");
+                    log::info!(event = "not_written_back", group = group.as_str(), error = error.to_string().as_str(); "the replacement records of a group could not be written back to the store");
                     true
                 }
             });
@@ -37,6 +37,6 @@
         }
     });
     if let Err(error) = spawned {
-        log::error!("a thread for what the store has lost could not be started: {error}");
+        log::error!("failed to start the write-back thread: {error}");
     }
 }
--- a/crates/daemon/src/shared/address_occupants.rs
+++ b/crates/daemon/src/shared/address_occupants.rs
@@ -11,7 +11,7 @@
 use kestrellock_core::catalog::{Group, Instance};
 use kestrellock_core::ids::InstanceName;
 
-const POISONED: &str = "a holder of the lock on addresses panicked";
+const POISONED: &str = "a thread panicked while it held the address lock";
 /// Most addresses that are kept. When the limit is reached, all are dropped: each is learned again with
 /// the next connection to it.
 const MAX_ADDRESSES: usize = 16_384;
--- a/crates/daemon/src/shared/confirmations.rs
+++ b/crates/daemon/src/shared/confirmations.rs
@@ -19,27 +19,22 @@
     }
 
     /// The newest confirmation of the `active` configuration.
-    pub fn newest(&self, in_force: CatalogVersion) -> Option<Confirmation> {
-        self.lock().newest(in_force)
+    pub fn newest(&self, active: CatalogVersion) -> Option<Confirmation> {
+        self.lock().newest(active)
     }
 
     /// Age of the newest confirmation of the `active` configuration.
-    pub fn age(&self, in_force: CatalogVersion, now: Instant) -> Option<Duration> {
-        let newest = self.newest(in_force)?;
+    pub fn age(&self, active: CatalogVersion, now: Instant) -> Option<Duration> {
+        let newest = self.newest(active)?;
         Some(now.saturating_duration_since(newest.at))
     }
 
     /// Whether the evidence for the `active` configuration covers a request that arrived at `arrived`.
-    pub fn covers(
-        &self,
-        in_force: CatalogVersion,
-        arrived: Instant,
-        limit: RevocationLimit,
-    ) -> bool {
-        self.lock().covers(in_force, arrived, limit)
+    pub fn covers(&self, active: CatalogVersion, arrived: Instant, limit: RevocationLimit) -> bool {
+        self.lock().covers(active, arrived, limit)
     }
 
     fn lock(&self) -> MutexGuard<'_, CredentialEvidence> {
-        self.evidence.lock().expect("a holder of the lock panicked")
+        self.evidence.lock().expect("a thread panicked while it held the lock")
     }
 }
--- a/crates/daemon/src/shared/exchange_record.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -10,14 +10,14 @@
 /// Time between two status queries to an instance in doubt. Reads avoid such an instance, so without
 /// queries nothing would show that it responds again. A query uses a connection slot for a moment. Half
 /// a second is a tenth of the time until an unresponsive instance is replaced or returns.
-const DOUBT_QUESTION_INTERVAL: Duration = Duration::from_millis(500);
+const DOUBT_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The newest response has a weight of one in this many in the mean service time.
-const SERVICE_WEIGHT: u32 = 8;
+const SERVICE_TIME_WEIGHT: u32 = 8;
 
 /// An exchange that waits for its response.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct InFlight {
     number: u64,
     sent: Instant,
     commits: bool,
@@ -35,19 +35,19 @@
     term: Option<Term>,
     /// Highest term that it has been shown to lead: by its own report, or by a commit that it answered.
     /// The terms of its positions do not show that: a demoted primary reports those of its successor.
-    leads: Option<Term>,
+    led_term: Option<Term>,
     /// Moving average of its response time.
     pub mean_service_time: Option<Duration>,
     /// Whether an exchange or a connection has failed since it last responded.
     pub in_doubt: bool,
     /// When it was last sent a status query because it is in doubt.
-    asked_in_doubt: Option<Instant>,
-    waiting: Vec<Waiting>,
-    given_up: GivenUpRequests,
-    given_up_commits: GivenUpRequests,
+    last_doubt_query: Option<Instant>,
+    in_flight: Vec<InFlight>,
+    abandoned: GivenUpRequests,
+    abandoned_commits: GivenUpRequests,
     next_number: u64,
-    answered: Option<Instant>,
-    refused: Option<Instant>,
+    last_response: Option<Instant>,
+    refused_since: Option<Instant>,
     /// Incarnation of its process that the platform reported last.
     incarnation: Option<InstanceIncarnation>,
 }
@@ -55,7 +55,7 @@
 impl ExchangeRecord {
     /// Number of exchanges in flight.
     pub fn in_flight(&self) -> u32 {
-        self.waiting.len() as u32
+        self.in_flight.len() as u32
     }
 
     /// Incarnation of its process that the platform reported last.
@@ -71,8 +71,8 @@
         let has_started_again = has_started_again(self.incarnation, now);
         self.incarnation = now;
         if has_started_again {
-            let (waiting, next_number) = (std::mem::take(&mut self.waiting), self.next_number);
-            *self = Self { waiting, next_number, incarnation: now, ..Self::default() };
+            let (in_flight, next_number) = (std::mem::take(&mut self.in_flight), self.next_number);
+            *self = Self { in_flight, next_number, incarnation: now, ..Self::default() };
         }
         has_started_again
     }
@@ -82,37 +82,37 @@
     pub(super) fn on_sent(&mut self, sent: Instant, commits: bool) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        self.waiting.push(Waiting { number, sent, commits });
+        self.in_flight.push(InFlight { number, sent, commits });
         number
     }
 
     /// Signs of the instance's health, except for what is known only of its group: the last commit, and
     /// whether the instance is an old primary.
     pub(super) fn signs(&self) -> Signs {
-        let waiting = self.waiting.iter().map(|waiting| waiting.sent);
+        let in_flight = self.in_flight.iter().map(|in_flight| in_flight.sent);
         let now = Instant::now();
-        let given_up = self.given_up.sent(now);
-        let committing = self.waiting.iter().filter(|waiting| waiting.commits);
-        let committing = committing.map(|waiting| waiting.sent);
+        let abandoned = self.abandoned.sent(now);
+        let committing = self.in_flight.iter().filter(|in_flight| in_flight.commits);
+        let committing = committing.map(|in_flight| in_flight.sent);
         Signs {
-            refused: self.refused,
-            waiting: waiting.chain(given_up).min(),
-            committing: committing.chain(self.given_up_commits.sent(now)).min(),
+            refused: self.refused_since,
+            waiting: in_flight.chain(abandoned).min(),
+            committing: committing.chain(self.abandoned_commits.sent(now)).min(),
             committed: None,
-            answered: self.answered,
+            answered: self.last_response,
             is_outdated: false,
         }
     }
 
     /// Whether a status query is due, because the instance is in doubt.
     pub(super) fn is_status_query_due(&self, now: Instant) -> bool {
-        let asked = self.asked_in_doubt;
-        self.in_doubt && asked.is_none_or(|asked| now >= asked + DOUBT_QUESTION_INTERVAL)
+        let asked = self.last_doubt_query;
+        self.in_doubt && asked.is_none_or(|asked| now >= asked + DOUBT_QUERY_INTERVAL)
     }
 
     /// Records that a status query is sent because the instance is in doubt.
     pub(super) fn on_status_query(&mut self, now: Instant) {
-        self.asked_in_doubt = Some(now);
+        self.last_doubt_query = Some(now);
     }
 
     /// Highest term that it reported.
@@ -122,12 +122,12 @@
 
     /// Highest term that it has been shown to lead.
     pub(super) fn led_term(&self) -> Option<Term> {
-        self.leads
+        self.led_term
     }
 
     /// Records that it has been shown to lead `term`.
     pub(super) fn on_led_term(&mut self, term: Term) {
-        self.leads = self.leads.max(Some(term));
+        self.led_term = self.led_term.max(Some(term));
     }
 
     /// Takes in its replication status. The instance responds, so earlier failures no longer count.
@@ -141,46 +141,46 @@
 
     /// Records the end of an exchange, with its response if there was one.
     pub(super) fn on_ended(&mut self, number: u64, answer: Option<&ExchangeResponse>) {
-        let place = self.waiting.iter().position(|waiting| waiting.number == number);
-        let ended = place.map(|place| self.waiting.swap_remove(place));
+        let index = self.in_flight.iter().position(|in_flight| in_flight.number == number);
+        let ended = index.map(|index| self.in_flight.swap_remove(index));
         match (answer, ended) {
             (Some(answer), _) => {
-                let taken = answer.at.saturating_duration_since(answer.sent);
-                self.on_answer(taken, answer.position, answer.at);
+                let elapsed = answer.at.saturating_duration_since(answer.sent);
+                self.on_response(elapsed, answer.position, answer.at);
             }
             (None, ended) => {
                 self.in_doubt = true;
                 if let Some(ended) = ended {
-                    self.on_given_up(ended, Instant::now());
+                    self.on_abandoned(ended, Instant::now());
                 }
             }
         }
     }
 
     /// Records the outcome of a connection to it.
-    pub(super) fn on_connection(&mut self, reachability: ConnectionOutcome) {
-        self.in_doubt = !matches!(reachability, ConnectionOutcome::Established(_));
-        match reachability {
+    pub(super) fn on_connection(&mut self, outcome: ConnectionOutcome) {
+        self.in_doubt = !matches!(outcome, ConnectionOutcome::Established(_));
+        match outcome {
             ConnectionOutcome::Established(position) => {
-                self.refused = None;
-                self.given_up.on_answer();
-                self.reach(position, Instant::now());
+                self.refused_since = None;
+                self.abandoned.on_answer();
+                self.set_position(position, Instant::now());
             }
             ConnectionOutcome::Refused => {
-                self.refused.get_or_insert_with(Instant::now);
+                self.refused_since.get_or_insert_with(Instant::now);
             }
             ConnectionOutcome::Broken => {}
         }
     }
 
-    fn on_given_up(&mut self, ended: Waiting, now: Instant) {
-        self.given_up.on_given_up(ended.sent, now);
+    fn on_abandoned(&mut self, ended: InFlight, now: Instant) {
+        self.abandoned.on_given_up(ended.sent, now);
         if ended.commits {
-            self.given_up_commits.on_given_up(ended.sent, now);
+            self.abandoned_commits.on_given_up(ended.sent, now);
         }
     }
 
-    fn reach(&mut self, position: Option<Position>, at: Instant) {
+    fn set_position(&mut self, position: Option<Position>, at: Instant) {
         if position.is_some() {
             self.last_position = position;
             self.last_position_at = Some(at);
@@ -188,15 +188,15 @@
         }
     }
 
-    fn on_answer(&mut self, taken: Duration, position: Option<Position>, at: Instant) {
+    fn on_response(&mut self, elapsed: Duration, position: Option<Position>, at: Instant) {
         self.in_doubt = false;
-        self.refused = None;
-        self.given_up.on_answer();
-        self.answered = Some(at);
-        self.reach(position, at);
+        self.refused_since = None;
+        self.abandoned.on_answer();
+        self.last_response = Some(at);
+        self.set_position(position, at);
         self.mean_service_time = Some(match self.mean_service_time {
-            Some(mean) => (mean * (SERVICE_WEIGHT - 1) + taken) / SERVICE_WEIGHT,
-            None => taken,
+            Some(mean) => (mean * (SERVICE_TIME_WEIGHT - 1) + elapsed) / SERVICE_TIME_WEIGHT,
+            None => elapsed,
         });
     }
 }
--- a/crates/daemon/src/shared/live.rs
+++ b/crates/daemon/src/shared/live.rs
@@ -50,11 +50,11 @@
 
     /// The current value.
     pub fn load(&self) -> Arc<T> {
-        self.value.read().expect("a holder of the lock panicked").clone()
+        self.value.read().expect("a thread panicked while it held the lock").clone()
     }
 
     /// Replaces the value.
     pub fn store(&self, value: T) {
-        *self.value.write().expect("a holder of the lock panicked") = Arc::new(value);
+        *self.value.write().expect("a thread panicked while it held the lock") = Arc::new(value);
     }
 }
--- a/crates/daemon/src/shared/membership.rs
+++ b/crates/daemon/src/shared/membership.rs
@@ -10,7 +10,7 @@
 
 use crate::shared::live::Shared;
 
-const POISONED: &str = "a holder of the membership lock panicked";
+const POISONED: &str = "a thread panicked while it held the membership lock";
 
 /// The newest active revision that is known, and a node that has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/daemon/src/shared/quotas.rs
+++ b/crates/daemon/src/shared/quotas.rs
@@ -14,14 +14,14 @@
 
 /// Longest time between two refreshes of the nodes while no list changes. Time alone changes which
 /// nodes were live recently.
-const REFRESH: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Quotas of a node.
 #[derive(Debug, Default)]
 pub struct SharedQuotas {
     state: Mutex<State>,
     /// Whether [`Self::take_updates`] has something to return.
-    has_news: AtomicBool,
+    has_updates: AtomicBool,
 }
 
 #[derive(Debug, Default)]
@@ -35,28 +35,29 @@
 struct Nodes {
     live_list: Arc<Vec<LiveNode>>,
     listed_list: Arc<Vec<LiveNode>>,
-    gathered: Option<Instant>,
+    refreshed: Option<Instant>,
     electorate: Electorate,
     working: Vec<NodeName>,
     counted: usize,
 }
 
 impl Nodes {
-    fn follow(&mut self, context: &NodeContext, now: Instant) {
+    fn refresh(&mut self, context: &NodeContext, now: Instant) {
         let (live, listed) = (context.live.load(), context.listed_nodes.load());
         let is_same =
             Arc::ptr_eq(&live, &self.live_list) && Arc::ptr_eq(&listed, &self.listed_list);
-        if is_same && self.gathered.is_some_and(|at| now < at + REFRESH) {
+        if is_same && self.refreshed.is_some_and(|at| now < at + REFRESH_INTERVAL) {
             return;
         }
         let names = |nodes: &[LiveNode]| -> Vec<NodeName> {
             nodes.iter().map(|node| node.candidate.node.clone()).collect()
         };
-        let (alive, working) = (names(&live), live.iter().filter(|node| node.accepts_work));
+        let (live_names, working) = (names(&live), live.iter().filter(|node| node.accepts_work));
         self.working = working.map(|node| node.candidate.node.clone()).collect();
-        self.counted = self.electorate.counted(&names(&listed), &alive, now).len().max(alive.len());
+        self.counted =
+            self.electorate.counted(&names(&listed), &live_names, now).len().max(live_names.len());
         (self.live_list, self.listed_list) = (live, listed);
-        self.gathered = Some(now);
+        self.refreshed = Some(now);
     }
 }
 
@@ -104,7 +105,7 @@
     /// Takes the messages to send, and the accounts whose waiting operations can continue, since the
     /// last call.
     pub fn take_updates(&self) -> (Vec<Outgoing>, Vec<AccountName>) {
-        if !self.has_news.swap(false, Ordering::AcqRel) {
+        if !self.has_updates.swap(false, Ordering::AcqRel) {
             return (Vec::new(), Vec::new());
         }
         let mut state = self.lock();
@@ -120,7 +121,7 @@
         let catalog: Arc<IndexedCatalog> = context.catalog.load();
         let mut state = self.lock();
         let State { quotas, nodes } = &mut *state;
-        nodes.follow(context, now);
+        nodes.refresh(context, now);
         let account = |name: &AccountName| catalog.accounts.get(name);
         let view = View {
             now,
@@ -131,12 +132,12 @@
         };
         let outcome = work(quotas, &view);
         if quotas.has_news() {
-            self.has_news.store(true, Ordering::Release);
+            self.has_updates.store(true, Ordering::Release);
         }
         outcome
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("a holder of the quotas' lock panicked")
+        self.state.lock().expect("a thread panicked while it held the quota lock")
     }
 }
--- a/crates/daemon/src/shared/replacements.rs
+++ b/crates/daemon/src/shared/replacements.rs
@@ -21,32 +21,32 @@
 /// Primary replacements, shared by the threads of a node.
 #[derive(Debug, Default)]
 pub struct Replacements {
-    heard: Mutex<HeardReplacements>,
-    news: Mutex<ReplacementUpdates>,
+    known: Mutex<HeardReplacements>,
+    updates: Mutex<ReplacementUpdates>,
 }
 
 impl Replacements {
     /// Takes in the intents that the store has now.
     pub fn follow_store(&self, intents: &BTreeMap<GroupName, Intent>, now: Instant) {
-        self.heard().follow_store(intents, now);
+        self.known().follow_store(intents, now);
     }
 
     /// Takes in the report of a coordinator that it runs a replacement, and that the intent has been
     /// known to be recorded for `age`.
     pub fn on_reported(&self, group: &GroupName, intent: Intent, age: Duration, now: Instant) {
-        self.heard().on_told(group, intent, age, now);
+        self.known().on_told(group, intent, age, now);
     }
 
     /// Takes in the report of a coordinator that a replacement has ended.
     pub fn on_reported_end(&self, group: &GroupName, id: ReplacementId) {
-        self.heard().on_over(group, id);
+        self.known().on_over(group, id);
     }
 
     /// The intents of running replacements, including cancelled ones.
     pub fn intents(&self, now: Instant) -> BTreeMap<GroupName, Intent> {
-        let mut heard = self.heard();
-        heard.pass_time(now);
-        heard.intents()
+        let mut known = self.known();
+        known.pass_time(now);
+        known.intents()
     }
 
     /// Whether a commit that `instance` answers now may be acknowledged to the client.
@@ -56,44 +56,52 @@
         instance: &InstanceName,
         now: Instant,
     ) -> bool {
-        self.heard().answer_counts(group, instance, now)
+        self.known().answer_counts(group, instance, now)
     }
 
     /// Records that this node runs a replacement whose intent has been recorded since `recorded`.
     pub fn on_attempt_running(&self, group: &GroupName, intent: &Intent, recorded: Instant) {
-        self.news().running.insert(group.clone(), (intent.clone(), recorded));
+        self.updates().running.insert(group.clone(), (intent.clone(), recorded));
     }
 
     /// Records that this node has ended a replacement, with a successor that leads the term `led`.
-    pub fn on_attempt_ended(&self, group: &GroupName, id: ReplacementId, led: Option<Term>) {
-        let mut news = self.news();
-        news.running.remove(group);
-        news.ended.push((group.clone(), id, led));
+    pub fn on_attempt_ended(
+        &self,
+        group: &GroupName,
+        id: ReplacementId,
+        successor_term: Option<Term>,
+    ) {
+        let mut updates = self.updates();
+        updates.running.remove(group);
+        updates.ended.push((group.clone(), id, successor_term));
     }
 
     /// Stops the announcements, because this node's coordinator lease has ended. The next coordinator
     /// continues the replacements and announces them.
     pub fn on_coordinator_lease_ended(&self) {
-        self.news().running.clear();
+        self.updates().running.clear();
     }
 
     /// Takes what has to be announced now. Ends are announced once, running replacements each time.
     pub fn take_updates(&self) -> ReplacementUpdates {
-        let mut news = self.news();
-        ReplacementUpdates { running: news.running.clone(), ended: std::mem::take(&mut news.ended) }
+        let mut updates = self.updates();
+        ReplacementUpdates {
+            running: updates.running.clone(),
+            ended: std::mem::take(&mut updates.ended),
+        }
     }
 
     /// Whether there is anything to announce.
     pub fn has_updates(&self) -> bool {
-        let news = self.news();
-        !news.running.is_empty() || !news.ended.is_empty()
+        let updates = self.updates();
+        !updates.running.is_empty() || !updates.ended.is_empty()
     }
 
-    fn heard(&self) -> MutexGuard<'_, HeardReplacements> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+    fn known(&self) -> MutexGuard<'_, HeardReplacements> {
+        self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn news(&self) -> MutexGuard<'_, ReplacementUpdates> {
-        self.news.lock().unwrap_or_else(PoisonError::into_inner)
+    fn updates(&self) -> MutexGuard<'_, ReplacementUpdates> {
+        self.updates.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/shared/revisions.rs
+++ b/crates/daemon/src/shared/revisions.rs
@@ -9,17 +9,17 @@
 /// Newest known revision of each node. A node never activates an older revision, so entries only grow.
 #[derive(Debug, Default)]
 pub struct Revisions {
-    heard: Mutex<HashMap<NodeName, Revision>>,
+    by_node: Mutex<HashMap<NodeName, Revision>>,
 }
 
 impl Revisions {
     /// Records that a node has `revision` active, as reported by itself or by another node.
     pub fn record(&self, node: &NodeName, revision: Revision) {
-        let mut heard = self.lock();
-        match heard.get_mut(node) {
+        let mut revisions = self.lock();
+        match revisions.get_mut(node) {
             Some(known) => *known = revision.max(*known),
             None => {
-                heard.insert(node.clone(), revision);
+                revisions.insert(node.clone(), revision);
             }
         }
     }
@@ -36,8 +36,8 @@
 
     /// A node with the newest known revision, if that is newer than `own`.
     pub fn newer_than(&self, own: Revision) -> Option<NodeName> {
-        let heard = self.lock();
-        let newest = heard.iter().max_by_key(|(_, revision)| **revision)?;
+        let revisions = self.lock();
+        let newest = revisions.iter().max_by_key(|(_, revision)| **revision)?;
         (*newest.1 > own).then(|| newest.0.clone())
     }
 
@@ -52,6 +52,6 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<NodeName, Revision>> {
-        self.heard.lock().expect("a holder of the lock panicked")
+        self.by_node.lock().expect("a thread panicked while it held the lock")
     }
 }
--- a/crates/daemon/src/shared/revoked_evidence.rs
+++ b/crates/daemon/src/shared/revoked_evidence.rs
@@ -20,19 +20,19 @@
     /// Records that a node has revoked its evidence for the replacement `id`, and what it knows.
     pub fn add(&self, group: &GroupName, id: ReplacementId, node: &NodeName, witness: Witness) {
         let mut groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
-        let said = groups.entry(group.clone()).or_insert_with(|| (id, Witnesses::default()));
-        if said.0 < id {
-            *said = (id, Witnesses::default());
+        let reports = groups.entry(group.clone()).or_insert_with(|| (id, Witnesses::default()));
+        if reports.0 < id {
+            *reports = (id, Witnesses::default());
         }
-        if said.0 == id {
-            said.1.add(node, witness);
+        if reports.0 == id {
+            reports.1.add(node, witness);
         }
     }
 
     /// The reports for the replacement `id`.
     pub fn for_replacement(&self, group: &GroupName, id: ReplacementId) -> Option<Witnesses> {
         let groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
-        let said = groups.get(group).filter(|(newest, _)| *newest == id);
-        said.map(|(_, witnesses)| witnesses.clone())
+        let reports = groups.get(group).filter(|(newest, _)| *newest == id);
+        reports.map(|(_, witnesses)| witnesses.clone())
     }
 }
--- a/crates/daemon/src/shared/routine_log_lines.rs
+++ b/crates/daemon/src/shared/routine_log_lines.rs
@@ -18,8 +18,8 @@
 #[derive(Debug, Default)]
 struct Window {
     since: Option<Instant>,
-    told: u32,
-    untold: u64,
+    emitted: u32,
+    suppressed: u64,
 }
 
 impl RoutineLogLimiter {
@@ -31,19 +31,19 @@
     /// Whether another line may be logged at `now`.
     pub fn admits(&self, now: Instant) -> bool {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
-        let over = window.since.is_none_or(|since| now >= since + SECOND);
-        if over {
-            let untold = std::mem::take(&mut window.untold);
-            *window = Window { since: Some(now), told: 0, untold: 0 };
-            if untold > 0 {
-                log::info!(event = "ordinary_untold", count = untold; "ordinary successes without a line");
+        let is_over = window.since.is_none_or(|since| now >= since + SECOND);
+        if is_over {
+            let suppressed = std::mem::take(&mut window.suppressed);
+            *window = Window { since: Some(now), emitted: 0, suppressed: 0 };
+            if suppressed > 0 {
+                log::info!(event = "ordinary_untold", count = suppressed; "suppressed routine log lines of successful operations");
             }
         }
-        if window.told < self.per_second {
-            window.told += 1;
+        if window.emitted < self.per_second {
+            window.emitted += 1;
             return true;
         }
-        window.untold += 1;
+        window.suppressed += 1;
         false
     }
 }
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -41,7 +41,7 @@
     /// Evidence that no other instance is primary.
     pub evidence: PrimaryEvidence,
     /// When its primary last answered a commit that wrote data.
-    committed: Option<Instant>,
+    last_commit: Option<Instant>,
 }
 
 impl GroupStatuses {
@@ -52,7 +52,7 @@
 
     fn on_commit_answered(&mut self, instance: &InstanceName, term: Term) {
         self.exchange_records.entry(instance.clone()).or_default().on_led_term(term);
-        self.committed = Some(Instant::now());
+        self.last_commit = Some(Instant::now());
     }
 
     /// Until when the evidence covers the arrival of reads at the primary `instance`: such a read sees
@@ -61,9 +61,9 @@
         &self,
         instance: &InstanceName,
         group: Replication,
-        life: Duration,
+        lifetime: Duration,
     ) -> Option<Instant> {
-        self.evidence.covers_until(self.led_term_of(instance)?, group, life)
+        self.evidence.covers_until(self.led_term_of(instance)?, group, lifetime)
     }
 
     /// Whether a replacement check is all that is missing for the evidence to cover arrivals until
@@ -72,14 +72,14 @@
         &self,
         instance: &InstanceName,
         group: Replication,
-        life: Duration,
+        lifetime: Duration,
         moment: Instant,
         now: Instant,
     ) -> bool {
         let Some(term) = self.led_term_of(instance) else { return false };
         let asked = self.evidence.newest();
         let waited = asked.is_some_and(|asked| now >= asked + REPLICAS_ANSWER_WITHIN);
-        let until = self.evidence.would_cover_until(term, group, life);
+        let until = self.evidence.would_cover_until(term, group, lifetime);
         waited && until.is_some_and(|until| moment <= until)
     }
 }
@@ -109,7 +109,7 @@
 impl StatusTable {
     /// The statuses of a group, which are created if they do not exist.
     pub fn group(&self, name: &GroupName) -> Arc<ShardedLock<GroupStatuses>> {
-        const POISONED: &str = "a holder of the status lock panicked";
+        const POISONED: &str = "a thread panicked while it held the status lock";
         if let Some(found) = self.groups.read().expect(POISONED).get(name) {
             return found.clone();
         }
@@ -118,8 +118,8 @@
 
     /// Calls `change` with the statuses of a group, under their write lock.
     fn with_group(&self, group: &GroupName, change: impl FnOnce(&mut GroupStatuses)) {
-        let board = self.group(group);
-        change(&mut board.write().expect("a holder of the status lock panicked"));
+        let statuses = self.group(group);
+        change(&mut statuses.write().expect("a thread panicked while it held the status lock"));
     }
 
     /// Records that an exchange was sent to an instance; `commits` says whether it may commit. Returns
@@ -156,10 +156,10 @@
         &self,
         group: &GroupName,
         instance: &InstanceName,
-        reachability: ConnectionOutcome,
+        outcome: ConnectionOutcome,
     ) {
         self.with_group(group, |known| {
-            known.exchange_records.entry(instance.clone()).or_default().on_connection(reachability);
+            known.exchange_records.entry(instance.clone()).or_default().on_connection(outcome);
         });
     }
 
@@ -177,9 +177,9 @@
         instance: &InstanceName,
         incarnation: InstanceIncarnation,
     ) {
-        let board = self.group(group);
+        let statuses = self.group(group);
         let is_known = {
-            let known = board.read().expect("a holder of the status lock panicked");
+            let known = statuses.read().expect("a thread panicked while it held the status lock");
             let record = known.exchange_records.get(instance);
             record.is_some_and(|record| record.incarnation() == Some(incarnation))
         };
@@ -190,7 +190,7 @@
             let record = known.exchange_records.entry(instance.clone()).or_default();
             if record.on_incarnation(incarnation) {
                 known.evidence.on_started_again(instance);
-                log::info!(event = "instance_started_again", group = group.as_str(), instance = instance.as_str(); "an instance has started again under its name; what was known of it is forgotten");
+                log::info!(event = "instance_started_again", group = group.as_str(), instance = instance.as_str(); "an instance has restarted; its earlier state is dropped");
             }
         });
     }
@@ -224,8 +224,8 @@
         answered: Instant,
         now: Instant,
     ) -> CommitConfirmation {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
         let evidence = &known.evidence;
         if evidence.given_up().is_some() || term < evidence.highest_led() {
             return CommitConfirmation::Replaced;
@@ -233,9 +233,9 @@
         if evidence.confirms_commit(term, replication, answered) {
             return CommitConfirmation::Confirmed;
         }
-        let shown = evidence.would_cover_until(term, replication, Duration::ZERO);
+        let covered_until = evidence.would_cover_until(term, replication, Duration::ZERO);
         let has_waited = now >= answered + REPLICAS_ANSWER_WITHIN;
-        match has_waited && shown.is_some_and(|asked| asked >= answered) {
+        match has_waited && covered_until.is_some_and(|asked| asked >= answered) {
             true => CommitConfirmation::LacksReplacementCheck,
             false => CommitConfirmation::Unconfirmed,
         }
@@ -251,7 +251,7 @@
         let groups: Vec<GroupName> = self
             .groups
             .read()
-            .expect("a holder of the status lock panicked")
+            .expect("a thread panicked while it held the status lock")
             .keys()
             .cloned()
             .collect();
@@ -288,15 +288,15 @@
     /// Instances in doubt for which a status query is due. The queries are recorded as sent, so each
     /// instance is due again after an interval.
     pub fn take_due_status_queries(&self, group: &GroupName, now: Instant) -> Vec<InstanceName> {
-        let board = self.group(group);
+        let statuses = self.group(group);
         let is_due = {
-            let known = board.read().expect("a holder of the status lock panicked");
+            let known = statuses.read().expect("a thread panicked while it held the status lock");
             known.exchange_records.values().any(|record| record.is_status_query_due(now))
         };
         if !is_due {
             return Vec::new();
         }
-        let mut known = board.write().expect("a holder of the status lock panicked");
+        let mut known = statuses.write().expect("a thread panicked while it held the status lock");
         let due =
             known.exchange_records.iter_mut().filter(|(_, record)| record.is_status_query_due(now));
         let asked = due.map(|(instance, record)| {
@@ -314,49 +314,54 @@
 
     /// Signs of an instance's health from this node's exchanges with it.
     pub fn signs(&self, group: &GroupName, instance: &InstanceName) -> Signs {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
         let signs =
             known.exchange_records.get(instance).map(ExchangeRecord::signs).unwrap_or_default();
         let is_outdated = known.evidence.is_outdated(known.led_term_of(instance));
-        Signs { committed: known.committed, is_outdated, ..signs }
+        Signs { committed: known.last_commit, is_outdated, ..signs }
     }
 
     /// Highest position that a group's primary has reported to this node.
     pub fn highest_primary_position(&self, group: &GroupName) -> Option<Position> {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
         known.primary_samples.highest()
     }
 
     /// Highest term of a group that an instance is known to have led.
     pub fn highest_led_term(&self, group: &GroupName) -> Term {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
-        let told = known.exchange_records.values().filter_map(ExchangeRecord::term);
-        told.max().unwrap_or_default().max(known.evidence.highest_led())
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
+        let terms = known.exchange_records.values().filter_map(ExchangeRecord::term);
+        terms.max().unwrap_or_default().max(known.evidence.highest_led())
     }
 
     /// Highest known term of a group.
     pub fn highest_term(&self, group: &GroupName) -> Term {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
-        let told = known.exchange_records.values().filter_map(ExchangeRecord::term);
-        told.max().unwrap_or_default().max(known.evidence.term())
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
+        let terms = known.exchange_records.values().filter_map(ExchangeRecord::term);
+        terms.max().unwrap_or_default().max(known.evidence.term())
     }
 
     /// Takes in newer statuses of instances of a group.
     pub fn update(&self, group: &GroupName, statuses: impl IntoIterator<Item = InstanceStatus>) {
-        let board = self.group(group);
-        let mut board = board.write().expect("a holder of the status lock panicked");
+        let shared = self.group(group);
+        let mut known_statuses =
+            shared.write().expect("a thread panicked while it held the status lock");
         for mut status in statuses {
             // Only the owner of an instance knows its queue. Other gateways probe the instance too, and their
             // statuses must not clear the queue wait.
-            let known =
-                board.instances.get(&status.instance).and_then(|known| known.status.queue_wait);
+            let known = known_statuses
+                .instances
+                .get(&status.instance)
+                .and_then(|known| known.status.queue_wait);
             status.queue_wait = status.queue_wait.or(known);
             let received = Instant::now();
-            board.instances.insert(status.instance.clone(), KnownStatus { status, received });
+            known_statuses
+                .instances
+                .insert(status.instance.clone(), KnownStatus { status, received });
         }
     }
 }
