--- a/crates/daemon/src/agent/configuration/confirmation_queries.rs
+++ b/crates/daemon/src/agent/configuration/confirmation_queries.rs
@@ -1,4 +1,5 @@
-//! Exchanges confirmations with other nodes: when the configuration was last known to be the newest.
+//! Exchanges confirmations with other nodes: when the configuration was last known to be the
+//! newest.
 //!
 //! These confirmations are the evidence that the credentials in the configuration have not been
 //! revoked. Without a revocation limit this node asks for none, but answers others.
@@ -54,8 +55,8 @@
         configuration.send(peer, ConfigurationMessage::Confirmed { number, newest });
     }
 
-    /// Handles the answer of a node. The confirmation counts from the time of the query, less the age
-    /// that the node reported, so that no clocks are compared between nodes.
+    /// Handles the answer of a node. The confirmation counts from the time of the query, less the
+    /// age that the node reported, so that no clocks are compared between nodes.
     pub fn on_answer(
         &mut self,
         configuration: &Configuration,
--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -1,8 +1,8 @@
 //! Fetches the difference to a newer configuration from a peer, chunk by chunk.
 //!
-//! There is one fetch at a time. A new one replaces one that takes too long. If a complete delta does
-//! not fit this node's catalog, because that has changed meanwhile, the node fetches again, and
-//! requests the whole configuration if the catalog has not changed.
+//! There is one fetch at a time. A new one replaces one that takes too long. If a complete delta
+//! does not fit this node's catalog, because that has changed meanwhile, the node fetches again,
+//! and requests the whole configuration if the catalog has not changed.
 
 use std::time::Instant;
 
@@ -88,8 +88,8 @@
             return;
         };
         if let Err(error) = fetch.add(part) {
-            // When a connection has been replaced by another one, chunks sent before may arrive twice or
-            // not at all.
+            // When a connection has been replaced by another one, chunks sent before may arrive
+            // twice or not at all.
             log::info!(
                 event = "configuration_part_dropped",
                 peer = peer.node.as_str(),
--- a/crates/daemon/src/agent/configuration/delta_server.rs
+++ b/crates/daemon/src/agent/configuration/delta_server.rs
@@ -76,11 +76,11 @@
         self.serve_waiting(configuration);
     }
 
-    /// Restarts the transfer to a node that is being served. A node that is not being served any more
-    /// requests the configuration again by itself.
+    /// Restarts the transfer to a node that is being served. A node that is not being served any
+    /// more requests the configuration again by itself.
     fn restart(&mut self, configuration: &Configuration, peer: &Peer) {
-        let question = self.queue.question_of(&peer.node).cloned();
-        if let Some((_, have)) = question {
+        let request = self.queue.question_of(&peer.node).cloned();
+        if let Some((_, have)) = request {
             self.start(configuration, peer, &have);
         }
     }
--- a/crates/daemon/src/agent/configuration/distribution.rs
+++ b/crates/daemon/src/agent/configuration/distribution.rs
@@ -68,7 +68,8 @@
         let live = self.configuration.live_candidates();
         let view = View { now, have, newer: newer.as_ref(), live: &live, random: rand::random() };
         let Some(node) = self.puller.next(&view) else { return };
-        // Dead nodes are removed here, because a dead node may be the only one with a newer revision.
+        // Dead nodes are removed here, because a dead node may be the only one with a newer
+        // revision.
         let live: HashSet<&NodeName> = live.iter().map(|other| &other.node).collect();
         context.revisions.retain(|node| live.contains(node));
         let peer = Peer::first_shard_of(node);
--- a/crates/daemon/src/agent/configuration/excluded_entries.rs
+++ b/crates/daemon/src/agent/configuration/excluded_entries.rs
@@ -1,5 +1,5 @@
-//! Logs the invalid entries that are excluded from the configuration: once when an entry is excluded,
-//! and once when that is over.
+//! Logs the invalid entries that are excluded from the configuration: once when an entry is
+//! excluded, and once when that is over.
 
 use std::collections::BTreeMap;
 
@@ -16,8 +16,8 @@
 
 impl ExcludedEntries {
     /// Logs the changes when a configuration becomes active without the entries that have `faults`.
-    /// Peers send their configuration without the entries that they have excluded, so an entry that is
-    /// missing from a peer's `faults` may still be invalid in the store.
+    /// Peers send their configuration without the entries that they have excluded, so an entry that
+    /// is missing from a peer's `faults` may still be invalid in the store.
     pub fn log_changes(
         &mut self,
         faults: &[Fault],
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -70,8 +70,8 @@
 pub struct Configuration {
     context: Arc<NodeContext>,
     mailboxes: Arc<Mailboxes>,
-    /// Whether the platform keeps a machine list, which names other nodes before they are known to be
-    /// live.
+    /// Whether the platform keeps a machine list, which names other nodes before they are known to
+    /// be live.
     has_machine_list: bool,
     started: Instant,
     /// Locked while a catalog is activated, so that an older one never replaces a newer one.
@@ -119,8 +119,8 @@
     }
 
     /// Returns the catalog, with the operators' part of the active one if that has a newer edition.
-    /// Operators were told that this edition is active, and after a store restore the store lacks it
-    /// until they write it again.
+    /// Operators were told that this edition is active, and after a store restore the store lacks
+    /// it until they write it again.
     fn with_newest_edition(&self, catalog: VersionedCatalog) -> VersionedCatalog {
         let active = self.context.catalog.load();
         if !catalog.is_older_edition_than(&active) {
@@ -131,7 +131,7 @@
             revision = catalog.revision.0,
             edition = catalog.edition.0,
             kept_edition = active.edition.0;
-            "the store has an older edition of the operators' configuration; the active edition stays"
+            "an older edition of the operators' configuration is not activated"
         );
         catalog.with_operators_part_of(&active)
     }
@@ -147,9 +147,9 @@
     }
 
     /// Announces the active revision to the nodes that fetch from this one. A node that is stopping
-    /// leaves that to the other store watchers: the fetches of its zone would saturate a slow link for
-    /// hundreds of milliseconds, which would delay its clients' requests and the closing of their
-    /// connections.
+    /// leaves that to the other store watchers: the fetches of its zone would saturate a slow link
+    /// for hundreds of milliseconds, which would delay its clients' requests and the closing of
+    /// their connections.
     fn announce(&self) {
         if self.context.is_stopping() {
             return;
@@ -182,7 +182,8 @@
 
     fn own_candidate(&self) -> Candidate {
         let identity = &self.context.identity;
-        // The own bandwidth is not set here: decisions take it from this node's entry among the live nodes.
+        // The own bandwidth is not set here: decisions take it from this node's entry among the
+        // live nodes.
         Candidate { node: identity.node.clone(), zone: identity.zone.clone(), link_mbps: 0 }
     }
 
--- a/crates/daemon/src/agent/configuration/role.rs
+++ b/crates/daemon/src/agent/configuration/role.rs
@@ -1,8 +1,8 @@
 //! Decides whether this node is a store watcher, which reads its configuration from the store.
 //!
 //! A node that has just started knows few other nodes. If the decision used those alone, each of
-//! hundreds of nodes that start together would become a store watcher and read the whole store. So for
-//! some time after its start the node also counts the nodes in the machine list.
+//! hundreds of nodes that start together would become a store watcher and read the whole store. So
+//! for some time after its start the node also counts the nodes in the machine list.
 
 use std::time::{Duration, Instant};
 
@@ -60,8 +60,8 @@
         is_chosen || (expected.len() > known && self.has_waited_for_peers(expected.len()))
     }
 
-    /// Whether this node has waited for a configuration from peers for so long that it reads the store
-    /// itself. The nodes take turns, so that not all of them read the store at once.
+    /// Whether this node has waited for a configuration from peers for so long that it reads the
+    /// store itself. The nodes take turns, so that not all of them read the store at once.
     fn has_waited_for_peers(&self, nodes: usize) -> bool {
         let turn_delay = own_turn(&self.context.identity.node, nodes);
         let has_none = self.revision() == Revision::default();
--- a/crates/daemon/src/agent/configuration/source_watch.rs
+++ b/crates/daemon/src/agent/configuration/source_watch.rs
@@ -1,7 +1,7 @@
 //! Watches the source of the configuration if this node is a store watcher.
 //!
-//! The thread activates each newer catalog from the source, announces it to the nodes that fetch from
-//! this one, and records when the source confirmed the active configuration as the newest.
+//! The thread activates each newer catalog from the source, announces it to the nodes that fetch
+//! from this one, and records when the source confirmed the active configuration as the newest.
 
 use std::time::{Duration, Instant};
 
@@ -97,9 +97,9 @@
 
 impl Configuration {
     /// Waits a limited time for a configuration from peers. A node that starts prefers the peers'
-    /// configuration for two reasons: many nodes that start at once do not all read the store, and the
-    /// node does not activate an older configuration if the store lacks changes that operators were
-    /// told are active.
+    /// configuration for two reasons: many nodes that start at once do not all read the store, and
+    /// the node does not activate an older configuration if the store lacks changes that operators
+    /// were told are active.
     fn wait_for_peers(&self, source: &dyn CatalogSource, stop: &StopFlag) {
         let end = Instant::now() + PEER_WAIT;
         while self.expects_peers(source) && !stop.is_stopping() && Instant::now() < end {
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Whether other nodes are live, or may be, that could have a newer configuration than the source.
+    /// Whether other nodes are live, or may be, that could have a newer configuration than the
+    /// source.
     fn expects_peers(&self, source: &dyn CatalogSource) -> bool {
         let own = &self.context.identity.node;
         let are_listed = || {
@@ -133,9 +134,9 @@
         );
     }
 
-    /// Takes in that the source confirmed its last catalog as the newest. The confirmation is not used
-    /// while this node has yet to activate that catalog, nor if a store restore has taken the source
-    /// back to an older edition than the active one.
+    /// Handles the confirmation by the source that its last catalog is the newest. The confirmation
+    /// is not used while this node has yet to activate that catalog, nor if a store restore has
+    /// taken the source back to an older edition than the active one.
     fn confirm(&self, confirmation: Confirmation) {
         let active = self.version();
         let is_same_edition = confirmation.version.edition == active.edition;
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Announces a revision that was fetched from a peer, if this node is a store watcher with nodes
-    /// that fetch from it.
+    /// Announces a revision that was fetched from a peer, if this node is a store watcher with
+    /// nodes that fetch from it.
     pub(super) fn announce_if_store_watcher(&self) {
         let (own, live) = (self.own_candidate(), self.live_candidates());
         if is_follower(&own, &live) && !audience(&own, &live).is_empty() {
--- a/crates/daemon/src/agent/machines.rs
+++ b/crates/daemon/src/agent/machines.rs
@@ -15,8 +15,8 @@
 /// Mean time between two reads of the list.
 const READ_INTERVAL: Duration = Duration::from_secs(10);
 /// Number of first reads, which follow each other quickly: other nodes may be starting at the same
-/// time, and the store watchers are chosen by the list until the other nodes are known. A read costs no
-/// request where the list is a local copy.
+/// time, and the store watchers are chosen by the list until the other nodes are known. A read
+/// costs no request where the list is a local copy.
 const FAST_READS: u32 = 10;
 const FAST_READ_INTERVAL: Duration = Duration::from_millis(100);
 /// Reads up to this number, the first ones included, are one second apart.
@@ -25,8 +25,8 @@
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// Adds this node to the list, where nodes add themselves, and reads the list at intervals until `stop`
-/// is set. `peers` are seeds in addition to the listed ones.
+/// Adds this node to the list, where nodes add themselves, and reads the list at intervals until
+/// `stop` is set. `peers` are seeds in addition to the listed ones.
 pub fn poll(
     list: &dyn MachineList,
     own: &Machine,
--- a/crates/daemon/src/agent/membership.rs
+++ b/crates/daemon/src/agent/membership.rs
@@ -1,7 +1,8 @@
-//! Runs the membership protocol: its socket, its clock, and the state that it publishes in the node.
+//! Runs the membership protocol: its socket, its clock, and the state that it publishes in the
+//! node.
 //!
-//! Decisions are made in `core::membership`. This module receives and sends the datagrams, drives the
-//! ticks, and publishes the list of live nodes whenever it changes.
+//! Decisions are made in `core::membership`. This module receives and sends the datagrams, drives
+//! the ticks, and publishes the list of live nodes whenever it changes.
 
 use std::io;
 use std::net::UdpSocket;
@@ -42,7 +43,8 @@
 }
 
 impl MembershipConfig {
-    /// Builds the configuration from the settings, with `process` as the incarnation of this process.
+    /// Builds the configuration from the settings, with `process` as the incarnation of this
+    /// process.
     pub fn new(settings: &Settings, process: u64, keys: ClusterKeys) -> Self {
         let own = MemberRecord {
             node: settings.node.clone(),
--- a/crates/daemon/src/agent/promotion/announcer.rs
+++ b/crates/daemon/src/agent/promotion/announcer.rs
@@ -1,6 +1,6 @@
-//! Announces the replacements that this node coordinates to the owners of their groups. The owners also
-//! learn of them from the store, but an owner that cannot reach the store would otherwise continue to
-//! use the old primary.
+//! Announces the replacements that this node coordinates to the owners of their groups. The owners
+//! also learn of them from the store, but an owner that cannot reach the store would otherwise
+//! continue to use the old primary.
 
 use std::time::Instant;
 
--- a/crates/daemon/src/agent/promotion/coordinator.rs
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -1,13 +1,13 @@
 //! Runs primary replacements for as long as this node holds the coordinator lease.
 //!
-//! The thread acquires the lease, starts an attempt for each group whose primary needs to be replaced,
-//! executes the commands of each attempt, and releases the lease when nothing is left to replace. It
-//! renews the lease before its end and stops once the lease has ended, because another node may be the
-//! coordinator from then on.
+//! The thread acquires the lease, starts an attempt for each group whose primary needs to be
+//! replaced, executes the commands of each attempt, and releases the lease when nothing is left to
+//! replace. It renews the lease before its end and stops once the lease has ended, because another
+//! node may be the coordinator from then on.
 //!
-//! After a store restore the store may not contain the lease any more, so the node acquires it again.
-//! No other node may be the coordinator until the old lease would have ended, so the attempts in the
-//! store can continue under the new fencing token.
+//! After a store restore the store may not contain the lease any more, so the node acquires it
+//! again. No other node may be the coordinator until the old lease would have ended, so the
+//! attempts in the store can continue under the new fencing token.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -42,7 +42,8 @@
 /// A promotion is sent only if at least this much is left of the lease.
 const MIN_LEASE_FOR_PROMOTION: Duration = Duration::from_millis(100);
 
-/// What the watcher passes to the coordinator thread, and the attempts that this reports back.
+/// What the watcher passes to the coordinator thread, and the cancelled attempts that the thread
+/// reports back.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorInput {
     /// The replacement that each group needs.
@@ -50,7 +51,7 @@
     /// The instances of each group.
     pub known: KnownInstances,
     /// Whether the store may return outdated incarnations of instances.
-    pub starts_may_be_old: bool,
+    pub incarnations_may_be_outdated: bool,
     /// Groups whose attempt was cancelled since the watcher last took this list.
     pub cancelled: Vec<GroupName>,
 }
@@ -78,7 +79,7 @@
     /// Whether the store has reported that the lease has ended.
     is_lease_over: bool,
     /// Whether the store may return outdated incarnations of instances.
-    starts_may_be_old: bool,
+    incarnations_may_be_outdated: bool,
     renewing: bool,
     attempts: BTreeMap<GroupName, RunningAttempt>,
     /// Number of attempts started under this lease.
@@ -116,8 +117,9 @@
     }
 }
 
-/// Acquires the lease again after a store restore, in place of one that would have lasted until `until`.
-/// Until then no other node can acquire it, so the attempts that are under way can continue.
+/// Acquires the lease again after a store restore, in place of one that would have lasted until
+/// `until`. Until then no other node can acquire it, so the attempts that are under way can
+/// continue.
 fn reacquire_lease(
     until: Instant,
     context: &NodeContext,
@@ -155,14 +157,14 @@
     log::info!(event = "hold_taken", fence = lease.fence; "this node is the coordinator and may replace primaries");
     let era = StoreEra::of(lease.fence);
     let (executor, reports) = Executor::start(services.clone());
-    let mut coordinator_thread = CoordinatorThread {
+    let mut coordinator = CoordinatorThread {
         context,
         input,
         coordination: coordination.clone(),
         executor,
         lease,
         is_lease_over: false,
-        starts_may_be_old: true,
+        incarnations_may_be_outdated: true,
         renewing: false,
         attempts: BTreeMap::new(),
         attempts_started: 0,
@@ -172,34 +174,35 @@
     loop {
         stop.wait_while_paused();
         if stop.is_stopping() {
-            // Releasing the lease at a planned stop lets another node become the coordinator at once.
+            // Releasing the lease at a planned stop lets another node become the coordinator at
+            // once.
             if context.is_stopping() {
-                let _ = coordination.release(&coordinator_thread.lease);
+                let _ = coordination.release(&coordinator.lease);
             }
             return Ending::Done;
         }
         if coordination.era() > era {
-            log::warn!(event = "hold_outdated", fence = coordinator_thread.lease.fence, era = coordination.era().0; "the store was restored from an older copy: acquiring the coordinator lease again");
-            return Ending::StoreRestored { until: coordinator_thread.lease.until };
+            log::warn!(event = "hold_outdated", fence = coordinator.lease.fence, era = coordination.era().0; "the store was restored from an older copy: acquiring the coordinator lease again");
+            return Ending::StoreRestored { until: coordinator.lease.until };
         }
-        if coordinator_thread.is_lease_over || Instant::now() >= coordinator_thread.lease.until {
-            log::warn!(event = "hold_lost", fence = coordinator_thread.lease.fence; "the coordinator lease has ended");
+        if coordinator.is_lease_over || Instant::now() >= coordinator.lease.until {
+            log::warn!(event = "hold_lost", fence = coordinator.lease.fence; "the coordinator lease has ended");
             return Ending::Done;
         }
         if let Ok(report) = reports.recv_timeout(STEP_INTERVAL) {
-            coordinator_thread.on_report(report);
-            reports.try_iter().for_each(|report| coordinator_thread.on_report(report));
+            coordinator.on_report(report);
+            reports.try_iter().for_each(|report| coordinator.on_report(report));
         }
-        coordinator_thread.step();
-        if !coordinator_thread.attempts.is_empty() {
+        coordinator.step();
+        if !coordinator.attempts.is_empty() {
             idle_since = Instant::now();
         } else if idle_since.elapsed() >= IDLE_LEASE_TIMEOUT {
             break;
         }
     }
     // If the release fails, the lease expires by itself.
-    let _ = coordination.release(&coordinator_thread.lease);
-    log::info!(event = "hold_given_up", fence = coordinator_thread.lease.fence; "released the coordinator lease: nothing is left to replace");
+    let _ = coordination.release(&coordinator.lease);
+    log::info!(event = "hold_given_up", fence = coordinator.lease.fence; "released the coordinator lease: nothing is left to replace");
     Ending::Done
 }
 
@@ -250,7 +253,7 @@
     fn step(&mut self) {
         let now = Instant::now();
         let input = self.input();
-        self.starts_may_be_old = input.starts_may_be_old;
+        self.incarnations_may_be_outdated = input.incarnations_may_be_outdated;
         if !self.renewing && now + RENEW_MARGIN >= self.lease.until {
             self.renewing = true;
             self.executor.renew(&self.lease);
@@ -326,11 +329,11 @@
             self.context.replacements.on_attempt_running(group, intent, recorded);
         }
         for command in commands {
-            self.carry_out(group, command, &input.known, now);
+            self.execute(group, command, &input.known, now);
         }
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         group: &GroupName,
         command: Command,
@@ -338,7 +341,7 @@
         now: Instant,
     ) {
         match command {
-            Command::ReadStarts if self.starts_may_be_old => {
+            Command::ReadStarts if self.incarnations_may_be_outdated => {
                 log::info!(event = "starts_unknown", group = group.as_str(); "the store was restored from an older copy: it may not know all restarts of instances yet");
                 if let Some(running) = self.attempts.get_mut(group) {
                     running.attempt.on_event(Event::StartsUnknown, now);
@@ -407,10 +410,10 @@
     }
 }
 
-/// The nodes that have to report before the successor is promoted: the machine list that this node has
-/// read, extended by the store's. This node's list may be seconds old and lack nodes that were added
-/// since; the store's list was read again when the intent was recorded. Empty while this node has not
-/// read a machine list.
+/// The nodes that have to report before the successor is promoted: the machine list that this node
+/// has read, extended by the store's. This node's list may be seconds old and lack nodes that were
+/// added since; the store's list was read again when the intent was recorded. Empty while this node
+/// has not read a machine list.
 fn nodes_to_await(context: &NodeContext, coordination: &dyn Coordination) -> Vec<NodeName> {
     let mut nodes = context.listed_names();
     if nodes.is_empty() {
--- a/crates/daemon/src/agent/promotion/electors.rs
+++ b/crates/daemon/src/agent/promotion/electors.rs
@@ -10,9 +10,9 @@
 use crate::context::NodeContext;
 use crate::shared::live::LiveNode;
 
-/// Longest time between two refreshes while no list changes: a node counts for 20 s after it was last
-/// known to be live. Collecting the electors takes time proportional to the number of nodes, which
-/// would be wasted at each step of 20 ms.
+/// Longest time between two refreshes while no list changes: a node counts for 20 s after it was
+/// last known to be live. Collecting the electors takes time proportional to the number of nodes,
+/// which would be wasted at each step of 20 ms.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The live nodes, and those whose votes count.
--- a/crates/daemon/src/agent/promotion/executor.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -3,8 +3,8 @@
 //!
 //! There is a thread for each instance and one for changes of the store, each with one command at a
 //! time; promotions and reads of incarnations have a thread for each call. Changes of the store are
-//! queued. An executed an order to an instance is dropped if an earlier order to it is still queued; the attempt
-//! sends its orders again until the instance has answered.
+//! queued. An executed an order to an instance is dropped if an earlier order to it is still
+//! queued; the attempt sends its orders again until the instance has answered.
 
 use std::collections::HashMap;
 use std::thread;
@@ -69,11 +69,11 @@
                 }
             }
         });
-        let orders = Self { services, reports, instances: HashMap::new(), store };
-        (orders, report_receiver)
+        let executor = Self { services, reports, instances: HashMap::new(), store };
+        (executor, report_receiver)
     }
 
-    /// Sends an executed an order to an instance, unless an earlier order to it is still queued.
+    /// Sends an order to an instance, unless an earlier order to it is still queued.
     pub fn send_order(&mut self, target: ControlTarget, order: Order) {
         let sender = self.instances.entry(target.instance.clone()).or_insert_with(|| {
             let (sender, orders) = bounded::<(ControlTarget, Order)>(1);
@@ -109,8 +109,8 @@
         let (reports, fence) = (self.reports.clone(), lease.fence);
         let until = lease.until;
         spawn("promotion-call", move || {
-            // The time is read again here, because this process may have been suspended. No promotion
-            // is sent after the end of the lease.
+            // The time is read again here, because this process may have been suspended. No
+            // promotion is sent after the end of the lease.
             let answer = match Instant::now() < until {
                 true => promotions.promote(&group, &instance, &coordinator, fence),
                 false => PromotionAnswer::Unknown,
--- a/crates/daemon/src/agent/promotion/replacement_checker.rs
+++ b/crates/daemon/src/agent/promotion/replacement_checker.rs
@@ -1,9 +1,9 @@
 //! Replacement checks: requests to the store that confirm that no primary replacement is running.
 //!
-//! If only some replicas of a group have reported their status, the reports are evidence for its primary
-//! only together with such a check (`core::primary_evidence`). A check asks the store whether this
-//! node's copy of the replacement state is complete. If it is, the intents and the last promoted
-//! instance in the copy were valid when the check began.
+//! If only some replicas of a group have reported their status, the reports are evidence for its
+//! primary only together with such a check (`core::primary_evidence`). A check asks the store
+//! whether this node's copy of the replacement state is complete. If it is, the intents and the
+//! last promoted instance in the copy were valid when the check began.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 struct CheckResult {
     /// When the check began.
-    asked: Instant,
+    started_at: Instant,
     /// Revision of the copy, if the copy is complete.
     revision: Option<u64>,
 }
@@ -55,8 +55,8 @@
         Self { requests, results, in_progress: None, last_start: None }
     }
 
-    /// Takes in the result of a check, and begins another one if groups wait for it. `view` is the copy
-    /// of the replacement state that this node uses.
+    /// Processes the result of a check, and begins another one if groups wait for it. `view` is the
+    /// copy of the replacement state that this node uses.
     pub fn step(&mut self, context: &NodeContext, view: &CoordinationView, now: Instant) {
         match self.results.try_recv() {
             Ok(result) => {
@@ -86,7 +86,7 @@
     result_sender: &Sender<CheckResult>,
 ) {
     while request_receiver.recv().is_ok() {
-        let asked = Instant::now();
+        let started_at = Instant::now();
         let revision = match coordination.complete_revision() {
             Ok(revision) => revision,
             Err(error) => {
@@ -94,7 +94,7 @@
                 None
             }
         };
-        if result_sender.send(CheckResult { asked, revision }).is_err() {
+        if result_sender.send(CheckResult { started_at, revision }).is_err() {
             return;
         }
     }
@@ -114,12 +114,12 @@
     for name in groups {
         let Some(group) = catalog.groups.get(name) else { continue };
         let promoted = view.promoted.get(name).map(|successor| &successor.instance);
-        let is_active = group.promoted.as_ref() == promoted;
+        let is_promotion_active = group.promoted.as_ref() == promoted;
         let has_active_intent = context.intents.load().contains_key(name);
         let is_replaced =
             has_active_intent || view.intents.contains_key(name) || !group.is_led_by_newest();
-        if is_active && !is_replaced {
-            context.statuses.on_replacement_check(name, result.asked);
+        if is_promotion_active && !is_replaced {
+            context.statuses.on_replacement_check(name, result.started_at);
         }
     }
 }
--- a/crates/daemon/src/agent/promotion/status_queries.rs
+++ b/crates/daemon/src/agent/promotion/status_queries.rs
@@ -1,9 +1,9 @@
 //! Direct status queries to instances: to primaries that other nodes suspect or that may be old
 //! primaries, and to restarted instances.
 //!
-//! A primary that reports a lower term than the highest one known to have been led is an old primary.
-//! It is ordered to step down at once, because otherwise it would acknowledge commits at nodes that have
-//! not learned of its successor.
+//! A primary that reports a lower term than the highest one known to have been led is an old
+//! primary. It is ordered to step down at once, because otherwise it would acknowledge commits at
+//! nodes that have not learned of its successor.
 
 use std::collections::HashMap;
 use std::thread;
@@ -38,17 +38,17 @@
     /// The instance.
     pub subject: Subject,
     /// Its replication status.
-    pub standing: Standing,
+    pub status: Standing,
     /// When the query was sent.
-    pub asked: Instant,
+    pub sent_at: Instant,
 }
 
 /// Result of a query.
 struct QueryResult {
     subject: Subject,
     assessment: Assessment,
-    standing: Option<Standing>,
-    asked: Instant,
+    status: Option<Standing>,
+    sent_at: Instant,
 }
 
 /// Status queries, each in a thread of its own, and the assessments that follow from them.
@@ -71,14 +71,15 @@
         !self.in_progress.is_empty()
     }
 
-    /// Takes in the results that have arrived and drops expired assessments. Returns the status reports.
+    /// Processes the results that have arrived and drops expired assessments. Returns the status
+    /// reports.
     pub fn step(&mut self, now: Instant) -> Vec<StatusReport> {
         let mut reports = Vec::new();
-        for QueryResult { subject, assessment, standing, asked } in self.results.try_iter() {
-            self.in_progress.retain(|in_progress| *in_progress != subject);
+        for QueryResult { subject, assessment, status, sent_at } in self.results.try_iter() {
+            self.in_progress.retain(|other| *other != subject);
             self.assessments.insert(subject.clone(), assessment);
-            let answer = standing.map(|standing| StatusReport { subject, standing, asked });
-            reports.extend(answer);
+            let report = status.map(|status| StatusReport { subject, status, sent_at });
+            reports.extend(report);
         }
         self.assessments.retain(|_, assessment| now < assessment.at + ASSESSMENT_LIFETIME);
         reports
@@ -100,13 +101,13 @@
         let (control, result_sender) = (services.control.clone(), self.result_sender.clone());
         let spawned =
             thread::Builder::new().name("promotion-opinion".to_owned()).spawn(move || {
-                let asked = Instant::now();
+                let sent_at = Instant::now();
                 let outcome = control.tell(&target, Order::Ask);
-                let standing = outcome.as_ref().ok().copied();
+                let status = outcome.as_ref().ok().copied();
                 let cause = assess(control.as_ref(), &target, highest, outcome);
                 let assessment = Assessment { cause, at: Instant::now() };
                 // The receiver is gone if the node is stopping.
-                let _ = result_sender.send(QueryResult { subject, assessment, standing, asked });
+                let _ = result_sender.send(QueryResult { subject, assessment, status, sent_at });
             });
         if let Err(error) = spawned {
             log::error!("failed to start a status query thread: {error}");
@@ -114,8 +115,8 @@
     }
 }
 
-/// Why a primary with this query result has to be replaced, if it has to be. Orders an old primary to
-/// step down.
+/// Why a primary with this query result has to be replaced, if it has to be. Orders an old primary
+/// to step down.
 fn assess(
     control: &dyn InstanceControl,
     target: &ControlTarget,
@@ -123,9 +124,9 @@
     outcome: Result<Standing, ControlError>,
 ) -> Option<Cause> {
     match outcome {
-        Ok(standing) if standing.role == Role::Primary && standing.term < highest => {
+        Ok(status) if status.role == Role::Primary && status.term < highest => {
             let outcome = control.tell(target, Order::Demote(highest));
-            log::info!(event = "old_primary", group = target.group.as_str(), instance = target.instance.as_str(), leads = standing.term.0, newest = highest.0, outcome:? = outcome; "an old primary was ordered to step down");
+            log::info!(event = "old_primary", group = target.group.as_str(), instance = target.instance.as_str(), leads = status.term.0, newest = highest.0, outcome:? = outcome; "an old primary was ordered to step down");
             Some(Cause::Outdated)
         }
         Ok(_) | Err(ControlError::Rejected(_)) => None,
--- a/crates/daemon/src/agent/promotion/vote_publisher.rs
+++ b/crates/daemon/src/agent/promotion/vote_publisher.rs
@@ -1,5 +1,5 @@
-//! The thread that writes this node's votes to the store. It writes the newest votes only and retries
-//! until the store has accepted them.
+//! The thread that writes this node's votes to the store. It writes the newest votes only and
+//! retries until the store has accepted them.
 
 use std::sync::Arc;
 use std::thread;
--- a/crates/daemon/src/agent/promotion/watch.rs
+++ b/crates/daemon/src/agent/promotion/watch.rs
@@ -3,7 +3,7 @@
 //!
 //! Each step of the watcher
 //!
-//! * takes in the catalog and the replacement state from the store and from coordinators;
+//! * follows the catalog, and the replacement state as the store and coordinators report it;
 //! * revokes this node's evidence for primaries that are being replaced, and reports that to the
 //!   coordinator, which otherwise has to wait until the evidence expires;
 //! * votes for the replacement of primaries that this node suspects, by its own exchanges and, if
@@ -46,10 +46,11 @@
 /// Time between two steps otherwise. A suspicion needs several hundred milliseconds without a
 /// response, and each step wakes a node that has nothing to do.
 const IDLE_STEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Delay before a node tries to become the coordinator, for each live node that is ahead of it in the
-/// order of turns, so that not all nodes try at once.
+/// Delay before a node tries to become the coordinator, for each live node that is ahead of it in
+/// the order of turns, so that not all nodes try at once.
 const TURN_DELAY: Duration = Duration::from_millis(120);
-/// A primary whose last response is more recent than this is not suspected because of other nodes' votes.
+/// A primary whose last response is more recent than this is not suspected because of other nodes'
+/// votes.
 const RECENT_RESPONSE_AGE: Duration = Duration::from_millis(100);
 /// Time between two messages to a coordinator.
 const REVOCATION_REPORT_INTERVAL: Duration = Duration::from_millis(60);
@@ -60,7 +61,7 @@
     judge: Judge,
     needs_judge: NeedsJudge,
     known: KnownInstances,
-    /// The catalog that was taken in last.
+    /// The catalog of the last step.
     last_catalog: Arc<IndexedCatalog>,
     owned: OwnedGroups,
     view: Arc<CoordinationView>,
@@ -72,8 +73,8 @@
     votes: NodeVotes,
     vote_sender: Sender<NodeVotes>,
     status_queries: StatusQueries,
-    /// Queries to restarted instances and their primaries. Their results are not used as assessments
-    /// of a primary.
+    /// Queries to restarted instances and their primaries. Their results are not used as
+    /// assessments of a primary.
     refill_queries: StatusQueries,
     coordinator_input: SharedCoordinatorInput,
     needed_since: Option<Instant>,
@@ -135,7 +136,7 @@
         if !self.era.replacement_may_be_lost(now) {
             self.replacement_checker.step(self.context, &self.view, now);
         }
-        self.take_in_status_reports(now);
+        self.process_status_reports(now);
         self.query_refilling_instances();
         self.publish_votes(&catalog, now);
         let needs = self.compute_needs(&catalog, now);
@@ -151,7 +152,7 @@
         if is_idle { IDLE_STEP_INTERVAL } else { STEP_INTERVAL }
     }
 
-    /// Takes in the catalog if it has changed since the last step.
+    /// Updates the known instances if the catalog has changed since the last step.
     fn follow_catalog(&mut self, catalog: &Arc<IndexedCatalog>, now: Instant) {
         if Arc::ptr_eq(catalog, &self.last_catalog) {
             self.known.pass_time(now);
@@ -182,15 +183,15 @@
         self.view = view;
     }
 
-    /// Takes in which replacements are running, as reported by the store or by their coordinators.
+    /// Updates the running replacements, as reported by the store or by their coordinators.
     fn follow_intents(&mut self, view: &CoordinationView, now: Instant) {
         let intents = self.context.replacements.intents(now);
         if intents == self.intents {
             return;
         }
         // Evidence is revoked before the coordinator is told: from here on no read relies on it.
-        let heeded = heeded(&intents);
-        self.context.statuses.follow_replacements(&heeded);
+        let active_intents = heeded(&intents);
+        self.context.statuses.follow_replacements(&active_intents);
         log::info!(
             event = "intents",
             intents:? = intents,
@@ -198,15 +199,15 @@
             revision = view.revision;
             "replacements under way have changed"
         );
-        self.context.intents.store(heeded);
+        self.context.intents.store(active_intents);
         self.intents = intents;
         self.last_report = None;
         self.report_revoked_evidence();
     }
 
-    /// Handles a store restore: the copy may lack this node's votes and the replacement records of its
-    /// groups, so the node writes both again. `KnownEra` tracks for how long the replacement state in
-    /// the store may be incomplete.
+    /// Handles a store restore: the copy may lack this node's votes and the replacement records of
+    /// its groups, so the node writes both again. `KnownEra` tracks for how long the replacement
+    /// state in the store may be incomplete.
     fn on_store_restored(&mut self, view: &CoordinationView) {
         self.context.metrics.store_returns.inc();
         log::warn!(
@@ -225,8 +226,8 @@
         write_back::start(self.services, owned.to_vec(), self.stop);
     }
 
-    /// Takes in the terms that promoted instances lead. An instance that leads a lower term is an old
-    /// primary, whatever role it reports.
+    /// Records the terms that promoted instances lead. An instance that leads a lower term is an
+    /// old primary, whatever role it reports.
     fn follow_successors(&self, view: &CoordinationView) {
         for (group, successor) in &view.promoted {
             let is_new = self.view.promoted.get(group) != Some(successor);
@@ -236,14 +237,15 @@
         }
     }
 
-    /// Tells each coordinator that this node has revoked its evidence of the primary being replaced.
-    /// The message is repeated for as long as the replacement runs, because it may be lost.
+    /// Tells each coordinator that this node has revoked its evidence of the primary being
+    /// replaced. The message is repeated for as long as the replacement runs, because it may be
+    /// lost.
     fn report_revoked_evidence(&mut self) {
         let now = Instant::now();
-        let last_report = self
+        let reported_recently = self
             .last_report
             .is_some_and(|last_report| now < last_report + REVOCATION_REPORT_INTERVAL);
-        if self.intents.is_empty() || last_report {
+        if self.intents.is_empty() || reported_recently {
             return;
         }
         self.last_report = Some(now);
@@ -274,19 +276,19 @@
         }
     }
 
-    /// Takes in the status reports of instances that were queried directly.
-    fn take_in_status_reports(&mut self, now: Instant) {
-        let answers =
+    /// Processes the status reports of instances that were queried directly.
+    fn process_status_reports(&mut self, now: Instant) {
+        let reports =
             self.status_queries.step(now).into_iter().chain(self.refill_queries.step(now));
-        for answer in answers {
-            let (group, instance) = &answer.subject;
-            self.known.on_standing(group, instance, &answer.standing, answer.asked);
+        for report in reports {
+            let (group, instance) = &report.subject;
+            self.known.on_standing(group, instance, &report.status, report.sent_at);
         }
     }
 
-    /// Asks restarted instances and their primaries how much they have received. A coordinator counts a
-    /// restarted instance once a node has seen that it has received everything. Only owners ask, as in
-    /// [`Self::vote`].
+    /// Asks restarted instances and their primaries how much they have received. A coordinator
+    /// counts a restarted instance once a node has seen that it has received everything. Only
+    /// owners ask, as in [`Self::publish_votes`].
     fn query_refilling_instances(&mut self) {
         let owned = self.owned.refresh(self.context);
         let refilling = self.known.refilling_groups().filter(|group| owned.contains(*group));
@@ -303,8 +305,8 @@
     /// Publishes which primaries this node suspects, if that has changed.
     fn publish_votes(&mut self, catalog: &IndexedCatalog, now: Instant) {
         let mut votes = NodeVotes::new();
-        // Only owners send requests to a group's primary. For other nodes a query would only take up
-        // connections of the instance.
+        // Only owners send requests to a group's primary. For other nodes a query would only take
+        // up connections of the instance.
         for name in self.owned.refresh(self.context).iter() {
             let Some(group) = catalog.groups.get(name) else { continue };
             let Some(primary) = self.context.leader(name, group) else { continue };
@@ -336,17 +338,18 @@
         if let Some(cause) = self.judge.suspect(&signs, now) {
             return Some(cause);
         }
-        let recent = signs.answered.is_some_and(|at| now < at + RECENT_RESPONSE_AGE);
-        if !recent && self.is_suspected_elsewhere(group, primary) {
+        let is_recent = signs.answered.is_some_and(|at| now < at + RECENT_RESPONSE_AGE);
+        if !is_recent && self.is_suspected_elsewhere(group, primary) {
             self.query_status(group, primary);
         }
-        if recent {
+        if is_recent {
             return None;
         }
         self.status_queries.assessment_of(group, primary)?.cause
     }
 
-    /// Whether a recent status query showed that the primary leads a lower term than the newest known one.
+    /// Whether a recent status query showed that the primary leads a lower term than the newest
+    /// known one.
     fn reports_outdated_term(&self, group: &GroupName, primary: &InstanceName) -> bool {
         let assessment = self.status_queries.assessment_of(group, primary);
         assessment.is_some_and(|assessment| assessment.cause == Some(Cause::Outdated))
@@ -371,9 +374,9 @@
         self.status_queries.query(target, highest, self.services);
     }
 
-    /// Sends status queries to the other instances of a group that report the role of primary. A node
-    /// that cannot reach the store may use one of them as the primary; an instance that leads a lower
-    /// term than the newest known one is ordered to step down.
+    /// Sends status queries to the other instances of a group that report the role of primary. A
+    /// node that cannot reach the store may use one of them as the primary; an instance that leads
+    /// a lower term than the newest known one is ordered to step down.
     fn query_other_primaries(&mut self, name: &GroupName, group: &Group, primary: &InstanceName) {
         let reports_primary = |instance: &&Instance| instance.announced_role == Some(Role::Primary);
         let others = group
@@ -455,7 +458,7 @@
         };
         coordinator_input.known = self.known.part(needs.keys().chain(&current_groups));
         coordinator_input.needs = needs;
-        coordinator_input.starts_may_be_old = self.era.starts_may_be_old(now);
+        coordinator_input.incarnations_may_be_outdated = self.era.starts_may_be_old(now);
     }
 
     /// Number of live nodes that are ahead of this one in the order of turns.
@@ -463,7 +466,7 @@
         let weight = |node: &NodeName| xxh3_64(node.as_str().as_bytes());
         let own = weight(&self.context.identity.node);
         let live = self.context.live.load();
-        let ahead = live.iter().filter(|node| node.accepts_work);
-        ahead.filter(|node| weight(&node.candidate.node) < own).count() as u32
+        let working = live.iter().filter(|node| node.accepts_work);
+        working.filter(|node| weight(&node.candidate.node) < own).count() as u32
     }
 }
--- a/crates/daemon/src/agent/promotion/write_back.rs
+++ b/crates/daemon/src/agent/promotion/write_back.rs
@@ -14,8 +14,8 @@
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Records the replacement state of `groups` again, in a thread of its own. Records that the store still
-/// has cost no request.
+/// Records the replacement state of `groups` again, in a thread of its own. Records that the store
+/// still has cost no request.
 pub(super) fn start(services: &ReplacementServices, groups: Vec<GroupName>, stop: &StopFlag) {
     let (coordination, stop) = (services.coordination.clone(), stop.clone());
     let spawned = thread::Builder::new().name("promotion-write-back".to_owned()).spawn(move || {
--- a/crates/daemon/src/front/decisions.rs
+++ b/crates/daemon/src/front/decisions.rs
@@ -1,7 +1,7 @@
 //! One log line for each decision that touches a request, found by the request's id.
 //!
 //! What is not an ordinary success is always told. Ordinary successes are told up to a rate
-//! (`shared::ordinary_lines`).
+//! (`shared::routine_log_lines`).
 
 use std::time::Duration;
 
--- a/crates/daemon/src/shared/address_occupants.rs
+++ b/crates/daemon/src/shared/address_occupants.rs
@@ -1,8 +1,9 @@
 //! Which instance runs at an address, as shown by the connections that it has accepted.
 //!
-//! The configuration lists an instance that crashed for seconds after another one has started at its
-//! address. Each connection names the instance that it is for. So the instance that accepts a connection
-//! under its name runs at the address, and every other one that is listed there has ended.
+//! The configuration lists an instance that crashed for seconds after another one has started at
+//! its address. Each connection names the instance that it is for. So the instance that accepts a
+//! connection under its name runs at the address, and every other one that is listed there has
+//! ended.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,8 +13,8 @@
 use kestrellock_core::ids::InstanceName;
 
 const POISONED: &str = "a thread panicked while it held the address lock";
-/// Most addresses that are kept. When the limit is reached, all are dropped: each is learned again with
-/// the next connection to it.
+/// Most addresses that are kept. When the limit is reached, all are dropped: each is learned again
+/// with the next connection to it.
 const MAX_ADDRESSES: usize = 16_384;
 
 /// The instance that last accepted a connection at each address.
@@ -23,8 +24,8 @@
 }
 
 impl AddressOccupants {
-    /// Records that `instance` has accepted a connection under its name. Returns the instance that was
-    /// known at the address before, if it was a different one.
+    /// Records that `instance` has accepted a connection under its name. Returns the instance that
+    /// was known at the address before, if it was a different one.
     pub fn on_answered(
         &self,
         address: SocketAddr,
--- a/crates/daemon/src/shared/confirmations.rs
+++ b/crates/daemon/src/shared/confirmations.rs
@@ -29,7 +29,8 @@
         Some(now.saturating_duration_since(newest.at))
     }
 
-    /// Whether the evidence for the `active` configuration covers a request that arrived at `arrived`.
+    /// Whether the evidence for the `active` configuration covers a request that arrived at
+    /// `arrived`.
     pub fn covers(&self, active: CatalogVersion, arrived: Instant, limit: RevocationLimit) -> bool {
         self.lock().covers(active, arrived, limit)
     }
--- a/crates/daemon/src/shared/exchange_record.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -7,9 +7,10 @@
 use kestrellock_core::routing::Role;
 use kestrellock_core::suspicion::{GivenUpRequests, Signs};
 
-/// Time between two status queries to an instance in doubt. Reads avoid such an instance, so without
-/// queries nothing would show that it responds again. A query uses a connection slot for a moment. Half
-/// a second is a tenth of the time until an unresponsive instance is replaced or returns.
+/// Time between two status queries to an instance in doubt. Reads avoid such an instance, so
+/// without queries nothing would show that it responds again. A query uses a connection slot for a
+/// moment. Half a second is a tenth of the time until an unresponsive instance is replaced or
+/// returns.
 const DOUBT_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The newest response has a weight of one in this many in the mean service time.
@@ -30,11 +31,12 @@
     pub last_position: Option<Position>,
     /// When it reported that position.
     pub last_position_at: Option<Instant>,
-    /// Highest term that it reported. Its position lags behind: until the first commit of a new term, its
-    /// log ends with a record of the previous term.
+    /// Highest term that it reported. Its position lags behind: until the first commit of a new
+    /// term, its log ends with a record of the previous term.
     term: Option<Term>,
-    /// Highest term that it has been shown to lead: by its own report, or by a commit that it answered.
-    /// The terms of its positions do not show that: a demoted primary reports those of its successor.
+    /// Highest term that it has been shown to lead: by its own report, or by a commit that it
+    /// answered. The terms of its positions do not show that: a demoted primary reports those of
+    /// its successor.
     led_term: Option<Term>,
     /// Moving average of its response time.
     pub mean_service_time: Option<Duration>,
@@ -63,22 +65,22 @@
         self.incarnation
     }
 
-    /// Takes in the incarnation that the platform reports. Returns whether the instance has restarted.
-    /// In that case everything is reset except for the exchanges in flight, whose connections end with
-    /// the previous process.
+    /// Records the incarnation that the platform reports. Returns whether the instance has
+    /// restarted. In that case everything is reset except for the exchanges in flight, whose
+    /// connections end with the previous process.
     pub(super) fn on_incarnation(&mut self, incarnation: InstanceIncarnation) -> bool {
         let now = Some(incarnation);
-        let has_started_again = has_started_again(self.incarnation, now);
+        let has_restarted = has_started_again(self.incarnation, now);
         self.incarnation = now;
-        if has_started_again {
+        if has_restarted {
             let (in_flight, next_number) = (std::mem::take(&mut self.in_flight), self.next_number);
             *self = Self { in_flight, next_number, incarnation: now, ..Self::default() };
         }
-        has_started_again
+        has_restarted
     }
 
-    /// Records an exchange that was sent at `sent`; `commits` says whether it may commit. Returns its
-    /// number.
+    /// Records an exchange that was sent at `sent`; `commits` says whether it may commit. Returns
+    /// its number.
     pub(super) fn on_sent(&mut self, sent: Instant, commits: bool) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -86,14 +88,14 @@
         number
     }
 
-    /// Signs of the instance's health, except for what is known only of its group: the last commit, and
-    /// whether the instance is an old primary.
+    /// Signs of the instance's health, except for what is known only of its group: the last commit,
+    /// and whether the instance is an old primary.
     pub(super) fn signs(&self) -> Signs {
-        let in_flight = self.in_flight.iter().map(|in_flight| in_flight.sent);
+        let in_flight = self.in_flight.iter().map(|exchange| exchange.sent);
         let now = Instant::now();
         let abandoned = self.abandoned.sent(now);
-        let committing = self.in_flight.iter().filter(|in_flight| in_flight.commits);
-        let committing = committing.map(|in_flight| in_flight.sent);
+        let committing = self.in_flight.iter().filter(|exchange| exchange.commits);
+        let committing = committing.map(|exchange| exchange.sent);
         Signs {
             refused: self.refused_since,
             waiting: in_flight.chain(abandoned).min(),
@@ -106,8 +108,9 @@
 
     /// Whether a status query is due, because the instance is in doubt.
     pub(super) fn is_status_query_due(&self, now: Instant) -> bool {
-        let asked = self.last_doubt_query;
-        self.in_doubt && asked.is_none_or(|asked| now >= asked + DOUBT_QUERY_INTERVAL)
+        let last_query = self.last_doubt_query;
+        self.in_doubt
+            && last_query.is_none_or(|last_query| now >= last_query + DOUBT_QUERY_INTERVAL)
     }
 
     /// Records that a status query is sent because the instance is in doubt.
@@ -130,7 +133,7 @@
         self.led_term = self.led_term.max(Some(term));
     }
 
-    /// Takes in its replication status. The instance responds, so earlier failures no longer count.
+    /// Records its replication status. The instance responds, so earlier failures no longer count.
     pub(super) fn on_replication_status(&mut self, role: Role, term: Term) {
         self.in_doubt = false;
         if role == Role::Primary {
@@ -140,13 +143,13 @@
     }
 
     /// Records the end of an exchange, with its response if there was one.
-    pub(super) fn on_ended(&mut self, number: u64, answer: Option<&ExchangeResponse>) {
-        let index = self.in_flight.iter().position(|in_flight| in_flight.number == number);
+    pub(super) fn on_ended(&mut self, number: u64, response: Option<&ExchangeResponse>) {
+        let index = self.in_flight.iter().position(|exchange| exchange.number == number);
         let ended = index.map(|index| self.in_flight.swap_remove(index));
-        match (answer, ended) {
-            (Some(answer), _) => {
-                let elapsed = answer.at.saturating_duration_since(answer.sent);
-                self.on_response(elapsed, answer.position, answer.at);
+        match (response, ended) {
+            (Some(response), _) => {
+                let elapsed = response.at.saturating_duration_since(response.sent);
+                self.on_response(elapsed, response.position, response.at);
             }
             (None, ended) => {
                 self.in_doubt = true;
--- a/crates/daemon/src/shared/membership.rs
+++ b/crates/daemon/src/shared/membership.rs
@@ -52,8 +52,8 @@
     }
 
     /// Records a node with a newer revision than any before.
-    pub fn set_newest_revision(&self, holder: NewestRevision) {
-        *self.newest.lock().expect(POISONED) = Some(holder);
+    pub fn set_newest_revision(&self, newest: NewestRevision) {
+        *self.newest.lock().expect(POISONED) = Some(newest);
     }
 
     /// Counters of membership since the start.
--- a/crates/daemon/src/shared/quotas.rs
+++ b/crates/daemon/src/shared/quotas.rs
@@ -62,7 +62,8 @@
 }
 
 impl SharedQuotas {
-    /// Takes a token for an operation of an account. `ticket` identifies the operation while it waits.
+    /// Takes a token for an operation of an account. `ticket` identifies the operation while it
+    /// waits.
     pub fn take(
         &self,
         account: &AccountName,
@@ -102,8 +103,8 @@
         self.with(context, now, |quotas, view| quotas.on_tick(view));
     }
 
-    /// Takes the messages to send, and the accounts whose waiting operations can continue, since the
-    /// last call.
+    /// Takes the messages to send, and the accounts whose waiting operations can continue, since
+    /// the last call.
     pub fn take_updates(&self) -> (Vec<Outgoing>, Vec<AccountName>) {
         if !self.has_updates.swap(false, Ordering::AcqRel) {
             return (Vec::new(), Vec::new());
--- a/crates/daemon/src/shared/replacement_check_requests.rs
+++ b/crates/daemon/src/shared/replacement_check_requests.rs
@@ -1,6 +1,6 @@
-//! Groups that need a replacement check: only some of their replicas have reported their status, so the
-//! store has to confirm that the primary is not being replaced before these reports are evidence for it
-//! (`core::primary_evidence`).
+//! Groups that need a replacement check: only some of their replicas have reported their status, so
+//! the store has to confirm that the primary is not being replaced before these reports are
+//! evidence for it (`core::primary_evidence`).
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
--- a/crates/daemon/src/shared/replacements.rs
+++ b/crates/daemon/src/shared/replacements.rs
@@ -1,4 +1,5 @@
-//! Primary replacements that this node knows of, and the announcements of those that it coordinates.
+//! Primary replacements that this node knows of, and the announcements of those that it
+//! coordinates.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,8 +14,8 @@
 pub struct ReplacementUpdates {
     /// Running replacements, and since when each is known to be recorded.
     pub running: BTreeMap<GroupName, (Intent, Instant)>,
-    /// Replacements that have ended since the last announcement, and the terms that their successors
-    /// lead.
+    /// Replacements that have ended since the last announcement, and the terms that their
+    /// successors lead.
     pub ended: Vec<(GroupName, ReplacementId, Option<Term>)>,
 }
 
@@ -26,18 +27,18 @@
 }
 
 impl Replacements {
-    /// Takes in the intents that the store has now.
+    /// Updates the replacements with the intents that the store has now.
     pub fn follow_store(&self, intents: &BTreeMap<GroupName, Intent>, now: Instant) {
         self.known().follow_store(intents, now);
     }
 
-    /// Takes in the report of a coordinator that it runs a replacement, and that the intent has been
+    /// Handles the report of a coordinator that it runs a replacement, and that the intent has been
     /// known to be recorded for `age`.
     pub fn on_reported(&self, group: &GroupName, intent: Intent, age: Duration, now: Instant) {
         self.known().on_told(group, intent, age, now);
     }
 
-    /// Takes in the report of a coordinator that a replacement has ended.
+    /// Handles the report of a coordinator that a replacement has ended.
     pub fn on_reported_end(&self, group: &GroupName, id: ReplacementId) {
         self.known().on_over(group, id);
     }
@@ -76,8 +77,8 @@
         updates.ended.push((group.clone(), id, successor_term));
     }
 
-    /// Stops the announcements, because this node's coordinator lease has ended. The next coordinator
-    /// continues the replacements and announces them.
+    /// Stops the announcements, because this node's coordinator lease has ended. The next
+    /// coordinator continues the replacements and announces them.
     pub fn on_coordinator_lease_ended(&self) {
         self.updates().running.clear();
     }
--- a/crates/daemon/src/shared/revisions.rs
+++ b/crates/daemon/src/shared/revisions.rs
@@ -6,7 +6,8 @@
 use kestrellock_core::catalog::Revision;
 use kestrellock_core::ids::NodeName;
 
-/// Newest known revision of each node. A node never activates an older revision, so entries only grow.
+/// Newest known revision of each node. A node never activates an older revision, so entries only
+/// grow.
 #[derive(Debug, Default)]
 pub struct Revisions {
     by_node: Mutex<HashMap<NodeName, Revision>>,
--- a/crates/daemon/src/shared/revoked_evidence.rs
+++ b/crates/daemon/src/shared/revoked_evidence.rs
@@ -1,8 +1,8 @@
 //! Which nodes have revoked their evidence of a primary that this node replaces, and what they know
 //! of restarted instances.
 //!
-//! A coordinator has to wait until all evidence of the old primary has expired, unless every node has
-//! reported that it revoked its evidence.
+//! A coordinator has to wait until all evidence of the old primary has expired, unless every node
+//! has reported that it revoked its evidence.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
--- a/crates/daemon/src/shared/routine_log_lines.rs
+++ b/crates/daemon/src/shared/routine_log_lines.rs
@@ -1,5 +1,5 @@
-//! Rate limit for the routine log lines of successful operations, so that load does not flood the log.
-//! A separate line states how many were suppressed.
+//! Rate limit for the routine log lines of successful operations, so that load does not flood the
+//! log. A separate line states how many were suppressed.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -18,9 +18,9 @@
 use super::exchange_record::ExchangeRecord;
 pub use super::exchange_record::{ConnectionOutcome, ExchangeResponse};
 
-/// Time that replicas have to respond before a replacement check replaces the answers of the slowest.
-/// Zones are a few milliseconds apart, and a request to the store costs as much as dozens of status
-/// queries.
+/// Time that replicas have to respond before a replacement check replaces the answers of the
+/// slowest. Zones are a few milliseconds apart, and a request to the store costs as much as dozens
+/// of status queries.
 const REPLICAS_ANSWER_WITHIN: Duration = Duration::from_millis(10);
 
 /// Newest status of every known instance, with a lock for each group.
@@ -55,8 +55,8 @@
         self.last_commit = Some(Instant::now());
     }
 
-    /// Until when the evidence covers the arrival of reads at the primary `instance`: such a read sees
-    /// every acknowledged commit.
+    /// Until when the evidence covers the arrival of reads at the primary `instance`: such a read
+    /// sees every acknowledged commit.
     pub fn covered_until(
         &self,
         instance: &InstanceName,
@@ -89,7 +89,8 @@
 pub enum CommitConfirmation {
     /// The primary had not been replaced, so the commit may be acknowledged.
     Confirmed,
-    /// Enough replicas show that, the others have had time to respond, and a replacement check is missing.
+    /// Enough replicas show that, the others have had time to respond, and a replacement check is
+    /// missing.
     LacksReplacementCheck,
     /// Too few replicas have reported their status.
     Unconfirmed,
@@ -122,8 +123,8 @@
         change(&mut statuses.write().expect("a thread panicked while it held the status lock"));
     }
 
-    /// Records that an exchange was sent to an instance; `commits` says whether it may commit. Returns
-    /// its number.
+    /// Records that an exchange was sent to an instance; `commits` says whether it may commit.
+    /// Returns its number.
     pub fn on_sent(&self, group: &GroupName, instance: &InstanceName, commits: bool) -> u64 {
         let mut number = 0;
         self.with_group(group, |known| {
@@ -139,14 +140,14 @@
         group: &GroupName,
         instance: &InstanceName,
         number: u64,
-        answer: Option<ExchangeResponse>,
+        response: Option<ExchangeResponse>,
     ) {
         self.with_group(group, |known| {
             let record = known.exchange_records.entry(instance.clone()).or_default();
-            record.on_ended(number, answer.as_ref());
-            let Some(answer) = answer else { return };
-            if let (Some(Role::Primary), Some(position)) = (answer.role, answer.position) {
-                known.primary_samples.record(answer.sent, position);
+            record.on_ended(number, response.as_ref());
+            let Some(response) = response else { return };
+            if let (Some(Role::Primary), Some(position)) = (response.role, response.position) {
+                known.primary_samples.record(response.sent, position);
             }
         });
     }
@@ -163,13 +164,13 @@
         });
     }
 
-    /// Drops the evidence of a group after a connection to it broke: the process behind the evidence may
-    /// be gone.
+    /// Drops the evidence of a group after a connection to it broke: the process behind the
+    /// evidence may be gone.
     pub fn forget_evidence(&self, group: &GroupName) {
         self.with_group(group, |known| known.evidence.forget());
     }
 
-    /// Takes in the incarnation of an instance that the platform reports. State of an earlier
+    /// Records the incarnation of an instance that the platform reports. State of an earlier
     /// incarnation is dropped.
     pub fn on_incarnation(
         &self,
@@ -195,8 +196,8 @@
         });
     }
 
-    /// Records that `instance`, as the primary of `term`, answered a commit that wrote data and was sent
-    /// at `sent`.
+    /// Records that `instance`, as the primary of `term`, answered a commit that wrote data and was
+    /// sent at `sent`.
     pub fn on_commit(&self, group: &GroupName, instance: &InstanceName, term: Term, sent: Instant) {
         self.with_group(group, |known| {
             known.on_commit_answered(instance, term);
@@ -204,8 +205,8 @@
         });
     }
 
-    /// The same at a node that coordinators do not wait for before a promotion. There the commit is no
-    /// evidence, because another instance may have been promoted meanwhile.
+    /// The same at a node that coordinators do not wait for before a promotion. There the commit is
+    /// no evidence, because another instance may have been promoted meanwhile.
     pub fn on_commit_without_evidence(
         &self,
         group: &GroupName,
@@ -215,7 +216,8 @@
         self.with_group(group, |known| known.on_commit_answered(instance, term));
     }
 
-    /// What the evidence shows at `now` about a commit that the primary of `term` answered at `answered`.
+    /// What the evidence shows at `now` about a commit that the primary of `term` answered at
+    /// `answered`.
     pub fn commit_confirmation(
         &self,
         group: &GroupName,
@@ -241,12 +243,13 @@
         }
     }
 
-    /// Takes in from the store that an instance of the group has led `term`.
+    /// Records that, as the store shows, an instance of the group has led `term`.
     pub fn on_led(&self, group: &GroupName, term: Term) {
         self.with_group(group, |known| known.evidence.on_led(term));
     }
 
-    /// Revokes the evidence of groups with an active intent, and allows evidence again for all others.
+    /// Revokes the evidence of groups with an active intent, and allows evidence again for all
+    /// others.
     pub fn follow_replacements(&self, intents: &BTreeMap<GroupName, Intent>) {
         let groups: Vec<GroupName> = self
             .groups
@@ -263,7 +266,7 @@
         }
     }
 
-    /// Takes in the replication status that an instance reported to a query sent at `asked`.
+    /// Records the replication status that an instance reported to a query sent at `asked`.
     pub fn on_replication_status(
         &self,
         group: &GroupName,
@@ -285,8 +288,8 @@
         });
     }
 
-    /// Instances in doubt for which a status query is due. The queries are recorded as sent, so each
-    /// instance is due again after an interval.
+    /// Instances in doubt for which a status query is due. The queries are recorded as sent, so
+    /// each instance is due again after an interval.
     pub fn take_due_status_queries(&self, group: &GroupName, now: Instant) -> Vec<InstanceName> {
         let statuses = self.group(group);
         let is_due = {
@@ -306,8 +309,8 @@
         asked.collect()
     }
 
-    /// Takes in a replacement check: the store confirmed at `asked` that no replacement of the primary
-    /// that this node uses was running.
+    /// Records the result of a replacement check: the store confirmed at `asked` that no
+    /// replacement of the primary that this node uses was running.
     pub fn on_replacement_check(&self, group: &GroupName, asked: Instant) {
         self.with_group(group, |known| known.evidence.on_unreplaced(asked));
     }
@@ -345,14 +348,14 @@
         terms.max().unwrap_or_default().max(known.evidence.term())
     }
 
-    /// Takes in newer statuses of instances of a group.
+    /// Updates the statuses of instances of a group.
     pub fn update(&self, group: &GroupName, statuses: impl IntoIterator<Item = InstanceStatus>) {
         let shared = self.group(group);
         let mut known_statuses =
             shared.write().expect("a thread panicked while it held the status lock");
         for mut status in statuses {
-            // Only the owner of an instance knows its queue. Other gateways probe the instance too, and their
-            // statuses must not clear the queue wait.
+            // Only the owner of an instance knows its queue. Other gateways probe the instance too,
+            // and their statuses must not clear the queue wait.
             let known = known_statuses
                 .instances
                 .get(&status.instance)
