--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -1,8 +1,8 @@
 //! Fetches the difference to a newer configuration from a peer, chunk by chunk.
 //!
-//! There is one fetch at a time. A new one replaces one that takes too long. If a complete delta
-//! does not fit this node's catalog, because that has changed meanwhile, the node fetches again,
-//! and requests the whole configuration if the catalog has not changed.
+//! There is one fetch at a time; if it takes too long, a new fetch replaces it. If a complete delta
+//! does not fit this node's catalog, the node fetches again: the new difference if its catalog has
+//! changed since the request, and the whole configuration otherwise.
 
 use std::time::Instant;
 
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -28,7 +28,7 @@
 pub use distribution::distribute;
 pub use source_watch::watch_source;
 
-/// Shard whose connections carry messages that are not answers.
+/// Shard whose connections carry the messages that this node initiates.
 const FIRST_SHARD: u16 = 0;
 
 /// A node that this node exchanges configuration with.
@@ -40,7 +40,7 @@
 }
 
 impl Peer {
-    /// The peer for messages that are not answers.
+    /// The peer for a message that this node initiates.
     fn first_shard_of(node: NodeName) -> Self {
         Self { node, shard: FIRST_SHARD }
     }
--- a/crates/daemon/src/agent/promotion/announcer.rs
+++ b/crates/daemon/src/agent/promotion/announcer.rs
@@ -11,7 +11,7 @@
 use crate::context::NodeContext;
 use crate::shard::mailbox::{Mailboxes, ShardMessage};
 
-/// Shard whose connections carry messages that are not answers.
+/// Shard whose connections carry the messages that this node initiates.
 pub const FIRST_SHARD: u16 = 0;
 
 /// Announces the replacements that this node coordinates.
--- a/crates/daemon/src/agent/promotion/coordinator.rs
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -410,10 +410,10 @@
     }
 }
 
-/// The nodes that have to report before the successor is promoted: the machine list that this node
-/// has read, extended by the store's. This node's list may be seconds old and lack nodes that were
-/// added since; the store's list was read again when the intent was recorded. Empty while this node
-/// has not read a machine list.
+/// The nodes that the coordinator waits for to report their revoked evidence: those in the machine
+/// list that this node has read, and those in the store. This node's list may be seconds old and
+/// lack nodes that were added since; the store's list was read again when the intent was recorded.
+/// Empty while this node has not read a machine list.
 fn nodes_to_await(context: &NodeContext, coordination: &dyn Coordination) -> Vec<NodeName> {
     let mut nodes = context.listed_names();
     if nodes.is_empty() {
--- a/crates/daemon/src/agent/promotion/executor.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -3,7 +3,7 @@
 //!
 //! There is a thread for each instance and one for changes of the store, each with one command at a
 //! time; promotions and reads of incarnations have a thread for each call. Changes of the store are
-//! queued. An executed an order to an instance is dropped if an earlier order to it is still
+//! queued. An order to an instance is dropped if an earlier order to it is still
 //! queued; the attempt sends its orders again until the instance has answered.
 
 use std::collections::HashMap;
--- a/crates/daemon/src/agent/promotion/mod.rs
+++ b/crates/daemon/src/agent/promotion/mod.rs
@@ -2,8 +2,8 @@
 //! this node's votes through the store, and replaces primaries while this node is the coordinator.
 //!
 //! The decisions are made in `core::suspicion` (which primaries this node suspects) and
-//! `core::promotion` (which primaries the votes of all nodes replace, and each step of a
-//! replacement). The threads in this module carry them out:
+//! `core::promotion` (which primaries have to be replaced by the votes of all nodes, and each step
+//! of a replacement). The threads in this module execute them:
 //!
 //! * [`watch`] assesses each group's primary by this node's own exchanges and publishes the votes;
 //! * [`coordinator`] runs primary replacements while this node holds the coordinator lease;
