--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -21,7 +21,7 @@
 /// Time that replicas have to respond before a replacement check replaces the answers of the
 /// slowest. Zones are a few milliseconds apart, and a request to the store costs as much as dozens
 /// of status queries.
-const REPLICAS_ANSWER_WITHIN: Duration = Duration::from_millis(10);
+const REPLICA_RESPONSE_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// Newest status of every known instance, with a lock for each group.
 #[derive(Debug, Default)]
@@ -67,7 +67,7 @@
     }
 
     /// Whether a replacement check is all that is missing for the evidence to cover arrivals until
-    /// `moment`, and the replicas have had [`REPLICAS_ANSWER_WITHIN`] to respond.
+    /// `moment`, and the replicas have had time to respond.
     pub fn lacks_only_replacement_check(
         &self,
         instance: &InstanceName,
@@ -78,7 +78,7 @@
     ) -> bool {
         let Some(term) = self.led_term_of(instance) else { return false };
         let asked = self.evidence.newest();
-        let waited = asked.is_some_and(|asked| now >= asked + REPLICAS_ANSWER_WITHIN);
+        let waited = asked.is_some_and(|asked| now >= asked + REPLICA_RESPONSE_TIMEOUT);
         let until = self.evidence.would_cover_until(term, group, lifetime);
         waited && until.is_some_and(|until| moment <= until)
     }
@@ -87,7 +87,7 @@
 /// What the evidence shows about a commit that the primary has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitConfirmation {
-    /// The primary had not been replaced, so the commit may be acknowledged.
+    /// No other instance was about to be promoted, so the commit may be acknowledged.
     Confirmed,
     /// Enough replicas show that, the others have had time to respond, and a replacement check is
     /// missing.
@@ -236,7 +236,7 @@
             return CommitConfirmation::Confirmed;
         }
         let covered_until = evidence.would_cover_until(term, replication, Duration::ZERO);
-        let has_waited = now >= answered + REPLICAS_ANSWER_WITHIN;
+        let has_waited = now >= answered + REPLICA_RESPONSE_TIMEOUT;
         match has_waited && covered_until.is_some_and(|asked| asked >= answered) {
             true => CommitConfirmation::LacksReplacementCheck,
             false => CommitConfirmation::Unconfirmed,
