--- a/crates/daemon/src/agent/configuration/left_out.rs
+++ b/crates/daemon/src/agent/configuration/excluded_entries.rs
@@ -1,4 +1,5 @@
-//! Tells what is left out of the configuration: once when it comes, and once when it has gone.
+//! Logs the invalid entries that are excluded from the configuration: once when an entry is
+//! excluded, and once when that is over.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +8,17 @@
 use super::Origin;
 use crate::metrics::{ConfigurationEvent, Metrics};
 
-/// What is left out of the configuration in force, by subject: what is wrong with it.
+/// The entries that are excluded from the active configuration, by subject, each with its problem.
 #[derive(Debug, Default)]
-pub(super) struct LeftOut {
-    told: BTreeMap<String, String>,
+pub(super) struct ExcludedEntries {
+    logged: BTreeMap<String, String>,
 }
 
-impl LeftOut {
-    /// A configuration of that revision comes into force without what has these faults. What peers send
-    /// has been through this before: that nothing is left out of it says nothing.
-    pub fn tell(
+impl ExcludedEntries {
+    /// Logs the changes when a configuration becomes active without the entries that have `faults`.
+    /// Peers send their configuration without the entries that they have excluded, so an entry that
+    /// is missing from a peer's `faults` may still be invalid in the store.
+    pub fn log_changes(
         &mut self,
         faults: &[Fault],
         origin: Origin,
@@ -26,7 +28,7 @@
         let mut now = BTreeMap::new();
         for Fault { subject, error } in faults {
             let subject = subject.to_string();
-            if self.told.get(&subject) != Some(&error.problem) {
+            if self.logged.get(&subject) != Some(&error.problem) {
                 metrics.configuration.count(ConfigurationEvent::LeftOut);
                 log::warn!(
                     event = "entry_left_out",
@@ -35,23 +37,23 @@
                     field = error.field.as_str(),
                     problem = error.problem.as_str(),
                     revision = revision.0;
-                    "a part of the configuration cannot be used; the rest is in force"
+                    "an invalid entry of the configuration is excluded; the rest is active"
                 );
             }
             now.insert(subject, error.problem.clone());
         }
         if origin == Origin::Peer {
-            self.told.append(&mut now);
+            self.logged.append(&mut now);
             return;
         }
-        for subject in self.told.keys().filter(|subject| !now.contains_key(*subject)) {
+        for subject in self.logged.keys().filter(|subject| !now.contains_key(*subject)) {
             log::info!(
                 event = "entry_left_out_over",
                 subject = subject.as_str(),
                 revision = revision.0;
-                "what was left out of the configuration is gone or can be used again"
+                "an excluded entry of the configuration is valid again or has been removed"
             );
         }
-        self.told = now;
+        self.logged = now;
     }
 }
--- a/crates/daemon/src/agent/promotion/telling.rs
+++ b/crates/daemon/src/agent/promotion/announcer.rs
@@ -1,5 +1,6 @@
-//! Tells the owners of a group that its primary is being replaced, beside what the store says: an owner that does not
-//! reach the store would go on at the old primary.
+//! Announces the replacements that this node coordinates to the owners of their groups. The owners
+//! also learn of them from the store, but an owner that cannot reach the store would otherwise
+//! continue to use the old primary.
 
 use std::time::Instant;
 
@@ -10,39 +11,44 @@
 use crate::context::NodeContext;
 use crate::shard::mailbox::{Mailboxes, ShardMessage};
 
-/// Shard whose connections carry messages that this node begins.
+/// Shard whose connections carry the messages that this node initiates.
 pub const FIRST_SHARD: u16 = 0;
 
-/// What this node tells others of the replacements that it carries out.
+/// Announces the replacements that this node coordinates.
 #[derive(Debug, Default)]
-pub struct Telling {
+pub struct ReplacementAnnouncer {
     last: Option<Instant>,
 }
 
-impl Telling {
-    /// Tells what is due.
+impl ReplacementAnnouncer {
+    /// Sends the announcements, unless the last ones are more recent than [`TELL_INTERVAL`].
     pub fn step(&mut self, context: &NodeContext, mailboxes: &Mailboxes, now: Instant) {
         let is_early = self.last.is_some_and(|last| now < last + TELL_INTERVAL);
-        if is_early || !context.replacements.has_news() {
+        if is_early || !context.replacements.has_updates() {
             return;
         }
         self.last = Some(now);
-        let news = context.replacements.take_news();
-        for (group, (intent, recorded)) in news.under_way {
+        let updates = context.replacements.take_updates();
+        for (group, (intent, recorded)) in updates.running {
             let age = now.saturating_duration_since(recorded);
-            context.replacements.on_told(&group, intent.clone(), age, now);
+            context.replacements.on_reported(&group, intent.clone(), age, now);
             let message = PeerMessage::ReplacementUnderWay { group: group.clone(), intent, age };
-            tell(&group, &message, context, mailboxes);
+            announce(&group, &message, context, mailboxes);
         }
-        for (group, id, led) in news.over {
-            context.replacements.on_over(&group, id);
+        for (group, id, led) in updates.ended {
+            context.replacements.on_reported_end(&group, id);
             let message = PeerMessage::ReplacementOver { group: group.clone(), id, led };
-            tell(&group, &message, context, mailboxes);
+            announce(&group, &message, context, mailboxes);
         }
     }
 }
 
-fn tell(group: &GroupName, message: &PeerMessage, context: &NodeContext, mailboxes: &Mailboxes) {
+fn announce(
+    group: &GroupName,
+    message: &PeerMessage,
+    context: &NodeContext,
+    mailboxes: &Mailboxes,
+) {
     let ownerships = context.ownerships();
     let owners = ownerships.owners_of(group).iter().map(|owner| &owner.node);
     let others: Vec<&NodeName> = owners.filter(|node| **node != context.identity.node).collect();
--- a/crates/daemon/src/agent/promotion/electors.rs
+++ b/crates/daemon/src/agent/promotion/electors.rs
@@ -1,5 +1,5 @@
-//! The nodes whose word counts, as this node knows them: gathered anew when a list changes, and now and
-//! then because time passes, not at each look.
+//! The nodes whose votes count, as this node knows them. They are collected when a list of nodes
+//! changes, and regularly because time passes, but not at each step.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,18 +10,18 @@
 use crate::context::NodeContext;
 use crate::shared::live::LiveNode;
 
-/// Longest time for which the electors are taken for the same although no list has changed: a node
-/// counts for 20 s after its last sign of life. Gathering them takes time with the number of nodes,
-/// which a look each 20 ms would spend in vain.
-const REFRESH: Duration = Duration::from_millis(500);
+/// Longest time between two refreshes while no list changes: a node counts for 20 s after it was
+/// last known to be live. Collecting the electors takes time proportional to the number of nodes,
+/// which would be wasted at each step of 20 ms.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The nodes that live, and those whose word counts.
+/// The live nodes, and those whose votes count.
 #[derive(Debug, Default)]
 pub(super) struct Electors {
     electorate: Electorate,
     live_list: Arc<Vec<LiveNode>>,
     listed_list: Arc<Vec<LiveNode>>,
-    gathered: Option<Instant>,
+    refreshed: Option<Instant>,
     live: Vec<NodeName>,
     counted: Vec<NodeName>,
 }
@@ -31,27 +31,27 @@
 }
 
 impl Electors {
-    /// Follows the lists of nodes.
-    pub fn follow(&mut self, context: &NodeContext, now: Instant) {
+    /// Collects the nodes again if a list has changed or the last refresh is too old.
+    pub fn refresh(&mut self, context: &NodeContext, now: Instant) {
         let (live, listed) = (context.live.load(), context.listed_nodes.load());
         let is_same =
             Arc::ptr_eq(&live, &self.live_list) && Arc::ptr_eq(&listed, &self.listed_list);
-        let is_recent = self.gathered.is_some_and(|at| now < at + REFRESH);
+        let is_recent = self.refreshed.is_some_and(|at| now < at + REFRESH_INTERVAL);
         if is_same && is_recent {
             return;
         }
         self.live = names(&live);
         self.counted = self.electorate.counted(&names(&listed), &self.live, now);
         (self.live_list, self.listed_list) = (live, listed);
-        self.gathered = Some(now);
+        self.refreshed = Some(now);
     }
 
-    /// Nodes that live.
+    /// Live nodes.
     pub fn live(&self) -> &[NodeName] {
         &self.live
     }
 
-    /// Listed nodes that live, or did a while ago.
+    /// Listed nodes that are live, or were until recently.
     pub fn counted(&self) -> &[NodeName] {
         &self.counted
     }
--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -23,7 +23,7 @@
 use super::server::ProbeAnswer;
 use crate::event::Io;
 use crate::policy::Policy;
-use crate::shared::statuses::WordOnCommit;
+use crate::shared::statuses::CommitConfirmation;
 
 /// Interval after which replicas that have not confirmed a commit are queried again.
 const STATUS_QUERY_INTERVAL: Duration = Duration::from_millis(60);
@@ -183,16 +183,16 @@
             };
             let (term, replication) = (position.term, group.replication());
             let statuses = &io.context.statuses;
-            match statuses.word_on_commit(name, term, replication, answered, Instant::now()) {
-                WordOnCommit::Confirmed => acknowledge(pending.commit, Some(position), io),
-                WordOnCommit::Replaced => {
+            match statuses.commit_confirmation(name, term, replication, answered, Instant::now()) {
+                CommitConfirmation::Confirmed => acknowledge(pending.commit, Some(position), io),
+                CommitConfirmation::Replaced => {
                     refuse(pending.commit, Progress::Unconfirmed, Fault::Superseded, io);
                 }
-                WordOnCommit::LacksTheStore => {
-                    io.context.store_looks.want(name);
+                CommitConfirmation::LacksReplacementCheck => {
+                    io.context.store_looks.request(name);
                     kept.push(pending);
                 }
-                WordOnCommit::Missing => kept.push(pending),
+                CommitConfirmation::Unconfirmed => kept.push(pending),
             }
         }
         self.pending = kept;
--- a/crates/daemon/src/gateway/connection_loss.rs
+++ b/crates/daemon/src/gateway/connection_loss.rs
@@ -8,7 +8,7 @@
 use super::server::{Purpose, Server};
 use crate::event::Io;
 use crate::metrics::ConnectionEvent;
-use crate::shared::statuses::Reachability;
+use crate::shared::statuses::ConnectionOutcome;
 
 impl Gateway {
     /// Handles the loss of a connection: informs the front of its lease, the group's monitor and
@@ -79,12 +79,12 @@
 
 /// What the loss of a connection shows about the reachability of its instance. `None` if nothing
 /// ran on the connection, or if instances are probed instead of being judged by their answers.
-fn reachability(server: &Server, fault: Fault, io: &Io) -> Option<Reachability> {
+fn reachability(server: &Server, fault: Fault, io: &Io) -> Option<ConnectionOutcome> {
     if !io.context.protocol.traits().positions_in_answers || server.is_idle() {
         return None;
     }
     match (server.is_instance_down(), fault) {
-        (true, Fault::BackendLost) => Some(Reachability::Refused),
-        _ => Some(Reachability::Broken),
+        (true, Fault::BackendLost) => Some(ConnectionOutcome::Refused),
+        _ => Some(ConnectionOutcome::Broken),
     }
 }
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -83,7 +83,7 @@
     let known = board.read().expect("a holder of the status lock panicked");
     let leader = io.context.leader(name, group).map(|leader| &leader.name);
     let newest_term = known.evidence.highest_led();
-    let leads = leader.and_then(|leader| known.led_by(leader));
+    let leads = leader.and_then(|leader| known.led_term_of(leader));
     let term = leads.unwrap_or(newest_term);
     let lifetime = io.context.evidence_life();
     let is_due = |instance: &&Instance| {
--- a/crates/daemon/src/gateway/instance_choice.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -21,7 +21,7 @@
 
 use super::pool::Pool;
 use crate::event::Io;
-use crate::shared::answers::AnswerRecord;
+use crate::shared::exchange_record::ExchangeRecord;
 use crate::shared::statuses::GroupStatuses;
 
 /// The instance for an exchange, or why there is none now.
@@ -73,7 +73,7 @@
     let moment = |staleness| needs.arrived.checked_sub(staleness).unwrap_or(needs.arrived);
     let missing_evidence = |moment: Instant| {
         let only_store = primary.is_some_and(|primary| {
-            known.lacks_only_the_store(&primary.name, replication, lifetime, moment, io.now)
+            known.lacks_only_replacement_check(&primary.name, replication, lifetime, moment, io.now)
         });
         if only_store { InstanceChoice::NeedsStore } else { InstanceChoice::NeedsEvidence }
     };
@@ -82,8 +82,8 @@
             let moment = moment(*max_staleness);
             let at_primary = covered_until.is_some_and(|covered_until| moment <= covered_until);
             let read_position = covered_until
-                .and_then(|covered_until| known.primary.covering(moment, covered_until));
-            let same_term = known.primary.term() == known.evidence.term();
+                .and_then(|covered_until| known.primary_samples.covering(moment, covered_until));
+            let same_term = known.primary_samples.term() == known.evidence.term();
             let read_position = read_position.filter(|_| same_term);
             if !at_primary && read_position.is_none() {
                 return missing_evidence(moment);
@@ -133,7 +133,7 @@
 /// Whether a newer primary than this one is known, or may have been promoted. In the second case
 /// the instance gets no writes until it has reported the term that it leads.
 fn may_be_replaced(configured: &Group, primary: &Instance, known: &GroupStatuses) -> bool {
-    let leads = known.led_by(&primary.name);
+    let leads = known.led_term_of(&primary.name);
     let is_unproven = leads.is_none() && !configured.is_newest(&primary.name);
     is_unproven || known.evidence.is_outdated(leads)
 }
@@ -172,15 +172,17 @@
         .iter()
         .filter(may_serve)
         .map(|instance| {
-            let unknown = AnswerRecord::default();
-            let record = known.answers.get(&instance.name).unwrap_or(&unknown);
+            let unknown = ExchangeRecord::default();
+            let record = known.exchange_records.get(&instance.name).unwrap_or(&unknown);
             Reader {
                 instance: &instance.name,
                 is_local: instance.zone == io.context.identity.zone,
-                reached: record.reached.filter(|_| instance.announced_role == Some(Role::Replica)),
-                reached_for: record.reached_at.map(|at| io.now.saturating_duration_since(at)),
-                service: record.service,
-                running: record.running() + queued(&instance.name),
+                reached: record
+                    .last_position
+                    .filter(|_| instance.announced_role == Some(Role::Replica)),
+                reached_for: record.last_position_at.map(|at| io.now.saturating_duration_since(at)),
+                service: record.mean_service_time,
+                running: record.in_flight() + queued(&instance.name),
                 slots: instance.slots,
                 in_doubt: record.in_doubt,
             }
--- a/crates/daemon/src/gateway/server_events.rs
+++ b/crates/daemon/src/gateway/server_events.rs
@@ -14,7 +14,7 @@
 use crate::event::Io;
 use crate::metrics::{ConnectionEvent, ProbeEvent};
 use crate::net::connection::ReadOutcome;
-use crate::shared::statuses::Reachability;
+use crate::shared::statuses::ConnectionOutcome;
 
 /// Records that an instance accepted a connection under its name: any other instance that the
 /// platform announces at the same address no longer runs.
@@ -60,7 +60,7 @@
         let Some(configured) = catalog.groups.get(&group) else { return };
         match event {
             ServerEvent::Started(position) => {
-                let reachability = Reachability::Made(position);
+                let reachability = ConnectionOutcome::Established(position);
                 io.context.statuses.on_connection(&group, &instance, reachability);
                 record_occupant(&group, configured, &instance, io);
                 return;
@@ -117,7 +117,7 @@
             }
             ServerEvent::CommitAnswered(commit) => {
                 let (answered, now) = (&commit.instance, Instant::now());
-                match io.context.replacements.answer_counts(&group, answered, now) {
+                match io.context.replacements.may_acknowledge_commit(&group, answered, now) {
                     true => state.confirmations.add_commit(commit, configured, io),
                     false => refuse_late(&group, commit, io),
                 }
--- a/crates/daemon/src/shared/confirmations.rs
+++ b/crates/daemon/src/shared/confirmations.rs
@@ -1,4 +1,4 @@
-//! When the configuration was last known to be the newest, shared by the threads of a node.
+//! When the configuration was last confirmed as the newest, shared by the threads of a node.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -6,40 +6,36 @@
 use kestrellock_core::catalog::CatalogVersion;
 use kestrellock_core::credential_evidence::{Confirmation, CredentialEvidence, RevocationLimit};
 
-/// Evidence that credentials still stand.
+/// Evidence that the credentials in the configuration have not been revoked.
 #[derive(Debug, Default)]
 pub struct Confirmations {
     evidence: Mutex<CredentialEvidence>,
 }
 
 impl Confirmations {
-    /// Takes a confirmation in, also one of a revision that the node is still to get.
+    /// Adds a confirmation. It may be for a revision that this node does not have yet.
     pub fn add(&self, confirmation: Confirmation) {
         self.lock().add(confirmation);
     }
 
-    /// The newest one for the configuration `in_force`.
-    pub fn newest(&self, in_force: CatalogVersion) -> Option<Confirmation> {
-        self.lock().newest(in_force)
+    /// The newest confirmation of the `active` configuration.
+    pub fn newest(&self, active: CatalogVersion) -> Option<Confirmation> {
+        self.lock().newest(active)
     }
 
-    /// How old the newest one is.
-    pub fn age(&self, in_force: CatalogVersion, now: Instant) -> Option<Duration> {
-        let newest = self.newest(in_force)?;
+    /// Age of the newest confirmation of the `active` configuration.
+    pub fn age(&self, active: CatalogVersion, now: Instant) -> Option<Duration> {
+        let newest = self.newest(active)?;
         Some(now.saturating_duration_since(newest.at))
     }
 
-    /// Whether the configuration `in_force` covers a request that arrived at `arrived`.
-    pub fn covers(
-        &self,
-        in_force: CatalogVersion,
-        arrived: Instant,
-        limit: RevocationLimit,
-    ) -> bool {
-        self.lock().covers(in_force, arrived, limit)
+    /// Whether the evidence for the `active` configuration covers a request that arrived at
+    /// `arrived`.
+    pub fn covers(&self, active: CatalogVersion, arrived: Instant, limit: RevocationLimit) -> bool {
+        self.lock().covers(active, arrived, limit)
     }
 
     fn lock(&self) -> MutexGuard<'_, CredentialEvidence> {
-        self.evidence.lock().expect("a holder of the lock panicked")
+        self.evidence.lock().expect("a thread panicked while it held the lock")
     }
 }
--- /dev/null
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -0,0 +1,229 @@
+//! What this node's own exchanges and connections with one instance show about it.
+
+use std::time::{Duration, Instant};
+
+use kestrellock_core::incarnation::{InstanceIncarnation, has_started_again};
+use kestrellock_core::position::{Position, Term};
+use kestrellock_core::routing::Role;
+use kestrellock_core::suspicion::{GivenUpRequests, Signs};
+
+/// Time between two status queries to an instance in doubt. Reads avoid such an instance, so
+/// without queries nothing would show that it responds again. A query uses a connection slot for a
+/// moment. Half a second is a tenth of the time until an unresponsive instance is replaced or
+/// returns.
+const DOUBT_QUERY_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The newest response has a weight of one in this many in the mean service time.
+const SERVICE_TIME_WEIGHT: u32 = 8;
+
+/// An exchange that waits for its response.
+#[derive(Clone, Copy, Debug)]
+struct InFlight {
+    number: u64,
+    sent: Instant,
+    commits: bool,
+}
+
+/// State of one instance as derived from this node's own exchanges and connections with it.
+#[derive(Clone, Debug, Default)]
+pub struct ExchangeRecord {
+    /// Position that the instance last reported.
+    pub last_position: Option<Position>,
+    /// When it reported that position.
+    pub last_position_at: Option<Instant>,
+    /// Highest term that it reported. Its position lags behind: until the first commit of a new
+    /// term, its log ends with a record of the previous term.
+    term: Option<Term>,
+    /// Highest term that it has been shown to lead: by its own report, or by a commit that it
+    /// answered. The terms of its positions do not show that: a demoted primary reports those of
+    /// its successor.
+    led_term: Option<Term>,
+    /// Moving average of its response time.
+    pub mean_service_time: Option<Duration>,
+    /// Whether an exchange or a connection has failed since it last responded.
+    pub in_doubt: bool,
+    /// When it was last sent a status query because it is in doubt.
+    last_doubt_query: Option<Instant>,
+    in_flight: Vec<InFlight>,
+    abandoned: GivenUpRequests,
+    abandoned_commits: GivenUpRequests,
+    next_number: u64,
+    last_response: Option<Instant>,
+    refused_since: Option<Instant>,
+    /// Incarnation of its process that the platform reported last.
+    incarnation: Option<InstanceIncarnation>,
+}
+
+impl ExchangeRecord {
+    /// Number of exchanges in flight.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight.len() as u32
+    }
+
+    /// Incarnation of its process that the platform reported last.
+    pub(super) fn incarnation(&self) -> Option<InstanceIncarnation> {
+        self.incarnation
+    }
+
+    /// Records the incarnation that the platform reports. Returns whether the instance has
+    /// restarted. In that case everything is reset except for the exchanges in flight, whose
+    /// connections end with the previous process.
+    pub(super) fn on_incarnation(&mut self, incarnation: InstanceIncarnation) -> bool {
+        let now = Some(incarnation);
+        let has_restarted = has_started_again(self.incarnation, now);
+        self.incarnation = now;
+        if has_restarted {
+            let (in_flight, next_number) = (std::mem::take(&mut self.in_flight), self.next_number);
+            *self = Self { in_flight, next_number, incarnation: now, ..Self::default() };
+        }
+        has_restarted
+    }
+
+    /// Records an exchange that was sent at `sent`; `commits` says whether it may commit. Returns
+    /// its number.
+    pub(super) fn on_sent(&mut self, sent: Instant, commits: bool) -> u64 {
+        let number = self.next_number;
+        self.next_number += 1;
+        self.in_flight.push(InFlight { number, sent, commits });
+        number
+    }
+
+    /// Signs of the instance's health, except for what is known only of its group: the last commit,
+    /// and whether the instance is an old primary.
+    pub(super) fn signs(&self) -> Signs {
+        let in_flight = self.in_flight.iter().map(|exchange| exchange.sent);
+        let now = Instant::now();
+        let abandoned = self.abandoned.sent(now);
+        let committing = self.in_flight.iter().filter(|exchange| exchange.commits);
+        let committing = committing.map(|exchange| exchange.sent);
+        Signs {
+            refused: self.refused_since,
+            waiting: in_flight.chain(abandoned).min(),
+            committing: committing.chain(self.abandoned_commits.sent(now)).min(),
+            committed: None,
+            answered: self.last_response,
+            is_outdated: false,
+        }
+    }
+
+    /// Whether a status query is due, because the instance is in doubt.
+    pub(super) fn is_status_query_due(&self, now: Instant) -> bool {
+        let last_query = self.last_doubt_query;
+        self.in_doubt
+            && last_query.is_none_or(|last_query| now >= last_query + DOUBT_QUERY_INTERVAL)
+    }
+
+    /// Records that a status query is sent because the instance is in doubt.
+    pub(super) fn on_status_query(&mut self, now: Instant) {
+        self.last_doubt_query = Some(now);
+    }
+
+    /// Highest term that it reported.
+    pub(super) fn term(&self) -> Option<Term> {
+        self.term
+    }
+
+    /// Highest term that it has been shown to lead.
+    pub(super) fn led_term(&self) -> Option<Term> {
+        self.led_term
+    }
+
+    /// Records that it has been shown to lead `term`.
+    pub(super) fn on_led_term(&mut self, term: Term) {
+        self.led_term = self.led_term.max(Some(term));
+    }
+
+    /// Records its replication status. The instance responds, so earlier failures no longer count.
+    pub(super) fn on_replication_status(&mut self, role: Role, term: Term) {
+        self.in_doubt = false;
+        if role == Role::Primary {
+            self.term = self.term.max(Some(term));
+            self.on_led_term(term);
+        }
+    }
+
+    /// Records the end of an exchange, with its response if there was one.
+    pub(super) fn on_ended(&mut self, number: u64, response: Option<&ExchangeResponse>) {
+        let index = self.in_flight.iter().position(|exchange| exchange.number == number);
+        let ended = index.map(|index| self.in_flight.swap_remove(index));
+        match (response, ended) {
+            (Some(response), _) => {
+                let elapsed = response.at.saturating_duration_since(response.sent);
+                self.on_response(elapsed, response.position, response.at);
+            }
+            (None, ended) => {
+                self.in_doubt = true;
+                if let Some(ended) = ended {
+                    self.on_abandoned(ended, Instant::now());
+                }
+            }
+        }
+    }
+
+    /// Records the outcome of a connection to it.
+    pub(super) fn on_connection(&mut self, outcome: ConnectionOutcome) {
+        self.in_doubt = !matches!(outcome, ConnectionOutcome::Established(_));
+        match outcome {
+            ConnectionOutcome::Established(position) => {
+                self.refused_since = None;
+                self.abandoned.on_answer();
+                self.set_position(position, Instant::now());
+            }
+            ConnectionOutcome::Refused => {
+                self.refused_since.get_or_insert_with(Instant::now);
+            }
+            ConnectionOutcome::Broken => {}
+        }
+    }
+
+    fn on_abandoned(&mut self, ended: InFlight, now: Instant) {
+        self.abandoned.on_given_up(ended.sent, now);
+        if ended.commits {
+            self.abandoned_commits.on_given_up(ended.sent, now);
+        }
+    }
+
+    fn set_position(&mut self, position: Option<Position>, at: Instant) {
+        if position.is_some() {
+            self.last_position = position;
+            self.last_position_at = Some(at);
+            self.term = self.term.max(position.map(|position| position.term));
+        }
+    }
+
+    fn on_response(&mut self, elapsed: Duration, position: Option<Position>, at: Instant) {
+        self.in_doubt = false;
+        self.refused_since = None;
+        self.abandoned.on_answer();
+        self.last_response = Some(at);
+        self.set_position(position, at);
+        self.mean_service_time = Some(match self.mean_service_time {
+            Some(mean) => (mean * (SERVICE_TIME_WEIGHT - 1) + elapsed) / SERVICE_TIME_WEIGHT,
+            None => elapsed,
+        });
+    }
+}
+
+/// Outcome of a connection to an instance.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionOutcome {
+    /// The connection was established, and the instance reported this position.
+    Established(Option<Position>),
+    /// The connection could not be established.
+    Refused,
+    /// The connection broke, or was closed, with an exchange in flight.
+    Broken,
+}
+
+/// The parts of a response that show something about the instance.
+#[derive(Clone, Copy, Debug)]
+pub struct ExchangeResponse {
+    /// When the exchange was sent.
+    pub sent: Instant,
+    /// When its response was complete.
+    pub at: Instant,
+    /// Position that the instance reported.
+    pub position: Option<Position>,
+    /// Role of the instance.
+    pub role: Option<Role>,
+}
--- a/crates/daemon/src/shared/quotas.rs
+++ b/crates/daemon/src/shared/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas of accounts, shared by the shards of a node: decisions are in `core::quota`.
+//! Quotas of accounts, shared by the shards of a node. The decisions are made in `core::quota`.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,16 +12,16 @@
 use crate::context::NodeContext;
 use crate::shared::live::LiveNode;
 
-/// Longest time for which the nodes that lived a short time ago are taken for the same although no list
-/// has changed.
-const REFRESH: Duration = Duration::from_millis(500);
+/// Longest time between two refreshes of the nodes while no list changes. Time alone changes which
+/// nodes were live recently.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Quotas of a node.
 #[derive(Debug, Default)]
 pub struct SharedQuotas {
     state: Mutex<State>,
-    /// Whether there is something for [`Self::take_outgoing`] or [`Self::take_answered`].
-    has_news: AtomicBool,
+    /// Whether [`Self::take_updates`] has something to return.
+    has_updates: AtomicBool,
 }
 
 #[derive(Debug, Default)]
@@ -30,38 +30,40 @@
     nodes: Nodes,
 }
 
-/// The nodes that quotas depend on, gathered anew when a list changes.
+/// The nodes that quotas depend on, collected again when a list changes.
 #[derive(Debug, Default)]
 struct Nodes {
     live_list: Arc<Vec<LiveNode>>,
     listed_list: Arc<Vec<LiveNode>>,
-    gathered: Option<Instant>,
+    refreshed: Option<Instant>,
     electorate: Electorate,
     working: Vec<NodeName>,
     counted: usize,
 }
 
 impl Nodes {
-    fn follow(&mut self, context: &NodeContext, now: Instant) {
+    fn refresh(&mut self, context: &NodeContext, now: Instant) {
         let (live, listed) = (context.live.load(), context.listed_nodes.load());
         let is_same =
             Arc::ptr_eq(&live, &self.live_list) && Arc::ptr_eq(&listed, &self.listed_list);
-        if is_same && self.gathered.is_some_and(|at| now < at + REFRESH) {
+        if is_same && self.refreshed.is_some_and(|at| now < at + REFRESH_INTERVAL) {
             return;
         }
         let names = |nodes: &[LiveNode]| -> Vec<NodeName> {
             nodes.iter().map(|node| node.candidate.node.clone()).collect()
         };
-        let (alive, working) = (names(&live), live.iter().filter(|node| node.accepts_work));
+        let (live_names, working) = (names(&live), live.iter().filter(|node| node.accepts_work));
         self.working = working.map(|node| node.candidate.node.clone()).collect();
-        self.counted = self.electorate.counted(&names(&listed), &alive, now).len().max(alive.len());
+        self.counted =
+            self.electorate.counted(&names(&listed), &live_names, now).len().max(live_names.len());
         (self.live_list, self.listed_list) = (live, listed);
-        self.gathered = Some(now);
+        self.refreshed = Some(now);
     }
 }
 
 impl SharedQuotas {
-    /// An operation of an account needs a token; `ticket` is its own for as long as it waits.
+    /// Takes a token for an operation of an account. `ticket` identifies the operation while it
+    /// waits.
     pub fn take(
         &self,
         account: &AccountName,
@@ -72,12 +74,12 @@
         self.with(context, now, |quotas, view| quotas.take(account, ticket, view))
     }
 
-    /// An operation of an account that had a token has not run.
-    pub fn give_back(&self, account: &AccountName) {
+    /// Returns the token of an operation that has not run.
+    pub fn return_token(&self, account: &AccountName) {
         self.lock().quotas.give_back(account);
     }
 
-    /// Takes in a message of another node.
+    /// Handles a message from another node.
     pub fn on_message(
         &self,
         from: &NodeName,
@@ -88,12 +90,12 @@
         self.with(context, now, |quotas, view| quotas.on_message(from, message, view));
     }
 
-    /// A connection to a node broke, or a message could not be sent to it.
+    /// Records that a connection to a node broke, or that a message could not be sent to it.
     pub fn on_unreachable(&self, node: &NodeName, now: Instant) {
         self.lock().quotas.on_unreachable(node, now);
     }
 
-    /// Time passes.
+    /// Handles a timer tick.
     pub fn on_tick(&self, context: &NodeContext, now: Instant) {
         if context.catalog.load().accounts.is_empty() {
             return;
@@ -101,9 +103,10 @@
         self.with(context, now, |quotas, view| quotas.on_tick(view));
     }
 
-    /// Messages to send and accounts whose waiting operations can go on, since the last call.
-    pub fn take_news(&self) -> (Vec<Outgoing>, Vec<AccountName>) {
-        if !self.has_news.swap(false, Ordering::AcqRel) {
+    /// Takes the messages to send, and the accounts whose waiting operations can continue, since
+    /// the last call.
+    pub fn take_updates(&self) -> (Vec<Outgoing>, Vec<AccountName>) {
+        if !self.has_updates.swap(false, Ordering::AcqRel) {
             return (Vec::new(), Vec::new());
         }
         let mut state = self.lock();
@@ -119,7 +122,7 @@
         let catalog: Arc<IndexedCatalog> = context.catalog.load();
         let mut state = self.lock();
         let State { quotas, nodes } = &mut *state;
-        nodes.follow(context, now);
+        nodes.refresh(context, now);
         let account = |name: &AccountName| catalog.accounts.get(name);
         let view = View {
             now,
@@ -130,12 +133,12 @@
         };
         let outcome = work(quotas, &view);
         if quotas.has_news() {
-            self.has_news.store(true, Ordering::Release);
+            self.has_updates.store(true, Ordering::Release);
         }
         outcome
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("a holder of the quotas' lock panicked")
+        self.state.lock().expect("a thread panicked while it held the quota lock")
     }
 }
--- /dev/null
+++ b/crates/daemon/src/shared/routine_log_lines.rs
@@ -0,0 +1,49 @@
+//! Rate limit for the routine log lines of successful operations, so that load does not flood the
+//! log. A separate line states how many were suppressed.
+
+use std::sync::{Mutex, PoisonError};
+use std::time::{Duration, Instant};
+
+/// Routine log lines per second, unless the settings say otherwise.
+pub const DEFAULT_ROUTINE_LINES_PER_SECOND: u32 = 20;
+const SECOND: Duration = Duration::from_secs(1);
+
+/// Limits the rate of routine log lines.
+#[derive(Debug)]
+pub struct RoutineLogLimiter {
+    per_second: u32,
+    window: Mutex<Window>,
+}
+
+#[derive(Debug, Default)]
+struct Window {
+    since: Option<Instant>,
+    emitted: u32,
+    suppressed: u64,
+}
+
+impl RoutineLogLimiter {
+    /// Allows at most `per_second` lines in each second.
+    pub fn new(per_second: u32) -> Self {
+        Self { per_second, window: Mutex::default() }
+    }
+
+    /// Whether another line may be logged at `now`.
+    pub fn admits(&self, now: Instant) -> bool {
+        let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
+        let is_over = window.since.is_none_or(|since| now >= since + SECOND);
+        if is_over {
+            let suppressed = std::mem::take(&mut window.suppressed);
+            *window = Window { since: Some(now), emitted: 0, suppressed: 0 };
+            if suppressed > 0 {
+                log::info!(event = "ordinary_untold", count = suppressed; "suppressed routine log lines of successful operations");
+            }
+        }
+        if window.emitted < self.per_second {
+            window.emitted += 1;
+            return true;
+        }
+        window.suppressed += 1;
+        false
+    }
+}
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -1,4 +1,4 @@
-//! What this node has last heard of back-end instances.
+//! What this node knows of the status of instances, and the evidence about each group's primary.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,184 +15,189 @@
 use kestrellock_core::suspicion::Signs;
 use kestrellock_protocol::backend::Report;
 
-use super::answers::AnswerRecord;
-pub use super::answers::{Answered, Reachability};
+use super::exchange_record::ExchangeRecord;
+pub use super::exchange_record::{ConnectionOutcome, ExchangeResponse};
 
-/// Time that replicas get to answer before the store is asked instead of the slowest: zones are a few
-/// milliseconds apart, and a call of the store costs as much as dozens of questions.
-const REPLICAS_ANSWER_WITHIN: Duration = Duration::from_millis(10);
+/// Time that replicas have to respond before a replacement check replaces the answers of the
+/// slowest. Zones are a few milliseconds apart, and a request to the store costs as much as dozens
+/// of status queries.
+const REPLICA_RESPONSE_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Newest status of every instance this node has heard of, a lock for each group.
+/// Newest status of every known instance, with a lock for each group.
 #[derive(Debug, Default)]
-pub struct StatusBoard {
+pub struct StatusTable {
     groups: ShardedLock<HashMap<GroupName, Arc<ShardedLock<GroupStatuses>>>>,
 }
 
 /// What is known of one group.
 #[derive(Debug, Default)]
 pub struct GroupStatuses {
-    /// Statuses of its instances, where probes tell them.
+    /// Statuses of its instances, if probes report them.
     pub instances: HashMap<InstanceName, KnownStatus>,
-    /// What answers told of its instances, where answers tell positions.
-    pub answers: HashMap<InstanceName, AnswerRecord>,
-    /// What answers told of its primary's position.
-    pub primary: PrimarySamples,
-    /// What shows that no other instance leads.
+    /// Records of the exchanges with its instances, if responses report positions.
+    pub exchange_records: HashMap<InstanceName, ExchangeRecord>,
+    /// Positions of its primary, as reported in responses.
+    pub primary_samples: PrimarySamples,
+    /// Evidence that no other instance is primary.
     pub evidence: PrimaryEvidence,
-    /// When its primary last answered a commit that wrote.
-    committed: Option<Instant>,
+    /// When its primary last answered a commit that wrote data.
+    last_commit: Option<Instant>,
 }
 
 impl GroupStatuses {
-    /// Term that the instance leads or led, by its own last word.
-    pub fn led_by(&self, instance: &InstanceName) -> Option<Term> {
-        self.answers.get(instance)?.leads()
+    /// Highest term that the instance has been shown to lead.
+    pub fn led_term_of(&self, instance: &InstanceName) -> Option<Term> {
+        self.exchange_records.get(instance)?.led_term()
     }
 
     fn on_commit_answered(&mut self, instance: &InstanceName, term: Term) {
-        self.answers.entry(instance.clone()).or_default().on_leads(term);
-        self.committed = Some(Instant::now());
+        self.exchange_records.entry(instance.clone()).or_default().on_led_term(term);
+        self.last_commit = Some(Instant::now());
     }
 
-    /// Until when arrivals are known to see everything at the primary `instance` of a group.
+    /// Until when the evidence covers the arrival of reads at the primary `instance`: such a read
+    /// sees every acknowledged commit.
     pub fn covered_until(
         &self,
         instance: &InstanceName,
         group: Replication,
-        life: Duration,
+        lifetime: Duration,
     ) -> Option<Instant> {
-        self.evidence.covers_until(self.led_by(instance)?, group, life)
+        self.evidence.covers_until(self.led_term_of(instance)?, group, lifetime)
     }
 
-    /// Whether arrivals until `moment` would be covered if the store said that nobody replaces the
-    /// primary, and replicas that have not answered yet are not worth waiting for.
-    pub fn lacks_only_the_store(
+    /// Whether a replacement check is all that is missing for the evidence to cover arrivals until
+    /// `moment`, and the replicas have had time to respond.
+    pub fn lacks_only_replacement_check(
         &self,
         instance: &InstanceName,
         group: Replication,
-        life: Duration,
+        lifetime: Duration,
         moment: Instant,
         now: Instant,
     ) -> bool {
-        let Some(term) = self.led_by(instance) else { return false };
+        let Some(term) = self.led_term_of(instance) else { return false };
         let asked = self.evidence.newest();
-        let waited = asked.is_some_and(|asked| now >= asked + REPLICAS_ANSWER_WITHIN);
-        let until = self.evidence.would_cover_until(term, group, life);
+        let waited = asked.is_some_and(|asked| now >= asked + REPLICA_RESPONSE_TIMEOUT);
+        let until = self.evidence.would_cover_until(term, group, lifetime);
         waited && until.is_some_and(|until| moment <= until)
     }
 }
 
-/// What replicas have said since a primary answered a commit.
+/// What the evidence shows about a commit that the primary has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WordOnCommit {
-    /// Nobody was about to be promoted.
+pub enum CommitConfirmation {
+    /// No other instance was about to be promoted, so the commit may be acknowledged.
     Confirmed,
-    /// Enough of them show that, the others are not worth waiting for, and the store has yet to say that nobody
-    /// replaces the primary.
-    LacksTheStore,
-    /// Too few have said anything.
-    Missing,
+    /// Enough replicas show that, the others have had time to respond, and a replacement check is
+    /// missing.
+    LacksReplacementCheck,
+    /// Too few replicas have reported their status.
+    Unconfirmed,
     /// The primary is being replaced, or has been.
     Replaced,
 }
 
-/// What was last heard of an instance, and when.
+/// Last known status of an instance, and when it was received.
 #[derive(Clone, Debug)]
 pub struct KnownStatus {
-    /// What was heard.
+    /// The status.
     pub status: InstanceStatus,
-    /// When it came; it has grown older since.
+    /// When it was received; ages in `status` are as of this time.
     pub received: Instant,
 }
 
-impl StatusBoard {
-    /// The group's statuses, shared.
+impl StatusTable {
+    /// The statuses of a group, which are created if they do not exist.
     pub fn group(&self, name: &GroupName) -> Arc<ShardedLock<GroupStatuses>> {
-        const POISONED: &str = "a holder of the status lock panicked";
+        const POISONED: &str = "a thread panicked while it held the status lock";
         if let Some(found) = self.groups.read().expect(POISONED).get(name) {
             return found.clone();
         }
         self.groups.write().expect(POISONED).entry(name.clone()).or_default().clone()
     }
 
-    /// Calls `change` with what answers told of a group.
+    /// Calls `change` with the statuses of a group, under their write lock.
     fn with_group(&self, group: &GroupName, change: impl FnOnce(&mut GroupStatuses)) {
-        let board = self.group(group);
-        change(&mut board.write().expect("a holder of the status lock panicked"));
+        let statuses = self.group(group);
+        change(&mut statuses.write().expect("a thread panicked while it held the status lock"));
     }
 
-    /// An exchange was sent to an instance; `commits`: it may commit. Returns its number.
+    /// Records that an exchange was sent to an instance; `commits` says whether it may commit.
+    /// Returns its number.
     pub fn on_sent(&self, group: &GroupName, instance: &InstanceName, commits: bool) -> u64 {
         let mut number = 0;
         self.with_group(group, |known| {
-            let record = known.answers.entry(instance.clone()).or_default();
+            let record = known.exchange_records.entry(instance.clone()).or_default();
             number = record.on_sent(Instant::now(), commits);
         });
         number
     }
 
-    /// An exchange with an instance is over, answered or not.
+    /// Records the end of an exchange with an instance, with its response if there was one.
     pub fn on_ended(
         &self,
         group: &GroupName,
         instance: &InstanceName,
         number: u64,
-        answer: Option<Answered>,
+        response: Option<ExchangeResponse>,
     ) {
         self.with_group(group, |known| {
-            let record = known.answers.entry(instance.clone()).or_default();
-            record.on_ended(number, answer.as_ref());
-            let Some(answer) = answer else { return };
-            if let (Some(Role::Primary), Some(position)) = (answer.role, answer.position) {
-                known.primary.record(answer.sent, position);
+            let record = known.exchange_records.entry(instance.clone()).or_default();
+            record.on_ended(number, response.as_ref());
+            let Some(response) = response else { return };
+            if let (Some(Role::Primary), Some(position)) = (response.role, response.position) {
+                known.primary_samples.record(response.sent, position);
             }
         });
     }
 
-    /// What became of a connection to an instance.
+    /// Records the outcome of a connection to an instance.
     pub fn on_connection(
         &self,
         group: &GroupName,
         instance: &InstanceName,
-        reachability: Reachability,
+        outcome: ConnectionOutcome,
     ) {
         self.with_group(group, |known| {
-            known.answers.entry(instance.clone()).or_default().on_connection(reachability);
+            known.exchange_records.entry(instance.clone()).or_default().on_connection(outcome);
         });
     }
 
-    /// A connection to the group broke: its evidence was that of a process that may be gone.
+    /// Drops the evidence of a group after a connection to it broke: the process behind the
+    /// evidence may be gone.
     pub fn forget_evidence(&self, group: &GroupName) {
         self.with_group(group, |known| known.evidence.forget());
     }
 
-    /// The platform tells which start of its process an instance is: what is remembered of an earlier one
-    /// ends.
+    /// Records the incarnation of an instance that the platform reports. State of an earlier
+    /// incarnation is dropped.
     pub fn on_incarnation(
         &self,
         group: &GroupName,
         instance: &InstanceName,
         incarnation: InstanceIncarnation,
     ) {
-        let board = self.group(group);
+        let statuses = self.group(group);
         let is_known = {
-            let known = board.read().expect("a holder of the status lock panicked");
-            let record = known.answers.get(instance);
+            let known = statuses.read().expect("a thread panicked while it held the status lock");
+            let record = known.exchange_records.get(instance);
             record.is_some_and(|record| record.incarnation() == Some(incarnation))
         };
         if is_known {
             return;
         }
         self.with_group(group, |known| {
-            let record = known.answers.entry(instance.clone()).or_default();
+            let record = known.exchange_records.entry(instance.clone()).or_default();
             if record.on_incarnation(incarnation) {
                 known.evidence.on_started_again(instance);
-                log::info!(event = "instance_started_again", group = group.as_str(), instance = instance.as_str(); "an instance has started again under its name; what was known of it is forgotten");
+                log::info!(event = "instance_started_again", group = group.as_str(), instance = instance.as_str(); "an instance has restarted; its earlier state is dropped");
             }
         });
     }
 
-    /// `instance` answered, as the primary of `term`, a commit that wrote and was sent at `sent`.
+    /// Records that `instance`, as the primary of `term`, answered a commit that wrote data and was
+    /// sent at `sent`.
     pub fn on_commit(&self, group: &GroupName, instance: &InstanceName, term: Term, sent: Instant) {
         self.with_group(group, |known| {
             known.on_commit_answered(instance, term);
@@ -200,49 +205,56 @@
         });
     }
 
-    /// The same at a node whose word nobody waits for before another instance is promoted: it is no evidence.
-    pub fn on_unproven_commit(&self, group: &GroupName, instance: &InstanceName, term: Term) {
+    /// The same at a node that coordinators do not wait for before a promotion. There the commit is
+    /// no evidence, because another instance may have been promoted meanwhile.
+    pub fn on_commit_without_evidence(
+        &self,
+        group: &GroupName,
+        instance: &InstanceName,
+        term: Term,
+    ) {
         self.with_group(group, |known| known.on_commit_answered(instance, term));
     }
 
-    /// What the replicas' word says at `now` of a commit that the primary had answered at `answered`, in a group of
-    /// such a kind.
-    pub fn word_on_commit(
+    /// What the evidence shows at `now` about a commit that the primary of `term` answered at
+    /// `answered`.
+    pub fn commit_confirmation(
         &self,
         group: &GroupName,
         term: Term,
         replication: Replication,
         answered: Instant,
         now: Instant,
-    ) -> WordOnCommit {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
+    ) -> CommitConfirmation {
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
         let evidence = &known.evidence;
         if evidence.given_up().is_some() || term < evidence.highest_led() {
-            return WordOnCommit::Replaced;
+            return CommitConfirmation::Replaced;
         }
         if evidence.confirms_commit(term, replication, answered) {
-            return WordOnCommit::Confirmed;
+            return CommitConfirmation::Confirmed;
         }
-        let shown = evidence.would_cover_until(term, replication, Duration::ZERO);
-        let has_waited = now >= answered + REPLICAS_ANSWER_WITHIN;
-        match has_waited && shown.is_some_and(|asked| asked >= answered) {
-            true => WordOnCommit::LacksTheStore,
-            false => WordOnCommit::Missing,
+        let covered_until = evidence.would_cover_until(term, replication, Duration::ZERO);
+        let has_waited = now >= answered + REPLICA_RESPONSE_TIMEOUT;
+        match has_waited && covered_until.is_some_and(|asked| asked >= answered) {
+            true => CommitConfirmation::LacksReplacementCheck,
+            false => CommitConfirmation::Unconfirmed,
         }
     }
 
-    /// The store says that an instance of the group has led `term`.
+    /// Records that, as the store shows, an instance of the group has led `term`.
     pub fn on_led(&self, group: &GroupName, term: Term) {
         self.with_group(group, |known| known.evidence.on_led(term));
     }
 
-    /// Gives evidence of groups up for the replacements under way, and takes it up again for others.
+    /// Revokes the evidence of groups with an active intent, and allows evidence again for all
+    /// others.
     pub fn follow_replacements(&self, intents: &BTreeMap<GroupName, Intent>) {
         let groups: Vec<GroupName> = self
             .groups
             .read()
-            .expect("a holder of the status lock panicked")
+            .expect("a thread panicked while it held the status lock")
             .keys()
             .cloned()
             .collect();
@@ -254,8 +266,8 @@
         }
     }
 
-    /// An instance said how it stands, asked at `asked`.
-    pub fn on_standing(
+    /// Records the replication status that an instance reported to a query sent at `asked`.
+    pub fn on_replication_status(
         &self,
         group: &GroupName,
         instance: &InstanceName,
@@ -265,8 +277,8 @@
         let term = report.flushed.term;
         let following = Following { term, held: report.held };
         self.with_group(group, |known| {
-            let record = known.answers.entry(instance.clone()).or_default();
-            record.on_standing(report.role, term);
+            let record = known.exchange_records.entry(instance.clone()).or_default();
+            record.on_replication_status(report.role, term);
             if report.role == Role::Primary {
                 known.evidence.on_led(term);
             }
@@ -276,73 +288,83 @@
         });
     }
 
-    /// Instances in doubt that are to be asked now how they stand; each again after a while.
-    pub fn questions_in_doubt(&self, group: &GroupName, now: Instant) -> Vec<InstanceName> {
-        let board = self.group(group);
+    /// Instances in doubt for which a status query is due. The queries are recorded as sent, so
+    /// each instance is due again after an interval.
+    pub fn take_due_status_queries(&self, group: &GroupName, now: Instant) -> Vec<InstanceName> {
+        let statuses = self.group(group);
         let is_due = {
-            let known = board.read().expect("a holder of the status lock panicked");
-            known.answers.values().any(|record| record.is_question_due(now))
+            let known = statuses.read().expect("a thread panicked while it held the status lock");
+            known.exchange_records.values().any(|record| record.is_status_query_due(now))
         };
         if !is_due {
             return Vec::new();
         }
-        let mut known = board.write().expect("a holder of the status lock panicked");
-        let due = known.answers.iter_mut().filter(|(_, record)| record.is_question_due(now));
+        let mut known = statuses.write().expect("a thread panicked while it held the status lock");
+        let due =
+            known.exchange_records.iter_mut().filter(|(_, record)| record.is_status_query_due(now));
         let asked = due.map(|(instance, record)| {
-            record.on_question(now);
+            record.on_status_query(now);
             instance.clone()
         });
         asked.collect()
     }
 
-    /// The store, asked at `asked`, had nobody replace the primary that this node takes for it.
-    pub fn on_unreplaced(&self, group: &GroupName, asked: Instant) {
+    /// Records the result of a replacement check: the store confirmed at `asked` that no
+    /// replacement of the primary that this node uses was running.
+    pub fn on_replacement_check(&self, group: &GroupName, asked: Instant) {
         self.with_group(group, |known| known.evidence.on_unreplaced(asked));
     }
 
-    /// What this node's exchanges with an instance show of its health.
+    /// Signs of an instance's health from this node's exchanges with it.
     pub fn signs(&self, group: &GroupName, instance: &InstanceName) -> Signs {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
-        let signs = known.answers.get(instance).map(AnswerRecord::signs).unwrap_or_default();
-        let is_outdated = known.evidence.is_outdated(known.led_by(instance));
-        Signs { committed: known.committed, is_outdated, ..signs }
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
+        let signs =
+            known.exchange_records.get(instance).map(ExchangeRecord::signs).unwrap_or_default();
+        let is_outdated = known.evidence.is_outdated(known.led_term_of(instance));
+        Signs { committed: known.last_commit, is_outdated, ..signs }
     }
 
-    /// The highest position that a group's primary has told this node.
-    pub fn heard(&self, group: &GroupName) -> Option<Position> {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
-        known.primary.highest()
+    /// Highest position that a group's primary has reported to this node.
+    pub fn highest_primary_position(&self, group: &GroupName) -> Option<Position> {
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
+        known.primary_samples.highest()
     }
 
-    /// Highest term of a group that is known to have been led.
-    pub fn highest_led(&self, group: &GroupName) -> Term {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
-        let told = known.answers.values().filter_map(AnswerRecord::term);
-        told.max().unwrap_or_default().max(known.evidence.highest_led())
+    /// Highest term of a group that an instance is known to have led.
+    pub fn highest_led_term(&self, group: &GroupName) -> Term {
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
+        let terms = known.exchange_records.values().filter_map(ExchangeRecord::term);
+        terms.max().unwrap_or_default().max(known.evidence.highest_led())
     }
 
-    /// Highest term known of a group.
+    /// Highest known term of a group.
     pub fn highest_term(&self, group: &GroupName) -> Term {
-        let board = self.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
-        let told = known.answers.values().filter_map(AnswerRecord::term);
-        told.max().unwrap_or_default().max(known.evidence.term())
+        let statuses = self.group(group);
+        let known = statuses.read().expect("a thread panicked while it held the status lock");
+        let terms = known.exchange_records.values().filter_map(ExchangeRecord::term);
+        terms.max().unwrap_or_default().max(known.evidence.term())
     }
 
-    /// Takes in newer statuses of a group.
+    /// Updates the statuses of instances of a group.
     pub fn update(&self, group: &GroupName, statuses: impl IntoIterator<Item = InstanceStatus>) {
-        let board = self.group(group);
-        let mut board = board.write().expect("a holder of the status lock panicked");
+        let shared = self.group(group);
+        let mut known_statuses =
+            shared.write().expect("a thread panicked while it held the status lock");
         for mut status in statuses {
-            // Only the owner of an instance knows its queue; other gateways probe it too.
-            let known =
-                board.instances.get(&status.instance).and_then(|known| known.status.queue_wait);
+            // Only the owner of an instance knows its queue. Other gateways probe the instance too,
+            // and their statuses must not clear the queue wait.
+            let known = known_statuses
+                .instances
+                .get(&status.instance)
+                .and_then(|known| known.status.queue_wait);
             status.queue_wait = status.queue_wait.or(known);
             let received = Instant::now();
-            board.instances.insert(status.instance.clone(), KnownStatus { status, received });
+            known_statuses
+                .instances
+                .insert(status.instance.clone(), KnownStatus { status, received });
         }
     }
 }
