--- a/crates/core/tests/catalog/faults.rs
+++ b/crates/core/tests/catalog/faults.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 
 use crate::strategies::catalog;
-use crate::{VALID, fixed};
+use crate::{VALID, fixed_seed};
 
 /// The valid catalog, with groups whose instances report themselves.
 fn reported() -> String {
@@ -154,7 +154,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(512))]
+    #![proptest_config(fixed_seed(512))]
 
     #[test]
     fn only_faulty_parts_are_removed_and_the_rest_is_valid(catalog in catalog()) {
--- a/crates/core/tests/catalog/main.rs
+++ b/crates/core/tests/catalog/main.rs
@@ -156,14 +156,14 @@
     assert_eq!(indexed.group_for(&parameters, "proofs"), Some(&GroupName::new("proofs")));
 }
 
-/// Cases from one seed, so that every run gives the same verdict.
-pub(crate) fn fixed(cases: u32) -> ProptestConfig {
+/// Configuration with a fixed seed, so that every run generates the same cases.
+pub(crate) fn fixed_seed(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(0x6b65_7374);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(fixed(128))]
+    #![proptest_config(fixed_seed(128))]
 
     #[test]
     fn validating_never_panics_and_is_repeatable(catalog in catalog()) {
--- a/crates/core/tests/credential_evidence.rs
+++ b/crates/core/tests/credential_evidence.rs
@@ -25,7 +25,7 @@
 const ZONES: usize = 3;
 const TICK: Duration = Duration::from_millis(100);
 /// Interval at which a node fetches newer configurations from other nodes.
-const FETCH: Duration = Duration::from_millis(200);
+const FETCH_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A deliberate mistake in the logic, to verify that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
 struct Node {
     candidate: Candidate,
     evidence: CredentialEvidence,
-    seeker: EvidenceRequester,
+    requester: EvidenceRequester,
     active: u64,
     suspended: Range<Instant>,
     partitioned: Range<Instant>,
@@ -116,7 +116,7 @@
             .map(|number| Node {
                 candidate: candidate(number),
                 evidence: CredentialEvidence::default(),
-                seeker: EvidenceRequester::new(limit),
+                requester: EvidenceRequester::new(limit),
                 active: 1,
                 suspended: start..start,
                 partitioned: start..start,
@@ -125,7 +125,7 @@
             })
             .collect();
         let down = start + Duration::from_millis(random.random_range(0..15_000));
-        let lasts = Duration::from_millis(random.random_range(0..8_000));
+        let length = Duration::from_millis(random.random_range(0..8_000));
         let mut world = Self {
             random,
             start,
@@ -136,7 +136,7 @@
             live: (0..NODES).map(candidate).collect(),
             revision: 1,
             acknowledged: Vec::new(),
-            store_down: (down, down + lasts),
+            store_down: (down, down + length),
             mistake,
             accepted: 0,
             refused: 0,
@@ -201,7 +201,7 @@
     }
 
     fn on_event(&mut self, event: Event) {
-        let of = match &event {
+        let target = match &event {
             Event::Tick(node) | Event::Call(node) | Event::Fetch(node) | Event::Request(node) => {
                 Some(*node)
             }
@@ -209,7 +209,7 @@
             Event::Ask { to, .. } | Event::Reply { to, .. } => Some(*to),
             Event::Read { .. } | Event::Revoke => None,
         };
-        if let Some(node) = of.filter(|node| self.nodes[*node].suspended.contains(&self.now)) {
+        if let Some(node) = target.filter(|node| self.nodes[*node].suspended.contains(&self.now)) {
             // A suspended process handles all pending events when it resumes.
             if self.nodes[node].pending.is_empty() {
                 let wait = self.nodes[node].suspended.end - self.now;
@@ -218,7 +218,7 @@
             }
             return self.nodes[node].pending.push(event);
         }
-        if let Some(node) = of {
+        if let Some(node) = target {
             for pending in std::mem::take(&mut self.nodes[node].pending) {
                 self.handle(pending);
             }
@@ -257,7 +257,7 @@
             Event::Reply { from, to, number, newest } => self.on_reply(from, to, number, newest),
             Event::Fetch(node) => {
                 self.after(
-                    FETCH.as_millis() as u64..FETCH.as_millis() as u64 + 5,
+                    FETCH_INTERVAL.as_millis() as u64..FETCH_INTERVAL.as_millis() as u64 + 5,
                     Event::Fetch(node),
                 );
                 let from = self.random.random_range(0..NODES);
@@ -295,7 +295,7 @@
         let newest = known.evidence.newest(Revision(known.active)).map(|known| known.at);
         let own = known.candidate.clone();
         let view = RequesterView { now: self.now, own: &own, live: &self.live, newest, random };
-        let Some((to, number)) = known.seeker.next(&view) else { return };
+        let Some((to, number)) = known.requester.next(&view) else { return };
         let to = self.live.iter().position(|other| other.node == to).expect("the node is live");
         if !self.is_partitioned(node, to) {
             self.send(Event::Ask { from: node, to, number: number.0 });
@@ -312,10 +312,12 @@
     fn on_reply(&mut self, from: usize, to: usize, number: u64, newest: Option<(u64, Duration)>) {
         let from = self.nodes[from].candidate.node.clone();
         let known = &mut self.nodes[to];
-        let Some(asked) = known.seeker.on_answer(&from, EvidenceRequestId(number)) else { return };
+        let Some(asked) = known.requester.on_answer(&from, EvidenceRequestId(number)) else {
+            return;
+        };
         let counted = if self.mistake == Mistake::AgeFromArrival { self.now } else { asked };
         let newest = newest.map(|(revision, age)| (revision, counted - age));
-        known.seeker.on_evidence(&from, asked, newest.map(|(_, at)| at));
+        known.requester.on_evidence(&from, asked, newest.map(|(_, at)| at));
         if let Some((revision, at)) = newest {
             known.evidence.add(Confirmation { version: Revision(revision).into(), at });
         }
@@ -340,9 +342,9 @@
     }
 }
 
-fn seeds(usual: u64) -> u64 {
+fn seeds(default: u64) -> u64 {
     let configured = std::env::var("KESTRELLOCK_SEEDS").ok();
-    configured.and_then(|text| text.parse().ok()).unwrap_or(usual)
+    configured.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
--- a/crates/core/tests/distribution.rs
+++ b/crates/core/tests/distribution.rs
@@ -27,8 +27,8 @@
     }
 }
 
-fn cluster(zones: usize, each: usize) -> Vec<Candidate> {
-    (0..zones).flat_map(|zone| (0..each).map(move |number| node(zone, number))).collect()
+fn cluster(zones: usize, nodes_per_zone: usize) -> Vec<Candidate> {
+    (0..zones).flat_map(|zone| (0..nodes_per_zone).map(move |number| node(zone, number))).collect()
 }
 
 /// Guards against a storm of store calls: 90 nodes that registered at once woke each other, which took
@@ -37,9 +37,9 @@
 fn total_reads_of_store_changes_per_second_are_bounded() {
     for nodes in [1, 6, 9, 68, 90, 120] {
         let reads = nodes as f64 / watch_delay(nodes).as_secs_f64();
-        assert!(reads <= 251.0, "{reads} a second before {nodes} nodes");
+        assert!(reads <= 251.0, "{reads} reads per second with {nodes} nodes");
     }
-    assert!(watch_delay(6) <= Duration::from_millis(30), "few nodes read changes similar at once");
+    assert!(watch_delay(6) <= Duration::from_millis(30), "few nodes read changes almost at once");
     assert_eq!(watch_delay(520), Duration::from_millis(500));
 }
 
@@ -92,7 +92,7 @@
 #[test]
 fn announcements_go_to_the_own_zone_and_to_watchers_of_other_zones() {
     let live = cluster(10, 52);
-    let own = live.iter().find(|own| is_store_watcher(own, &live)).expect("one");
+    let own = live.iter().find(|own| is_store_watcher(own, &live)).expect("a store watcher");
     let targets = announcement_targets(own, &live);
     assert_eq!(targets.len(), 51 + 18);
     assert!(!targets.contains(&own.node));
@@ -107,7 +107,11 @@
 impl FetchingNode {
     fn new() -> Self {
         let live = cluster(2, 5);
-        let own = live.iter().find(|own| !is_store_watcher(own, &live)).expect("one").clone();
+        let own = live
+            .iter()
+            .find(|own| !is_store_watcher(own, &live))
+            .expect("a node that is no store watcher")
+            .clone();
         Self { fetcher: Fetcher::new(own), live, now: Instant::now() }
     }
 
@@ -292,7 +296,7 @@
     let newer = NodeName::new("node-1-4");
     assert_eq!(node.next(7, Some(&newer)), Some(newer.clone()));
     assert!(!node.fetcher.on_revision(&newer, Revision(9)));
-    assert_eq!(node.next(7, Some(&newer)), None, "what it lacks is on its way");
+    assert_eq!(node.next(7, Some(&newer)), None, "the fetch is still open");
 }
 
 /// Guards against the same failure under load, when the announcement of an older revision arrives late.
@@ -311,7 +315,7 @@
     let newer = NodeName::new("node-1-4");
     assert_eq!(node.next(7, Some(&newer)), Some(newer.clone()));
     assert!(!node.fetcher.on_revision(&newer, Revision(7)));
-    assert_eq!(node.next(7, Some(&newer)), None, "what it lacks is on its way");
+    assert_eq!(node.next(7, Some(&newer)), None, "the fetch is still open");
     node.now += REQUEST_TIMEOUT;
     assert_ne!(
         node.next(7, Some(&newer)),
@@ -329,7 +333,11 @@
     let other = node.next(7, Some(&newer)).expect("another node");
     assert_ne!(other, newer);
     assert!(node.fetcher.on_revision(&other, Revision(7)), "the answer is that nothing is newer");
-    assert_eq!(node.next(7, Some(&newer)), Some(newer), "and it is asked elsewhere at once");
+    assert_eq!(
+        node.next(7, Some(&newer)),
+        Some(newer),
+        "and the node with the newer revision is asked at once"
+    );
 }
 
 #[test]
@@ -350,7 +358,7 @@
     node.fetcher.on_refetch(&newer, Revision(8), node.now);
     assert_eq!(node.next(8, Some(&newer)), None);
     assert!(!node.fetcher.on_revision(&newer, Revision(9)));
-    assert!(!node.fetcher.on_revision(&newer, Revision(8)), "it has sent a newer one");
+    assert!(!node.fetcher.on_revision(&newer, Revision(8)), "the node has sent a newer revision");
 }
 
 /// A delta may be dropped for a newer one before a node has received all of it. It is then computed
@@ -456,12 +464,12 @@
 #[test]
 fn full_reads_of_the_store_are_spread_over_nodes() {
     for nodes in [6_usize, 985] {
-        let decisions: Vec<Duration> = (0..nodes)
+        let delays: Vec<Duration> = (0..nodes)
             .map(|number| full_read_delay(&NodeName::new(format!("node-{number}")), nodes))
             .collect();
-        let last = decisions.iter().max().expect("some nodes");
+        let last = delays.iter().max().expect("some nodes");
         assert!(*last < Duration::from_millis(12 * nodes as u64), "{last:?} for {nodes}");
-        let distinct: std::collections::BTreeSet<&Duration> = decisions.iter().collect();
-        assert!(distinct.len() * 2 > nodes, "{} decisions for {nodes} nodes", distinct.len());
+        let distinct: std::collections::BTreeSet<&Duration> = delays.iter().collect();
+        assert!(distinct.len() * 2 > nodes, "{} delays for {nodes} nodes", distinct.len());
     }
 }
--- a/crates/core/tests/group_owners.rs
+++ b/crates/core/tests/group_owners.rs
@@ -96,7 +96,7 @@
     for (zones, group_count) in [([10, 10, 10, 10, 10], 50), ([197, 197, 197, 197, 197], 1_000)] {
         let (joined, left, same) = count_weights(&zones, group_count);
         assert_eq!(same, 0, "no node has changed");
-        assert_eq!(joined, group_count as u64, "previous weight for each group");
+        assert_eq!(joined, group_count as u64, "one weight for each group");
         // In a zone of n nodes, a node has one of the two highest claims for two of every n groups.
         // For each of these the weights of its n nodes are computed. Four times that is allowed.
         let expected = (2 * group_count) as u64;
