--- a/crates/core/benches/catalog.rs
+++ b/crates/core/benches/catalog.rs
@@ -1,6 +1,6 @@
-//! Cost of activating a configuration change: applying the delta, validating the catalog, and building
-//! its indexes. One changed tenant of 1,400 takes 0.89 ms. Comparing every entry, and formatting the
-//! path of every field even if there is no error, takes 2.26 ms.
+//! Cost of activating a configuration change: applying the delta, validating the catalog, and
+//! building its indexes. One changed tenant of 1,400 takes 0.89 ms. Comparing every entry, and
+//! formatting the path of every field even if there is no error, takes 2.26 ms.
 
 use std::hint::black_box;
 
--- a/crates/core/src/account_owners.rs
+++ b/crates/core/src/account_owners.rs
@@ -32,8 +32,8 @@
     (wanted as usize).clamp(1, owners.max(1))
 }
 
-/// The owner among `owners` that serves the account's next statement. `random` spreads the statements
-/// of an account that several owners serve.
+/// The owner among `owners` that serves the account's next statement. `random` spreads the
+/// statements of an account that several owners serve.
 pub fn choose_owner<'a>(
     group: &GroupName,
     account: &AccountName,
--- a/crates/core/src/catalog/account.rs
+++ b/crates/core/src/catalog/account.rs
@@ -16,7 +16,8 @@
 pub struct Operations(u64);
 
 impl Operations {
-    /// Creates a number of operations, which may have a fraction; `None` unless it is from 0 to 10^9.
+    /// Creates a number of operations, which may have a fraction; `None` unless it is from 0 to
+    /// 10^9.
     pub fn new(count: f64) -> Option<Self> {
         let is_valid = (0.0..=MAX_OPERATIONS).contains(&count);
         is_valid.then(|| Self((count * UNITS_PER_OPERATION).round() as u64))
--- a/crates/core/src/catalog/digests.rs
+++ b/crates/core/src/catalog/digests.rs
@@ -1,7 +1,7 @@
 //! Hashes of a catalog's entries, by which two nodes determine how their catalogs differ.
 //!
-//! The hashes cover the content of an entry and not its time of writing: an external system may keep
-//! the whole configuration in one value, which it then rewrites entirely to change one field.
+//! The hashes cover the content of an entry and not its time of writing: an external system may
+//! keep the whole configuration in one value, which it then rewrites entirely to change one field.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -12,9 +12,9 @@
 use super::{Catalog, Revision};
 use crate::admin::configuration::{EntryId, EntryKind};
 
-/// Average number of entries in a bucket of a summary. Larger buckets increase the cost of a change,
-/// because changing one entry transfers all entries of its bucket; smaller buckets increase the
-/// summary, which has five bytes for each bucket.
+/// Average number of entries in a bucket of a summary. Larger buckets increase the cost of a
+/// change, because changing one entry transfers all entries of its bucket; smaller buckets increase
+/// the summary, which has five bytes for each bucket.
 const ENTRIES_PER_BUCKET: usize = 4;
 /// Most buckets of a summary: 5 kB.
 pub const MAX_BUCKETS: usize = 1_024;
@@ -31,8 +31,8 @@
     pub revision: Revision,
     /// Hash of the whole content.
     pub fingerprint: Fingerprint,
-    /// Hashes of the entries by bucket. Their number is a power of two, or zero to request the whole
-    /// catalog.
+    /// Hashes of the entries by bucket. Their number is a power of two, or zero to request the
+    /// whole catalog.
     pub buckets: Vec<u32>,
 }
 
@@ -64,7 +64,8 @@
 }
 
 impl Digests {
-    /// Hashes every entry of `catalog`, reusing the hashes of entries that are the same in `previous`.
+    /// Hashes every entry of `catalog`, reusing the hashes of entries that are the same in
+    /// `previous`.
     pub fn of(catalog: &Catalog, previous: Option<(&Catalog, &Digests)>) -> Self {
         let mut digests = Self::default();
         for id in entry_ids(catalog) {
@@ -76,7 +77,8 @@
         digests
     }
 
-    /// Updates the hash of one entry after a change of `catalog`, or removes it if the entry is gone.
+    /// Updates the hash of one entry after a change of `catalog`, or removes it if the entry is
+    /// gone.
     pub fn update(&mut self, catalog: &Catalog, id: EntryId) {
         if let Some(previous_digest) = self.entries.remove(&id) {
             self.fingerprint = self.fingerprint.wrapping_sub(previous_digest.content);
--- a/crates/core/src/catalog/edition.rs
+++ b/crates/core/src/catalog/edition.rs
@@ -1,10 +1,10 @@
 //! Identifies which configuration of the operators a catalog contains.
 //!
-//! A catalog has two sources: the operators, and the instances that register themselves. The revision
-//! orders catalogs by when they were read. After a store restore it does not show which configuration
-//! of the operators is newer: a catalog that is read then has a newer revision, but lacks changes
-//! that were acknowledged to the operators, until they write them again. The edition, which the
-//! operators assign, shows it.
+//! A catalog has two sources: the operators, and the instances that register themselves. The
+//! revision orders catalogs by when they were read. After a store restore it does not show which
+//! configuration of the operators is newer: a catalog that is read then has a newer revision, but
+//! lacks changes that were acknowledged to the operators, until they write them again. The edition,
+//! which the operators assign, shows it.
 
 use serde::{Deserialize, Serialize};
 
@@ -34,7 +34,8 @@
 }
 
 impl CatalogVersion {
-    /// Whether a catalog of this version has all operator changes that one of the `other` version has.
+    /// Whether a catalog of this version has all operator changes that one of the `other` version
+    /// has.
     pub fn covers(self, other: Self) -> bool {
         self.edition >= other.edition && self.revision >= other.revision
     }
--- a/crates/core/src/catalog/index.rs
+++ b/crates/core/src/catalog/index.rs
@@ -88,8 +88,8 @@
     }
 
     /// The account on whose behalf a client acts. `Err` if the tenant requires a credential and the
-    /// client presented none that belongs to an account, or if the tenant no longer has the presented
-    /// login with that verifier.
+    /// client presented none that belongs to an account, or if the tenant no longer has the
+    /// presented login with that verifier.
     pub fn account_of(
         &self,
         credential: &Credential,
--- a/crates/core/src/catalog/mod.rs
+++ b/crates/core/src/catalog/mod.rs
@@ -1,4 +1,5 @@
-//! The parsed configuration at one revision: zones, database groups, templates, tenants and accounts.
+//! The parsed configuration at one revision: zones, database groups, templates, tenants and
+//! accounts.
 //!
 //! The configuration is kept in the platform's store. Operators write it as TOML; the programs
 //! exchange the same types as JSON or CBOR.
@@ -121,8 +122,8 @@
     /// reports; zero if each instance states its own number.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub connections: u32,
-    /// The instance that the proxy had promoted last. It is the primary if several instances announce
-    /// that role because the old primary has not stepped down yet.
+    /// The instance that the proxy had promoted last. It is the primary if several instances
+    /// announce that role because the old primary has not stepped down yet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub promoted: Option<InstanceName>,
 }
@@ -157,14 +158,14 @@
     }
 
     /// The instance that announces itself as primary. If several do, an old primary has not stepped
-    /// down yet: the instance promoted last comes first, then any instance except `old_primary`, the
-    /// one that is being replaced.
+    /// down yet: the instance promoted last comes first, then any instance except `old_primary`,
+    /// the one that is being replaced.
     pub fn leader(&self, old_primary: Option<&InstanceName>) -> Option<&Instance> {
         self.leader_where(old_primary, |_| true)
     }
 
-    /// Like [`Self::leader`], but if several instances announce themselves as primary, considers only
-    /// those that satisfy `may_lead`, unless none of them does.
+    /// Like [`Self::leader`], but if several instances announce themselves as primary, considers
+    /// only those that satisfy `may_lead`, unless none of them does.
     pub fn leader_where(
         &self,
         old_primary: Option<&InstanceName>,
@@ -303,8 +304,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Whether the zone is being drained: its instances receive no new work, and primaries in the zone
-    /// are replaced, until the operators withdraw the drain.
+    /// Whether the zone is being drained: its instances receive no new work, and primaries in the
+    /// zone are replaced, until the operators withdraw the drain.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub drained: bool,
 }
--- a/crates/core/src/catalog/validate.rs
+++ b/crates/core/src/catalog/validate.rs
@@ -1,8 +1,9 @@
 //! Validates the references, ranges and uniqueness constraints of a catalog.
 //!
-//! A change that operators request through this product is rejected entirely if it leaves a fault. A
-//! catalog that arrives from the store or another node has already been written, and also contains
-//! the reports of instances: there, each fault affects only its own subject ([`super::fault_removal`]).
+//! A change that operators request through this product is rejected entirely if it leaves a fault.
+//! A catalog that arrives from the store or another node has already been written, and also
+//! contains the reports of instances: there, each fault affects only its own subject
+//! ([`super::fault_removal`]).
 
 use std::collections::{HashMap, HashSet};
 use std::fmt::{self, Display};
@@ -64,8 +65,8 @@
         }
     }
 
-    /// All invalid entries and reported instances, each with its first fault. An entry that refers to
-    /// a faulty entry is faulty too.
+    /// All invalid entries and reported instances, each with its first fault. An entry that refers
+    /// to a faulty entry is faulty too.
     pub fn faults(&self) -> Vec<Fault> {
         Validator::new(self, Scope::Everything).run()
     }
@@ -169,9 +170,9 @@
     }
 
     /// A group stays valid without its faulty instances. Two instances may report the same address,
-    /// because a crashed instance is still reported for a while after another one has started there.
-    /// This is harmless: each is addressed by its own name, and only the instance with that name
-    /// answers.
+    /// because a crashed instance is still reported for a while after another one has started
+    /// there. This is harmless: each is addressed by its own name, and only the instance with that
+    /// name answers.
     fn check_reported_instances(&mut self, name: &GroupName, group: &Group) {
         for (index, instance) in group.instances.iter().enumerate() {
             let field = format_args!("groups.{name}.instances[{index}]");
--- a/crates/core/src/catalog/versioned.rs
+++ b/crates/core/src/catalog/versioned.rs
@@ -39,8 +39,8 @@
     /// The current catalog is at least as new.
     #[error("delta is not newer")]
     NotNewer,
-    /// The delta has another base, or the result differs from the sender's catalog: the whole catalog
-    /// is needed.
+    /// The delta has another base, or the result differs from the sender's catalog: the whole
+    /// catalog is needed.
     #[error("delta does not fit")]
     DoesNotFit,
 }
@@ -82,8 +82,8 @@
         }
     }
 
-    /// The delta for a node whose catalog has the given summary; the whole catalog if the summary has
-    /// no buckets.
+    /// The delta for a node whose catalog has the given summary; the whole catalog if the summary
+    /// has no buckets.
     pub fn delta_for(&self, summary: &CatalogSummary) -> CatalogDelta {
         let count = summary.buckets.len();
         let fingerprint = self.fingerprint();
@@ -121,9 +121,9 @@
         }
     }
 
-    /// The catalog with its entries in the delta's buckets replaced by those of the delta. Only these
-    /// entries are hashed: one changed tenant of 1,400 takes 0.9 ms, and hashing and comparing all
-    /// entries takes 2.3 ms (bench `catalog`).
+    /// The catalog with its entries in the delta's buckets replaced by those of the delta. Only
+    /// these entries are hashed: one changed tenant of 1,400 takes 0.9 ms, and hashing and
+    /// comparing all entries takes 2.3 ms (bench `catalog`).
     fn with_buckets(&self, delta: CatalogDelta) -> Result<Self, DeltaError> {
         let is_replaced = delta.replaced_buckets()?;
         let replaced = self.digests.entries_in(is_replaced.len(), |bucket| is_replaced[bucket]);
--- a/crates/core/src/connection_shares.rs
+++ b/crates/core/src/connection_shares.rs
@@ -5,8 +5,9 @@
 //! connections are the group's *owners*. They choose the instance for each statement, because only
 //! they see how the instances respond; any other node forwards its clients' statements to an owner.
 //! With few nodes, each is an owner of every group. One node more or fewer moves one share and
-//! changes nothing else. The rule is a pure function of the node counts. Nodes that temporarily count
-//! differently use a few connections more or fewer, and the instance's refusals shrink their budgets.
+//! changes nothing else. The rule is a pure function of the node counts. Nodes that temporarily
+//! count differently use a few connections more or fewer, and the instance's refusals shrink their
+//! budgets.
 //!
 //! A node keeps only a part of its share open while idle. When machines lose power, an instance
 //! counts their connections until it detects the loss, seconds later. If all nodes restart in the
@@ -15,12 +16,12 @@
 use std::time::Duration;
 
 /// A share is large enough if it fills the instance's slots while this many transactions are idle,
-/// waiting for their clients. With smaller shares for more owners (two of 16 connections for each of
-/// six nodes), open transactions of one node delayed statements while connections of another node
-/// were idle.
+/// waiting for their clients. With smaller shares for more owners (two of 16 connections for each
+/// of six nodes), open transactions of one node delayed statements while connections of another
+/// node were idle.
 const IDLE_TRANSACTIONS: u32 = 2;
-/// Fewest owners of a group, so that another remains when one fails. It applies as long as each holds
-/// [`MIN_SHARE`] connections.
+/// Fewest owners of a group, so that another remains when one fails. It applies as long as each
+/// holds [`MIN_SHARE`] connections.
 const MIN_OWNERS: u32 = 2;
 /// Fewest connections in a share: one for an open transaction, and one for statements that arrive
 /// meanwhile.
@@ -29,7 +30,8 @@
 /// answers to know the state of the instances without extra requests, and would leave too few
 /// connections to the other owners.
 const MAX_OWNERS: u32 = 9;
-/// A node knows most of the others if it knows [`MOST_NUMERATOR`] of every [`MOST_DENOMINATOR`] nodes.
+/// A node knows most of the others if it knows [`MOST_NUMERATOR`] of every [`MOST_DENOMINATOR`]
+/// nodes.
 const MOST_NUMERATOR: usize = 9;
 const MOST_DENOMINATOR: usize = 10;
 /// One connection in this many is reserved for operators, and for nodes that count differently.
@@ -50,17 +52,17 @@
 }
 
 impl Share {
-    /// The share of a node during its startup period: half way between `warm` and `max`. Other nodes
-    /// may have started at the same time, and an instance may still count the connections of all
-    /// their earlier processes. A limit of `warm` is too low: where that is one connection, the
+    /// The share of a node during its startup period: half way between `warm` and `max`. Other
+    /// nodes may have started at the same time, and an instance may still count the connections of
+    /// all their earlier processes. A limit of `warm` is too low: where that is one connection, the
     /// transactions of a node that restarts alone wait for each other.
     pub fn during_startup(self) -> Self {
         Self { max: (self.warm + self.max).div_ceil(2), warm: self.warm }
     }
 }
 
-/// Length of a node's startup period: by its end, instances have detected that a machine lost power,
-/// and nodes know each other.
+/// Length of a node's startup period: by its end, instances have detected that a machine lost
+/// power, and nodes know each other.
 pub const STARTUP_PERIOD: Duration = Duration::from_secs(4);
 
 /// Number of nodes among which a node divides connections: the live nodes, or during its startup
@@ -88,8 +90,9 @@
     nodes.clamp(1, owners.clamp(1, MAX_OWNERS) as usize)
 }
 
-/// An owner in another zone than a replica gets one part in this many of an even share: it reads from
-/// that replica only while its own zone's instance performs worse, or after the replica's promotion.
+/// An owner in another zone than a replica gets one part in this many of an even share: it reads
+/// from that replica only while its own zone's instance performs worse, or after the replica's
+/// promotion.
 const FAR_SHARE_DIVISOR: u32 = 2;
 
 /// The share of an owner in the connections of a replica, where each connection belongs to an
--- a/crates/core/src/credential_evidence.rs
+++ b/crates/core/src/credential_evidence.rs
@@ -1,10 +1,10 @@
 //! Evidence that the credentials of the active configuration are still valid. It serves deployments
-//! in which a revoked credential must not be used after a fixed time, even at a node that is cut off
-//! from the store and all other nodes.
+//! in which a revoked credential must not be used after a fixed time, even at a node that is cut
+//! off from the store and all other nodes.
 //!
 //! The revocation limit runs from the acknowledgement of the revocation to the moment at which a
-//! request was *sent*. A node therefore needs to know that its configuration was still the newest at
-//! some moment T, and that T lies no longer before the request's arrival than the limit: a
+//! request was *sent*. A node therefore needs to know that its configuration was still the newest
+//! at some moment T, and that T lies no longer before the request's arrival than the limit: a
 //! revocation acknowledged after T applies only to requests that are sent later than T plus the
 //! limit. What happens to the request afterwards does not matter. It may be queued or delayed on
 //! the network, or its sender may be suspended in between, because only the time at which it was
@@ -12,8 +12,8 @@
 //!
 //! T is always measured from when a query was *sent*: a node that reads the store takes the time
 //! before its call, and a node that asks another node takes the time of its request less the age
-//! stated in the answer. Late or duplicate answers therefore make evidence older, never younger, and
-//! the nodes need no synchronized clocks.
+//! stated in the answer. Late or duplicate answers therefore make evidence older, never younger,
+//! and the nodes need no synchronized clocks.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -25,29 +25,29 @@
 
 /// Fraction of the limit that is reserved for clocks that run at different rates: one part in 20.
 const MARGIN_DIVISOR: u32 = 20;
-/// Fraction of the limit for which a read of the store waits for a change: its result is evidence for
-/// the moment at which the call began. Together with [`REQUEST_INTERVAL_DIVISOR`] this keeps evidence
-/// at most a third of the limit old, so that during an outage of the store no request is refused
-/// before six tenths of the limit have passed.
+/// Fraction of the limit for which a read of the store waits for a change: its result is evidence
+/// for the moment at which the call began. Together with [`REQUEST_INTERVAL_DIVISOR`] this keeps
+/// evidence at most a third of the limit old, so that during an outage of the store no request is
+/// refused before six tenths of the limit have passed.
 const STORE_CALL_DIVISOR: u32 = 8;
 /// Fraction of the limit after which a node requests newer evidence from another node.
 const REQUEST_INTERVAL_DIVISOR: u32 = 8;
-/// Fraction of the limit at which evidence is stale: a node that reads the store has newer evidence,
-/// unless the store rejects its calls.
+/// Fraction of the limit at which evidence is stale: a node that reads the store has newer
+/// evidence, unless the store rejects its calls.
 const STALE_AGE_DIVISOR: u32 = 3;
 /// Fraction of the limit for which a node is skipped after it had stale evidence or did not answer.
 const SKIP_DIVISOR: u32 = 2;
 /// Time within which another node must answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Most confirmations kept. Several are needed because some concern revisions that this node has not
-/// received yet.
+/// Most confirmations kept. Several are needed because some concern revisions that this node has
+/// not received yet.
 const MAX_CONFIRMATIONS: usize = 8;
-/// Delay after which a client may retry a request that was refused for lack of evidence: the time of
-/// two round trips to another node.
+/// Delay after which a client may retry a request that was refused for lack of evidence: the time
+/// of two round trips to another node.
 pub const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest time between the acknowledgement of a change that revokes a credential and the sending of
-/// a request that may still use it.
+/// Longest time between the acknowledgement of a change that revokes a credential and the sending
+/// of a request that may still use it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RevocationLimit(Duration);
 
@@ -112,8 +112,8 @@
         }
     }
 
-    /// The confirmation with the latest moment at which the configuration `active`, or an older one,
-    /// was the newest.
+    /// The confirmation with the latest moment at which the configuration `active`, or an older
+    /// one, was the newest.
     pub fn newest(&self, active: impl Into<CatalogVersion>) -> Option<Confirmation> {
         let active = active.into();
         let usable = self.confirmations.iter().filter(|known| active.covers(known.version));
@@ -153,11 +153,11 @@
 
 /// Decides when a node requests newer evidence, and from which node.
 ///
-/// Store watchers have the newest evidence, so they are asked at fixed intervals, those of the node's
-/// own zone first. A node that does not answer, or whose evidence is stale because the store rejects
-/// its calls, is skipped for some time, and another node is asked at once. A store watcher sends
-/// requests only while its own evidence is stale. The number of calls to the store therefore does not
-/// grow with the number of nodes.
+/// Store watchers have the newest evidence, so they are asked at fixed intervals, those of the
+/// node's own zone first. A node that does not answer, or whose evidence is stale because the store
+/// rejects its calls, is skipped for some time, and another node is asked at once. A store watcher
+/// sends requests only while its own evidence is stale. The number of calls to the store therefore
+/// does not grow with the number of nodes.
 #[derive(Clone, Debug)]
 pub struct EvidenceRequester {
     limit: RevocationLimit,
--- a/crates/core/src/distribution/fetcher.rs
+++ b/crates/core/src/distribution/fetcher.rs
@@ -63,8 +63,9 @@
 
 impl RequestKind {
     /// Whether the request stays open when the node announces `revision`. An announcement of a
-    /// revision newer than `have` does not answer the request. Neither does an older one from a node
-    /// that is known to have a newer revision: that announcement was sent before the request arrived.
+    /// revision newer than `have` does not answer the request. Neither does an older one from a
+    /// node that is known to have a newer revision: that announcement was sent before the request
+    /// arrived.
     fn stays_open(self, revision: Revision) -> bool {
         match self {
             Self::Fetch { have, has_newer } => has_newer || have < revision,
@@ -124,9 +125,10 @@
             Some(OpenRequest { node: node.clone(), deadline: now + REQUEST_TIMEOUT, kind });
     }
 
-    /// Handles a message in which a node states its active revision. Returns whether that answers the
-    /// open request, so that the node will send no configuration. If an announcement were taken for
-    /// that answer, this node would repeat its request and receive the same configuration twice.
+    /// Handles a message in which a node states its active revision. Returns whether that answers
+    /// the open request, so that the node will send no configuration. If an announcement were taken
+    /// for that answer, this node would repeat its request and receive the same configuration
+    /// twice.
     pub fn on_revision(&mut self, node: &NodeName, revision: Revision) -> bool {
         let pending = self.pending.as_ref().filter(|pending| pending.node == *node);
         let is_announcement = pending.is_some_and(|pending| pending.kind.stays_open(revision));
@@ -143,7 +145,8 @@
         }
     }
 
-    /// Handles a chunk from a node: extends its deadline, so that the rest is not requested elsewhere.
+    /// Handles a chunk from a node: extends its deadline, so that the rest is not requested
+    /// elsewhere.
     pub fn on_chunk(&mut self, node: &NodeName, now: Instant) {
         self.extend_deadline(node, now + REQUEST_TIMEOUT);
     }
--- a/crates/core/src/distribution/mod.rs
+++ b/crates/core/src/distribution/mod.rs
@@ -29,8 +29,8 @@
 /// Store watchers in each zone: two, so that one remains when the other fails.
 const WATCHERS_PER_ZONE: usize = 2;
 /// A link counts as high-bandwidth if it carries at least one part in this many of the largest
-/// bandwidth in the zone. Without this tolerance, small differences between many similar nodes would
-/// always select the same two.
+/// bandwidth in the zone. Without this tolerance, small differences between many similar nodes
+/// would always select the same two.
 const SIMILAR_BANDWIDTH_FACTOR: u32 = 2;
 /// Time after which an unanswered request counts as lost.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
@@ -58,8 +58,8 @@
 /// 1.5 MB, which takes 12 ms of the store's link of 1,000 Mbit/s.
 const FULL_READ_STAGGER: Duration = Duration::from_millis(12);
 
-/// Delay before `node` reads the whole store because no peer has sent it a configuration. It spreads
-/// the full reads of `nodes` nodes over time.
+/// Delay before `node` reads the whole store because no peer has sent it a configuration. It
+/// spreads the full reads of `nodes` nodes over time.
 pub fn full_read_delay(node: &NodeName, nodes: usize) -> Duration {
     let nodes = u64::try_from(nodes).unwrap_or(u64::MAX).max(1);
     let slot = xxh3_64(node.as_str().as_bytes()) % nodes;
@@ -67,8 +67,8 @@
 }
 
 /// The nodes of a zone that watch the store: at most two, watchers from those with the
-/// highest-bandwidth links. The store sends the whole configuration at each change (400 kB for 1,400
-/// routes take 0.3 s of a link of 10 Mbit/s), and the zone fetches from its watchers first.
+/// highest-bandwidth links. The store sends the whole configuration at each change (400 kB for
+/// 1,400 routes take 0.3 s of a link of 10 Mbit/s), and the zone fetches from its watchers first.
 pub fn store_watchers(zone: &ZoneName, live: &[Candidate]) -> Vec<NodeName> {
     let in_zone: Vec<&Candidate> =
         live.iter().filter(|candidate| candidate.zone == *zone).collect();
--- a/crates/core/src/distribution/transfers.rs
+++ b/crates/core/src/distribution/transfers.rs
@@ -8,8 +8,9 @@
 
 /// Size of one chunk, in bytes: 6.5 ms of a link of 10 Mbit/s.
 pub const CHUNK_BYTES: usize = 8 * 1024;
-/// Nodes served at once. One chunk is in flight to each, so transfers occupy at most 26 ms of a link
-/// of 10 Mbit/s: less than the usual time of a statement, and a tenth of the heartbeat timeout.
+/// Nodes served at once. One chunk is in flight to each, so transfers occupy at most 26 ms of a
+/// link of 10 Mbit/s: less than the usual time of a statement, and a tenth of the heartbeat
+/// timeout.
 const MAX_CONCURRENT_TRANSFERS: usize = 4;
 
 /// Whether a requested transfer starts now.
--- a/crates/core/src/group_owners.rs
+++ b/crates/core/src/group_owners.rs
@@ -4,10 +4,10 @@
 //! leaves moves only the ownerships that it gains or loses. Each zone gets an owner before any zone
 //! gets its second, so that nodes find an owner nearby.
 //!
-//! [`GroupOwnerTable`] keeps the owners of all groups and applies changes incrementally. A node that
-//! joins costs one weight for each group. A node that leaves costs the weights of its zone for the
-//! groups that it owned. Computing the weights of all nodes for all groups at each change would take
-//! 985,000 weights with 1,000 groups and 985 nodes.
+//! [`GroupOwnerTable`] keeps the owners of all groups and applies changes incrementally. A node
+//! that joins costs one weight for each group. A node that leaves costs the weights of its zone for
+//! the groups that it owned. Computing the weights of all nodes for all groups at each change would
+//! take 985,000 weights with 1,000 groups and 985 nodes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,4 +1,5 @@
-//! The decision logic of kestrellock: positions, catalog, statement classification, routing, outcomes.
+//! The decision logic of kestrellock: positions, catalog, statement classification, routing,
+//! outcomes.
 //!
 //! This crate does no I/O, starts no threads and reads no clock. Time and randomness are arguments,
 //! so that every decision can be tested and replayed.
--- a/crates/core/src/membership/merge.rs
+++ b/crates/core/src/membership/merge.rs
@@ -1,9 +1,9 @@
 //! Merges received updates about members into this node's table.
 //!
 //! An update with a higher incarnation overrides one with a lower incarnation; for the same
-//! incarnation, the worse health overrides the better one. A report that a member is dead is accepted
-//! only after half of this node's own suspicion timeout for that member. If this node does not
-//! suspect the member, the report starts a suspicion, which a live member can refute.
+//! incarnation, the worse health overrides the better one. A report that a member is dead is
+//! accepted only after half of this node's own suspicion timeout for that member. If this node does
+//! not suspect the member, the report starts a suspicion, which a live member can refute.
 
 use std::time::Duration;
 
--- a/crates/core/src/membership/prober.rs
+++ b/crates/core/src/membership/prober.rs
@@ -150,8 +150,8 @@
         None
     }
 
-    /// Registers a ping on behalf of `requester` and returns its number; `None` when too many are in
-    /// progress.
+    /// Registers a ping on behalf of `requester` and returns its number; `None` when too many are
+    /// in progress.
     pub fn relay(
         &mut self,
         requester: NodeName,
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -23,8 +23,8 @@
         self.handle_body(&node, body, now, random);
     }
 
-    /// Answers a process that was rejected as outdated with the known record of its name, so that the
-    /// process can raise its incarnation if it is the current one.
+    /// Answers a process that was rejected as outdated with the known record of its name, so that
+    /// the process can raise its incarnation if it is the current one.
     pub fn on_outdated_sender(&mut self, sender: &MemberRecord) {
         let Some(known) = self.table.get(&sender.node) else { return };
         let update = Update::Full(known.record.clone());
--- a/crates/core/src/membership/record.rs
+++ b/crates/core/src/membership/record.rs
@@ -8,7 +8,8 @@
 use crate::catalog::Revision;
 use crate::ids::{NodeName, ZoneName};
 
-/// Orders updates about one member: first by the node's process, then by that process's refutations.
+/// Orders updates about one member: first by the node's process, then by that process's
+/// refutations.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/core/src/membership/state.rs
+++ b/crates/core/src/membership/state.rs
@@ -14,7 +14,8 @@
 use crate::catalog::Revision;
 use crate::ids::NodeName;
 
-/// A node through which to join the cluster, from the settings or the machine list. It may not exist.
+/// A node through which to join the cluster, from the settings or the machine list. It may not
+/// exist.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seed {
     /// Its name.
@@ -32,8 +33,8 @@
     Gone(NodeName, Health),
     /// A member's active revision is newer than any received before.
     RevisionSeen(NodeName, Revision),
-    /// Other members know a newer process with this node's name; this node has raised its incarnation
-    /// above that of the other process.
+    /// Other members know a newer process with this node's name; this node has raised its
+    /// incarnation above that of the other process.
     NameTaken,
 }
 
@@ -84,7 +85,8 @@
 }
 
 impl Membership {
-    /// Creates the state of a node that knows only its seeds. `own` holds this process's incarnation.
+    /// Creates the state of a node that knows only its seeds. `own` holds this process's
+    /// incarnation.
     pub fn new(
         own: MemberRecord,
         timing: Timing,
@@ -135,8 +137,8 @@
         self.counters
     }
 
-    /// Whether the view may be used: members were found and no more are joining, or no seed answered
-    /// within the timeout. Once true, it stays true.
+    /// Whether the view may be used: members were found and no more are joining, or no seed
+    /// answered within the timeout. Once true, it stays true.
     pub fn is_settled(&self) -> bool {
         self.settled
     }
@@ -216,8 +218,8 @@
         self.settle_if_due(now);
     }
 
-    /// Handles a suspension of this process for `gap`: missing acks during that time do not show that
-    /// a member failed.
+    /// Handles a suspension of this process for `gap`: missing acks during that time do not show
+    /// that a member failed.
     fn on_resume(&mut self, gap: Duration, now: Duration) {
         self.counters.pauses += 1;
         self.prober.on_resume(now);
--- a/crates/core/src/membership/synchronization.rs
+++ b/crates/core/src/membership/synchronization.rs
@@ -1,8 +1,8 @@
 //! Anti-entropy syncs: compare the tables of two members and repair what gossip missed.
 //!
-//! Members compare one hash for each bucket of their tables. Only records of buckets that differ are
-//! sent, in a bounded number of datagrams. A new node, which lacks most records, repeats the sync at
-//! short intervals until it brings nothing new.
+//! Members compare one hash for each bucket of their tables. Only records of buckets that differ
+//! are sent, in a bounded number of datagrams. A new node, which lacks most records, repeats the
+//! sync at short intervals until it brings nothing new.
 
 use std::time::Duration;
 
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Records of differing buckets, split into parts that each fit a datagram, starting at a random
-    /// bucket.
+    /// Records of differing buckets, split into parts that each fit a datagram, starting at a
+    /// random bucket.
     fn differing_records(
         &self,
         remote_hashes: &[u32],
--- a/crates/core/src/rendezvous.rs
+++ b/crates/core/src/rendezvous.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// Chooses owner and standby of `instance`, which runs in `zone`. Nodes in the same zone come first,
-/// then nodes with a higher weight. `None` if there is no candidate.
+/// Chooses owner and standby of `instance`, which runs in `zone`. Nodes in the same zone come
+/// first, then nodes with a higher weight. `None` if there is no candidate.
 pub fn ownership<'a>(
     instance: &InstanceName,
     zone: &ZoneName,
@@ -105,9 +105,9 @@
     ownership: Option<Ownership>,
 }
 
-/// Owner and standby of every instance, updated incrementally. A node that leaves costs a new choice
-/// for the instances to which it had a claim; a node that joins costs one comparison for each
-/// instance.
+/// Owner and standby of every instance, updated incrementally. A node that leaves costs a new
+/// choice for the instances to which it had a claim; a node that joins costs one comparison for
+/// each instance.
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipTable {
     nodes: HashMap<NodeName, ZoneName>,
--- a/crates/core/tests/catalog/faults.rs
+++ b/crates/core/tests/catalog/faults.rs
@@ -38,7 +38,8 @@
 
 #[test]
 fn only_the_instance_with_an_invalid_report_is_removed() {
-    // The replaced text, its replacement, and the field of the fault; empty if the instance is valid.
+    // The replaced text, its replacement, and the field of the fault; empty if the instance is
+    // valid.
     let table = [
         ("name = \"orders-2\"", "name = \"I-2\"", "groups.orders.instances[1].name"),
         ("name = \"orders-2\"", "name = \"orders-1\"", "groups.orders.instances[1].name"),
--- a/crates/core/tests/catalog/main.rs
+++ b/crates/core/tests/catalog/main.rs
@@ -1,5 +1,5 @@
-//! The catalog: validation names the field of each invalid value, encoding loses nothing, and a fault
-//! affects only its own entry.
+//! The catalog: validation names the field of each invalid value, encoding loses nothing, and a
+//! fault affects only its own entry.
 
 mod faults;
 mod strategies;
@@ -44,8 +44,8 @@
 
 #[test]
 fn every_invalid_value_is_rejected_with_its_field() {
-    // The replaced text, its replacement, and the field that the error names; empty if the text does
-    // not parse.
+    // The replaced text, its replacement, and the field that the error names; empty if the text
+    // does not parse.
     let table = [
         ("[groups.orders]", "[groups.Orders]", "groups.Orders"),
         ("[groups.orders]", "[groups.\"\"]", "groups."),
--- a/crates/core/tests/catalog_edition.rs
+++ b/crates/core/tests/catalog_edition.rs
@@ -1,5 +1,5 @@
-//! Catalogs after a store restore: the operators' entries of the active edition stay, and the reports
-//! of instances come from the restored store.
+//! Catalogs after a store restore: the operators' entries of the active edition stay, and the
+//! reports of instances come from the restored store.
 
 use std::collections::BTreeMap;
 
@@ -81,8 +81,8 @@
     assert_eq!(arrived.version(), expected);
 }
 
-/// A node that started on a restored store lacks newer operator changes. Evidence of another node for
-/// the newer edition must not count for this node's catalog, although its revision is higher.
+/// A node that started on a restored store lacks newer operator changes. Evidence of another node
+/// for the newer edition must not count for this node's catalog, although its revision is higher.
 #[test]
 fn a_version_covers_another_only_in_both_numbers() {
     let version = |edition, revision| CatalogVersion {
--- a/crates/core/tests/connection_shares.rs
+++ b/crates/core/tests/connection_shares.rs
@@ -67,12 +67,13 @@
     }
 }
 
-/// Guards against a failure after all machines lost power: the first nodes to restart knew of no other
-/// node, and took connections that the other nodes needed in order to serve any statement.
+/// Guards against a failure after all machines lost power: the first nodes to restart knew of no
+/// other node, and took connections that the other nodes needed in order to serve any statement.
 #[test]
 fn a_node_uses_less_than_its_share_during_startup() {
     let table = [
-        // Live nodes known to the node, listed nodes, and `max` during and after its startup period.
+        // Live nodes known to the node, listed nodes, and `max` during and after its startup
+        // period.
         (1, 6, 4, 32),
         (6, 6, 4, 5),
         // Six nodes own the group in both cases.
--- a/crates/core/tests/credential_evidence.rs
+++ b/crates/core/tests/credential_evidence.rs
@@ -1,7 +1,7 @@
-//! Credential evidence with a simulated store and network. A request that is sent later than the limit
-//! after the revocation of a credential must not use it at any node, whatever faults affect nodes,
-//! network and store. Nodes whose calls the store rejects continue with the evidence of other nodes.
-//! Deliberate mistakes in the logic must be detected by the check.
+//! Credential evidence with a simulated store and network. A request that is sent later than the
+//! limit after the revocation of a credential must not use it at any node, whatever faults affect
+//! nodes, network and store. Nodes whose calls the store rejects continue with the evidence of
+//! other nodes. Deliberate mistakes in the logic must be detected by the check.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -272,8 +272,8 @@
             }
             Event::Request(node) => {
                 self.after(20..60, Event::Request(node));
-                // The request was sent some time before its arrival, and is handled when the process
-                // runs.
+                // The request was sent some time before its arrival, and is handled when the
+                // process runs.
                 let late = self.random.random_range(0..50);
                 self.check_request(node, self.now - Duration::from_millis(late));
             }
--- a/crates/core/tests/distribution.rs
+++ b/crates/core/tests/distribution.rs
@@ -1,5 +1,5 @@
-//! Configuration distribution: the choice of store watchers, fetching between nodes, and deltas between
-//! catalogs.
+//! Configuration distribution: the choice of store watchers, fetching between nodes, and deltas
+//! between catalogs.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -31,8 +31,8 @@
     (0..zones).flat_map(|zone| (0..nodes_per_zone).map(move |number| node(zone, number))).collect()
 }
 
-/// Guards against a storm of store calls: 90 nodes that registered at once woke each other, which took
-/// 90 calls by each node.
+/// Guards against a storm of store calls: 90 nodes that registered at once woke each other, which
+/// took 90 calls by each node.
 #[test]
 fn total_reads_of_store_changes_per_second_are_bounded() {
     for nodes in [1, 6, 9, 68, 90, 120] {
@@ -184,7 +184,8 @@
     assert_eq!(old.with_delta(delta.clone()).as_ref(), Ok(&new));
     assert_eq!(new.with_delta(delta.clone()), Err(DeltaError::NotNewer));
     assert_eq!(versioned(6, &[(1, 4)]).with_delta(delta.clone()), Err(DeltaError::DoesNotFit));
-    // A catalog that lacks an entry, or has another one at the same revision, differs in fingerprint.
+    // A catalog that lacks an entry, or has another one at the same revision, differs in
+    // fingerprint.
     assert_eq!(versioned(6, &[(2, 6)]).with_delta(delta.clone()), Err(DeltaError::DoesNotFit));
     assert_eq!(
         versioned(6, &[(1, 5), (7, 6)]).with_delta(delta.clone()),
@@ -286,9 +287,9 @@
     assert_ne!(node.next(7, Some(&newer)).expect("another node"), newer);
 }
 
-/// Guards against sending a configuration twice, which delayed clients' statements on the link. While a
-/// node fetched from a store watcher, the watcher announced a newer revision. The node took the
-/// announcement for the answer that nothing will be sent, and repeated its request: three nodes
+/// Guards against sending a configuration twice, which delayed clients' statements on the link.
+/// While a node fetched from a store watcher, the watcher announced a newer revision. The node took
+/// the announcement for the answer that nothing will be sent, and repeated its request: three nodes
 /// received the configuration twice within 0.1 ms.
 #[test]
 fn an_announcement_of_a_newer_revision_does_not_answer_an_open_fetch() {
@@ -299,10 +300,11 @@
     assert_eq!(node.next(7, Some(&newer)), None, "the fetch is still open");
 }
 
-/// Guards against the same failure under load, when the announcement of an older revision arrives late.
-/// The fetch is already open, because other messages, such as heartbeats, have reported the node's
-/// newer revision. The late announcement counted as the answer that there is nothing newer, and the
-/// request was repeated. The log of one of 3 failures in 45 runs of the test of large changes:
+/// Guards against the same failure under load, when the announcement of an older revision arrives
+/// late. The fetch is already open, because other messages, such as heartbeats, have reported the
+/// node's newer revision. The late announcement counted as the answer that there is nothing newer,
+/// and the request was repeated. The log of one of 3 failures in 45 runs of the test of large
+/// changes:
 ///
 /// ```text
 /// 27.405421 configuration_sent peer=node-10 from_revision=24 revision=25 bytes=225
@@ -348,8 +350,9 @@
     assert_eq!(node.next(7, Some(&asked)), Some(asked), "and it is fetched at once");
 }
 
-/// A fetched delta does not fit, because the node has received a newer configuration from the store in
-/// the meantime. The node requested the whole catalog, and a moment later also a delta; both were sent.
+/// A fetched delta does not fit, because the node has received a newer configuration from the store
+/// in the meantime. The node requested the whole catalog, and a moment later also a delta; both
+/// were sent.
 #[test]
 fn a_repeated_fetch_request_stays_open() {
     let mut node = FetchingNode::new();
--- a/crates/core/tests/group_owners.rs
+++ b/crates/core/tests/group_owners.rs
@@ -88,9 +88,9 @@
     (joined, left, same)
 }
 
-/// Guards against recomputing all weights at each change. With 985 nodes and 1,000 groups, each change
-/// of the node list or of one instance took 985,000 weights on every node. While all nodes started,
-/// this used all processor time.
+/// Guards against recomputing all weights at each change. With 985 nodes and 1,000 groups, each
+/// change of the node list or of one instance took 985,000 weights on every node. While all nodes
+/// started, this used all processor time.
 #[test]
 fn incremental_updates_compute_few_weights_at_any_size() {
     for (zones, group_count) in [([10, 10, 10, 10, 10], 50), ([197, 197, 197, 197, 197], 1_000)] {
--- a/crates/core/tests/membership_merge.rs
+++ b/crates/core/tests/membership_merge.rs
@@ -1,5 +1,5 @@
-//! Which updates about a member override the known record, as a table, and how a node handles updates
-//! about itself.
+//! Which updates about a member override the known record, as a table, and how a node handles
+//! updates about itself.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/core/tests/membership_simulation.rs
+++ b/crates/core/tests/membership_simulation.rs
@@ -1,5 +1,5 @@
-//! Membership over a simulated network: convergence, failure detection, refutation, and merging after
-//! partitions.
+//! Membership over a simulated network: convergence, failure detection, refutation, and merging
+//! after partitions.
 
 mod virtual_network;
 
--- a/crates/core/tests/virtual_network/mod.rs
+++ b/crates/core/tests/virtual_network/mod.rs
@@ -103,7 +103,8 @@
 }
 
 impl Network {
-    /// Creates `count` machines distributed over `zones` zones, which all boot now and know three seeds.
+    /// Creates `count` machines distributed over `zones` zones, which all boot now and know three
+    /// seeds.
     pub fn new(count: usize, zones: usize, seed: u64) -> Self {
         let mut network = Self {
             now: Duration::from_secs(1),
