--- a/crates/daemon/src/agent/configuration/confirmation_queries.rs
+++ b/crates/daemon/src/agent/configuration/confirmation_queries.rs
@@ -8,7 +8,7 @@
 
 use kestrellock_core::catalog::CatalogVersion;
 use kestrellock_core::credential_evidence::{
-    Confirmation, EvidenceQuestion, EvidenceSeeker, SeekerView,
+    Confirmation, EvidenceRequestId, EvidenceRequester, RequesterView,
 };
 use kestrellock_peer::message::ConfigurationMessage;
 
@@ -18,13 +18,13 @@
 #[derive(Debug, Default)]
 pub(super) struct ConfirmationQueries {
     /// `None` without a revocation limit.
-    seeker: Option<EvidenceSeeker>,
+    seeker: Option<EvidenceRequester>,
 }
 
 impl ConfirmationQueries {
     /// Uses the revocation limit from the node's settings.
     pub fn new(configuration: &Configuration) -> Self {
-        Self { seeker: configuration.context.revocation_limit.map(EvidenceSeeker::new) }
+        Self { seeker: configuration.context.revocation_limit.map(EvidenceRequester::new) }
     }
 
     /// Asks a node for newer evidence if a query is due.
@@ -34,7 +34,7 @@
         let (own_candidate, live) =
             (configuration.own_candidate(), configuration.live_candidates());
         let newest = context.confirmations.newest(configuration.version()).map(|known| known.at);
-        let view = SeekerView {
+        let view = RequesterView {
             now: Instant::now(),
             own: &own_candidate,
             live: &live,
@@ -65,7 +65,7 @@
         newest: Option<(CatalogVersion, Duration)>,
     ) {
         let Some(seeker) = &mut self.seeker else { return };
-        let Some(asked) = seeker.on_answer(&peer.node, EvidenceQuestion(number)) else { return };
+        let Some(asked) = seeker.on_answer(&peer.node, EvidenceRequestId(number)) else { return };
         let confirmation = newest.and_then(|(version, age)| {
             configuration.context.revisions.record(&peer.node, version.revision);
             Some(Confirmation { version, at: asked.checked_sub(age)? })
--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use kestrellock_core::catalog::{CatalogDelta, CatalogSummary, DeltaError, Fingerprint, Revision};
+use kestrellock_core::distribution::Fetcher;
 use kestrellock_core::ids::NodeName;
-use kestrellock_core::spreading::Puller;
 use kestrellock_peer::catalog_transfer::{self, Incoming, Part, TransferError};
 use kestrellock_peer::message::ConfigurationMessage;
 
@@ -72,8 +72,7 @@
         configuration: &Configuration,
         peer: &Peer,
         part: &Part,
-        puller: &mut Puller,
-    ) {
+        puller: &mut Fetcher) {
         let Some(fetch) = self.current.as_mut().filter(|fetch| fetch.from == peer.node) else {
             // The fetch has moved to another node meanwhile.
             log::info!(
@@ -101,7 +100,7 @@
             );
             return;
         }
-        puller.on_part(&peer.node, Instant::now());
+        puller.on_chunk(&peer.node, Instant::now());
         let Some(incoming) = &fetch.incoming else { return };
         let (transfer, offset) = (part.transfer, incoming.next_offset());
         configuration.send(peer, ConfigurationMessage::Next { transfer, offset });
@@ -110,7 +109,7 @@
         }
     }
 
-    fn finish(&mut self, configuration: &Configuration, peer: &Peer, puller: &mut Puller) {
+    fn finish(&mut self, configuration: &Configuration, peer: &Peer, puller: &mut Fetcher) {
         let Some(fetch) = self.current.take() else { return };
         let Some(incoming) = fetch.incoming else { return };
         puller.on_answer(&peer.node);
@@ -130,7 +129,7 @@
             }
             Err(error) => {
                 log::warn!("KL3001 the configuration from {} is dropped: {error}", peer.node);
-                puller.on_refused(&peer.node, Instant::now());
+                puller.on_unusable(&peer.node, Instant::now());
             }
         }
     }
@@ -141,32 +140,32 @@
         peer: &Peer,
         requested_with: Fingerprint,
         delta: CatalogDelta,
-        puller: &mut Puller,
+        puller: &mut Fetcher,
     ) {
         configuration.context.revisions.record(&peer.node, delta.changed.revision);
         let is_whole = delta.base.is_none();
         let catalog = configuration.context.catalog.load();
-        match catalog.with(delta) {
+        match catalog.with_delta(delta) {
             Ok(catalog) => {
                 configuration.context.metrics.configuration.count(ConfigurationEvent::Pulled);
                 match configuration.offer(catalog, Origin::Peer) {
                     OfferOutcome::Activated => configuration.announce_if_store_watcher(),
                     OfferOutcome::NotNewer => {}
-                    OfferOutcome::Rejected => puller.on_refused(&peer.node, Instant::now()),
+                    OfferOutcome::Rejected => puller.on_unusable(&peer.node, Instant::now()),
                 }
             }
             Err(DeltaError::NotNewer) => {}
             Err(DeltaError::DoesNotFit) if is_whole => {
-                puller.on_refused(&peer.node, Instant::now());
+                puller.on_unusable(&peer.node, Instant::now());
             }
             Err(DeltaError::DoesNotFit) => {
                 let summary = match catalog.summary() {
                     // This node's catalog has changed since the request.
                     summary if summary.fingerprint != requested_with => summary,
                     // It has not changed: fetch the whole configuration.
-                    _ => CatalogSummary::of_nothing(),
+                    _ => CatalogSummary::empty(),
                 };
-                puller.on_fetch_again(&peer.node, catalog.revision, Instant::now());
+                puller.on_refetch(&peer.node, catalog.revision, Instant::now());
                 self.start(configuration, peer, summary);
             }
         }
--- a/crates/daemon/src/agent/configuration/delta_server.rs
+++ b/crates/daemon/src/agent/configuration/delta_server.rs
@@ -6,8 +6,8 @@
 
 use bytes::Bytes;
 use kestrellock_core::catalog::{CatalogSummary, Fingerprint, Revision};
+use kestrellock_core::distribution::{CHUNK_BYTES, TransferDecision, TransferQueue};
 use kestrellock_core::ids::NodeName;
-use kestrellock_core::spreading::{PART_BYTES, TransferQueue, Turn};
 use kestrellock_peer::catalog_transfer::{self, TransferId};
 use kestrellock_peer::message::ConfigurationMessage;
 
@@ -49,9 +49,9 @@
             configuration.send(peer, ConfigurationMessage::InForce { revision });
             return;
         }
-        match self.queue.ask(&peer.node, (peer.shard, have.clone()), Instant::now()) {
-            Turn::Now => self.start(configuration, peer, &have),
-            Turn::Later => configuration.send(peer, ConfigurationMessage::Queued),
+        match self.queue.request(&peer.node, (peer.shard, have.clone()), Instant::now()) {
+            TransferDecision::Start => self.start(configuration, peer, &have),
+            TransferDecision::Queue => configuration.send(peer, ConfigurationMessage::Queued),
         }
     }
 
@@ -66,10 +66,10 @@
         let packed = self.packed.iter().find(|packed| packed.transfer == transfer);
         match packed.map(|packed| packed.bytes.clone()) {
             Some(bytes) if (offset as usize) < bytes.len() => {
-                self.queue.on_next(&peer.node, Instant::now());
+                self.queue.on_chunk_request(&peer.node, Instant::now());
                 send_chunk(configuration, peer, transfer, &bytes, offset);
             }
-            Some(_) => self.queue.on_end(&peer.node),
+            Some(_) => self.queue.finish(&peer.node),
             // This delta was dropped in favor of newer ones.
             None => self.restart(configuration, peer),
         }
@@ -79,7 +79,7 @@
     /// Restarts the transfer to a node that is being served. A node that is not being served any
     /// more requests the configuration again by itself.
     fn restart(&mut self, configuration: &Configuration, peer: &Peer) {
-        let request = self.queue.question_of(&peer.node).cloned();
+        let request = self.queue.request_of(&peer.node).cloned();
         if let Some((_, have)) = request {
             self.start(configuration, peer, &have);
         }
@@ -87,26 +87,26 @@
 
     /// Ends the transfer to a node that needs no more chunks.
     pub fn on_enough(&mut self, configuration: &Configuration, node: &NodeName) {
-        self.queue.on_end(node);
+        self.queue.finish(node);
         self.serve_waiting(configuration);
     }
 
     /// Starts the transfer to each queued node whose turn has come.
     pub fn serve_waiting(&mut self, configuration: &Configuration) {
-        while let Some((node, (shard, have))) = self.queue.take_turn(Instant::now()) {
+        while let Some((node, (shard, have))) = self.queue.start_next(Instant::now()) {
             self.start(configuration, &Peer { node, shard }, &have);
         }
     }
 
     /// Whether a node is queued.
     pub fn has_waiting(&self) -> bool {
-        self.queue.has_waiting()
+        self.queue.has_queued()
     }
 
     fn start(&mut self, configuration: &Configuration, peer: &Peer, have: &CatalogSummary) {
         configuration.context.metrics.configuration.count(ConfigurationEvent::Served);
         let Some((transfer, bytes)) = self.packed_delta(configuration, peer, have) else {
-            self.queue.on_end(&peer.node);
+            self.queue.finish(&peer.node);
             return;
         };
         log::info!(
@@ -160,7 +160,7 @@
     bytes: &Bytes,
     offset: u32,
 ) {
-    let chunk = catalog_transfer::part_of(transfer, bytes, offset, PART_BYTES);
+    let chunk = catalog_transfer::part_of(transfer, bytes, offset, CHUNK_BYTES);
     let metrics = &configuration.context.metrics.configuration_bytes;
     metrics.add(ConfigurationEvent::Served, chunk.bytes.len() as u64);
     configuration.send(peer, ConfigurationMessage::Part(chunk));
--- a/crates/daemon/src/agent/configuration/distribution.rs
+++ b/crates/daemon/src/agent/configuration/distribution.rs
@@ -4,8 +4,8 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
+use kestrellock_core::distribution::{Fetcher, FetcherView};
 use kestrellock_core::ids::NodeName;
-use kestrellock_core::spreading::{Puller, View};
 use kestrellock_peer::message::ConfigurationMessage;
 
 use super::confirmation_queries::ConfirmationQueries;
@@ -39,7 +39,7 @@
 /// State of the exchange with peers.
 struct Distribution<'a> {
     configuration: &'a Configuration,
-    puller: Puller,
+    puller: Fetcher,
     delta_server: DeltaServer,
     delta_receiver: DeltaReceiver,
     confirmation_queries: ConfirmationQueries,
@@ -47,7 +47,7 @@
 
 impl<'a> Distribution<'a> {
     fn new(configuration: &'a Configuration) -> Self {
-        let puller = Puller::new(configuration.own_candidate());
+        let puller = Fetcher::new(configuration.own_candidate());
         let confirmation_queries = ConfirmationQueries::new(configuration);
         Self {
             configuration,
@@ -66,7 +66,13 @@
             return;
         }
         let live = self.configuration.live_candidates();
-        let view = View { now, have, newer: newer.as_ref(), live: &live, random: rand::random() };
+        let view = FetcherView {
+            now,
+            active_revision: have,
+            newer_node: newer.as_ref(),
+            live: &live,
+            random: rand::random(),
+        };
         let Some(node) = self.puller.next(&view) else { return };
         // Dead nodes are removed here, because a dead node may be the only one with a newer
         // revision.
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -14,9 +14,9 @@
 use std::time::Instant;
 
 use kestrellock_core::catalog::{CatalogVersion, IndexedCatalog, Revision, VersionedCatalog};
+use kestrellock_core::distribution;
 use kestrellock_core::ids::NodeName;
 use kestrellock_core::rendezvous::Candidate;
-use kestrellock_core::spreading;
 use kestrellock_peer::message::{ConfigurationMessage, PeerMessage};
 
 use crate::context::NodeContext;
@@ -101,7 +101,7 @@
         }
         let catalog = self.with_newest_edition(catalog);
         let metrics = &self.context.metrics;
-        let (catalog, faults) = catalog.usable();
+        let (catalog, faults) = catalog.without_faults();
         excluded.log_changes(&faults, origin, revision, metrics);
         if !faults.is_empty()
             && let Err(error) = catalog.validate()
@@ -133,7 +133,7 @@
             kept_edition = active.edition.0;
             "an older edition of the operators' configuration is not activated"
         );
-        catalog.with_operators_part_of(&active)
+        catalog.with_operator_entries_of(&active)
     }
 
     /// Version of the active configuration.
@@ -156,7 +156,7 @@
         }
         self.context.metrics.configuration.count(ConfigurationEvent::Announced);
         let revision = self.revision();
-        for node in spreading::audience(&self.own_candidate(), &self.live_candidates()) {
+        for node in distribution::announcement_targets(&self.own_candidate(), &self.live_candidates()) {
             self.send(&Peer::first_shard_of(node), ConfigurationMessage::InForce { revision });
         }
     }
--- a/crates/daemon/src/agent/configuration/role.rs
+++ b/crates/daemon/src/agent/configuration/role.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_core::catalog::Revision;
-use kestrellock_core::spreading::{is_follower, own_turn};
+use kestrellock_core::distribution::{full_read_delay, is_store_watcher};
 
 use super::Configuration;
 use crate::shared::live::listed_but_unknown;
@@ -56,14 +56,14 @@
             let (live, listed) = (self.context.live.load(), self.context.listed_nodes.load());
             expected.extend(listed_but_unknown(&live, &listed).cloned());
         }
-        let is_chosen = expected.is_empty() || is_follower(&self.own_candidate(), &expected);
+        let is_chosen = expected.is_empty() || is_store_watcher(&self.own_candidate(), &expected);
         is_chosen || (expected.len() > known && self.has_waited_for_peers(expected.len()))
     }
 
     /// Whether this node has waited for a configuration from peers for so long that it reads the
     /// store itself. The nodes take turns, so that not all of them read the store at once.
     fn has_waited_for_peers(&self, nodes: usize) -> bool {
-        let turn_delay = own_turn(&self.context.identity.node, nodes);
+        let turn_delay = full_read_delay(&self.context.identity.node, nodes);
         let has_none = self.revision() == Revision::default();
         has_none && self.started.elapsed() >= PEER_WAIT + turn_delay
     }
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -148,7 +148,7 @@
 /// all instances.
 fn connection_limit(group: &Group, instance: &Instance, share: Option<Share>) -> u32 {
     let owned = || owner_limit(instance.connections, 2 * group.instances.len() as u32);
-    share.map_or_else(owned, |share| share.most)
+    share.map_or_else(owned, |share| share.max)
 }
 
 impl Pool {
--- a/crates/daemon/src/gateway/zone_drains.rs
+++ b/crates/daemon/src/gateway/zone_drains.rs
@@ -135,6 +135,6 @@
 
     /// Whether all instances of the group are in drained zones.
     pub(super) fn has_only_drained_zones(&self, group: &Group, io: &Io) -> bool {
-        !self.zone_drains.is_empty() && io.context.catalog.load().is_drained_out(group)
+        !self.zone_drains.is_empty() && io.context.catalog.load().is_fully_drained(group)
     }
 }
--- a/crates/daemon/src/shared/exchange_record.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use kestrellock_core::incarnation::{InstanceIncarnation, has_started_again};
+use kestrellock_core::incarnation::{InstanceIncarnation, has_restarted};
 use kestrellock_core::position::{Position, Term};
 use kestrellock_core::routing::Role;
 use kestrellock_core::suspicion::{GivenUpRequests, Signs};
@@ -70,7 +70,7 @@
     /// connections end with the previous process.
     pub(super) fn on_incarnation(&mut self, incarnation: InstanceIncarnation) -> bool {
         let now = Some(incarnation);
-        let has_restarted = has_started_again(self.incarnation, now);
+        let has_restarted = has_restarted(self.incarnation, now);
         self.incarnation = now;
         if has_restarted {
             let (in_flight, next_number) = (std::mem::take(&mut self.in_flight), self.next_number);
