--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -72,7 +72,8 @@
         configuration: &Configuration,
         peer: &Peer,
         part: &Part,
-        puller: &mut Fetcher) {
+        puller: &mut Fetcher,
+    ) {
         let Some(fetch) = self.current.as_mut().filter(|fetch| fetch.from == peer.node) else {
             // The fetch has moved to another node meanwhile.
             log::info!(
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -5,8 +5,8 @@
 mod confirmation_queries;
 mod delta_receiver;
 mod delta_server;
-mod distribution;
 mod excluded_entries;
+mod peer_distribution;
 mod role;
 mod source_watch;
 
@@ -25,7 +25,7 @@
 
 use self::excluded_entries::ExcludedEntries;
 
-pub use distribution::distribute;
+pub use peer_distribution::distribute;
 pub use source_watch::watch_source;
 
 /// Shard whose connections carry the messages that this node initiates.
@@ -156,7 +156,9 @@
         }
         self.context.metrics.configuration.count(ConfigurationEvent::Announced);
         let revision = self.revision();
-        for node in distribution::announcement_targets(&self.own_candidate(), &self.live_candidates()) {
+        for node in
+            distribution::announcement_targets(&self.own_candidate(), &self.live_candidates())
+        {
             self.send(&Peer::first_shard_of(node), ConfigurationMessage::InForce { revision });
         }
     }
--- a/crates/daemon/src/agent/promotion/replacement_checker.rs
+++ b/crates/daemon/src/agent/promotion/replacement_checker.rs
@@ -116,8 +116,9 @@
         let promoted = view.promoted.get(name).map(|successor| &successor.instance);
         let is_promotion_active = group.promoted.as_ref() == promoted;
         let has_active_intent = context.intents.load().contains_key(name);
-        let is_replaced =
-            has_active_intent || view.intents.contains_key(name) || !group.is_led_by_last_promoted();
+        let is_replaced = has_active_intent
+            || view.intents.contains_key(name)
+            || !group.is_led_by_last_promoted();
         if is_promotion_active && !is_replaced {
             context.statuses.on_replacement_check(name, result.started_at);
         }
