--- a/crates/core/src/admission/estimate.rs
+++ b/crates/core/src/admission/estimate.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::tenant::Allowance;
+use super::tenant::TimeBudget;
 use super::{LEVELS, Overload, Refused, SHARE_UNITS, STARVATION_LIMIT, Scheduler, level_of};
 use crate::catalog::Priority;
 use crate::outcome::ResultCode;
@@ -45,7 +45,7 @@
         key: usize,
         level: usize,
         position: usize,
-        time: Allowance,
+        time: TimeBudget,
         now: Instant,
     ) -> Option<Overload> {
         let wait = self.wait(key, level, position);
@@ -72,7 +72,7 @@
     fn displaces_another(&self, key: usize, level: usize, position: usize, now: Instant) -> bool {
         let tail = self.levels[level].service.tail();
         let queue = &self.tenants[key].queues[level];
-        queue.allowances_from(position).enumerate().any(|(offset, time)| {
+        queue.budgets_from(position).enumerate().any(|(offset, time)| {
             let position = position + offset;
             let latest = time.deadline - time.needed_for(tail);
             now + self.wait(key, level, position + 1).duration > latest
@@ -121,11 +121,16 @@
     }
 
     /// Whether a waiting request can no longer finish in time.
-    pub(super) fn is_hopeless(&self, level: usize, time: Allowance, now: Instant) -> bool {
+    pub(super) fn cannot_meet_deadline(
+        &self,
+        level: usize,
+        time: TimeBudget,
+        now: Instant,
+    ) -> bool {
         now + time.needed_for(self.levels[level].service.tail()) > time.deadline
     }
 
-    pub(super) fn give_up(&mut self, level: usize, key: usize, work: T) -> Refused<T> {
+    pub(super) fn expire(&mut self, level: usize, key: usize, work: T) -> Refused<T> {
         let wait = self.wait(key, level, 0);
         let overload = self.refusal(code(wait), wait.duration);
         Refused { work, overload }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -23,7 +23,7 @@
 use crate::ids::{AccountName, TenantName};
 
 pub use self::service_time::ServiceTime;
-use self::tenant::{Allowance, Tenant, Waiting};
+use self::tenant::{Tenant, TimeBudget, Waiting};
 use self::types::Running;
 pub use self::types::{Dispatch, Limits, Overload, Refused, Request, Startable, Ticket};
 
@@ -166,7 +166,7 @@
         let level = level_of(request.priority);
         let key = self.tenant_key(request);
         let total = request.deadline.saturating_duration_since(now);
-        let time = Allowance { deadline: request.deadline, total };
+        let time = TimeBudget { deadline: request.deadline, total };
         let position = self.tenants[key].queues[level].ahead_of(request.deadline);
         if let Some(overload) = self.overload(key, level, position, time, now) {
             return Err(Refused { work, overload });
@@ -240,8 +240,8 @@
         }
         let (level, key) = self.choose(&has_connection)?;
         let waiting = self.pop(level, key)?;
-        if self.is_hopeless(level, waiting.time, now) {
-            return Some(Dispatch::GiveUp(self.give_up(level, key, waiting.work)));
+        if self.cannot_meet_deadline(level, waiting.time, now) {
+            return Some(Dispatch::Expired(self.expire(level, key, waiting.work)));
         }
         let ticket = self.start(level, key, now);
         Some(Dispatch::Run { ticket, work: waiting.work })
@@ -350,29 +350,29 @@
     }
 
     /// Takes out waiting requests that can no longer finish in time.
-    pub fn give_up_late(&mut self, now: Instant) -> Vec<Refused<T>> {
+    pub fn take_expired(&mut self, now: Instant) -> Vec<Refused<T>> {
         let mut late = Vec::new();
         for level in 0..LEVELS {
             for index in (0..self.levels[level].active.len()).rev() {
                 let key = self.levels[level].active[index];
-                self.give_up_late_of(level, key, now, &mut late);
+                self.take_expired_of(level, key, now, &mut late);
             }
         }
         late
     }
 
-    fn give_up_late_of(
+    fn take_expired_of(
         &mut self,
         level: usize,
         key: usize,
         now: Instant,
         late: &mut Vec<Refused<T>>,
     ) {
-        while let Some(time) = self.tenants[key].queues[level].first_allowance()
-            && self.is_hopeless(level, time, now)
+        while let Some(time) = self.tenants[key].queues[level].first_budget()
+            && self.cannot_meet_deadline(level, time, now)
             && let Some(waiting) = self.pop(level, key)
         {
-            late.push(self.give_up(level, key, waiting.work));
+            late.push(self.expire(level, key, waiting.work));
         }
     }
 
@@ -398,7 +398,7 @@
     /// Everything that waits, in no particular order.
     pub fn waiting_work(&self) -> impl Iterator<Item = &T> {
         let queues = self.tenants.iter().flat_map(|tenant| &tenant.queues);
-        queues.flat_map(|queue| queue.works())
+        queues.flat_map(|queue| queue.work_items())
     }
 
     /// Takes out everything that waits.
--- a/crates/core/src/admission/tenant.rs
+++ b/crates/core/src/admission/tenant.rs
@@ -9,19 +9,19 @@
 /// One waiting request.
 #[derive(Debug)]
 pub(super) struct Waiting<T> {
-    pub time: Allowance,
+    pub time: TimeBudget,
     pub work: T,
 }
 
 /// The time a request has.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Allowance {
+pub(super) struct TimeBudget {
     pub deadline: Instant,
     /// Time from its arrival to its deadline.
     pub total: Duration,
 }
 
-impl Allowance {
+impl TimeBudget {
     /// How long a request has waited.
     pub fn waited(&self, now: Instant) -> Duration {
         self.total.saturating_sub(self.deadline.saturating_duration_since(now))
@@ -65,7 +65,7 @@
     }
 
     /// Allowances of the requests from `position` on.
-    pub fn allowances_from(&self, position: usize) -> impl Iterator<Item = Allowance> + '_ {
+    pub fn budgets_from(&self, position: usize) -> impl Iterator<Item = TimeBudget> + '_ {
         self.items.range(position..).map(|waiting| waiting.time)
     }
 
@@ -73,7 +73,7 @@
         self.items.insert(position, waiting);
     }
 
-    pub fn first_allowance(&self) -> Option<Allowance> {
+    pub fn first_budget(&self) -> Option<TimeBudget> {
         self.items.front().map(|waiting| waiting.time)
     }
 
@@ -81,7 +81,7 @@
         self.items.pop_front()
     }
 
-    pub fn works(&self) -> impl Iterator<Item = &T> {
+    pub fn work_items(&self) -> impl Iterator<Item = &T> {
         self.items.iter().map(|waiting| &waiting.work)
     }
 
@@ -131,7 +131,7 @@
 
     /// How long the request that has waited longest has.
     pub fn longest_wait(&self, now: Instant) -> Duration {
-        let first = self.queues.iter().filter_map(DeadlineQueue::first_allowance);
+        let first = self.queues.iter().filter_map(DeadlineQueue::first_budget);
         first.map(|time| time.waited(now)).max().unwrap_or_default()
     }
 
--- a/crates/core/src/admission/types.rs
+++ b/crates/core/src/admission/types.rs
@@ -85,5 +85,5 @@
         work: T,
     },
     /// It can no longer finish in time: answer it at once.
-    GiveUp(Refused<T>),
+    Expired(Refused<T>),
 }
--- a/crates/core/src/classify/functions.rs
+++ b/crates/core/src/classify/functions.rs
@@ -274,7 +274,7 @@
 }
 
 /// An identifier as the back end understands it: folded unless quoted.
-pub fn folded(identifier: &Ident) -> String {
+pub fn normalized_identifier(identifier: &Ident) -> String {
     match identifier.quote_style {
         Some(_) => identifier.value.clone(),
         None => identifier.value.to_lowercase(),
@@ -283,7 +283,7 @@
 
 /// The last part of a name, if the rest is empty or the system schema.
 fn system_name(name: &ObjectName) -> Option<String> {
-    let identifier = |part: &ObjectNamePart| part.as_ident().map(folded);
+    let identifier = |part: &ObjectNamePart| part.as_ident().map(normalized_identifier);
     match name.0.as_slice() {
         [last] => identifier(last),
         [schema, last] if identifier(schema)? == SYSTEM_SCHEMA => identifier(last),
@@ -306,7 +306,7 @@
 
 /// Whether reading a relation gives the same on every instance that has applied the same log.
 pub fn is_replicated(name: &ObjectName) -> bool {
-    let last = name.0.last().and_then(ObjectNamePart::as_ident).map(folded);
+    let last = name.0.last().and_then(ObjectNamePart::as_ident).map(normalized_identifier);
     last.is_some_and(|last| !last.starts_with("pg_") || contains(REPLICATED_RELATIONS, &last))
 }
 
--- a/crates/core/src/classify/mod.rs
+++ b/crates/core/src/classify/mod.rs
@@ -187,13 +187,13 @@
             TextFacts::refused(Unsupported::TemporaryObject)
         }
         Statement::Commit { .. } | Statement::Rollback { .. } => TextFacts::of(Unknown),
-        other if leaves_nothing_behind(other) => TextFacts::of(Write),
+        other if is_stateless_write(other) => TextFacts::of(Write),
         _ => TextFacts::unknown(),
     }
 }
 
 /// Statements that write, but leave nothing on the connection beyond their transaction.
-fn leaves_nothing_behind(statement: &Statement) -> bool {
+fn is_stateless_write(statement: &Statement) -> bool {
     matches!(
         statement,
         Statement::Insert(_)
@@ -238,7 +238,7 @@
 fn classify_declare(declarations: &[Declare]) -> TextFacts {
     let held = declarations.iter().any(|declare| declare.hold == Some(true));
     if held {
-        return TextFacts::refused(Unsupported::HeldCursor);
+        return TextFacts::refused(Unsupported::HoldableCursor);
     }
     let cursors = declarations.iter().all(|declare| declare.for_query.is_some());
     if cursors { TextFacts::of(StatementClass::Read) } else { TextFacts::unknown() }
--- a/crates/core/src/classify/settings.rs
+++ b/crates/core/src/classify/settings.rs
@@ -2,13 +2,13 @@
 
 use sqlparser::ast::{ContextModifier, Ident, ObjectName, ObjectNamePart, Set};
 
-use super::functions::{folded, is_common_setting};
+use super::functions::{is_common_setting, normalized_identifier};
 use super::{StatementClass, TextFacts};
 use crate::session_state::{Effect, Unsupported};
 
 /// `SHOW`: several settings tell about one instance, so only known ones are reads.
 pub fn show_class(variable: &[Ident]) -> StatementClass {
-    let name: Vec<String> = variable.iter().map(folded).collect();
+    let name: Vec<String> = variable.iter().map(normalized_identifier).collect();
     let common = match name.as_slice() {
         [name] => is_common_setting(name),
         [first, second] => first == "time" && second == "zone",
--- a/crates/core/src/concurrency_limit.rs
+++ b/crates/core/src/concurrency_limit.rs
@@ -9,11 +9,11 @@
 use std::time::{Duration, Instant};
 
 /// Part of the limit that a refusal leaves.
-const LEFT_BY_REFUSAL: f64 = 0.7;
+const DECREASE_FACTOR: f64 = 0.7;
 /// Refusals within this time count once: they answer what was sent under one limit. About the time of a
 /// statement.
-const ONE_REFUSAL: Duration = Duration::from_millis(40);
-const LEAST: f64 = 1.0;
+const REFUSAL_COALESCING_PERIOD: Duration = Duration::from_millis(40);
+const MIN_LIMIT: f64 = 1.0;
 
 /// The limit for one instance.
 #[derive(Clone, Copy, Debug)]
@@ -44,11 +44,11 @@
 
     /// The instance had no room.
     pub fn on_refused(&mut self, now: Instant) {
-        if self.lowered.is_some_and(|at| now < at + ONE_REFUSAL) {
+        if self.lowered.is_some_and(|at| now < at + REFUSAL_COALESCING_PERIOD) {
             return;
         }
         self.lowered = Some(now);
-        self.current = (self.current * LEFT_BY_REFUSAL).max(LEAST);
+        self.current = (self.current * DECREASE_FACTOR).max(MIN_LIMIT);
     }
 
     /// The instance answered.
--- a/crates/core/src/connection_budget.rs
+++ b/crates/core/src/connection_budget.rs
@@ -13,11 +13,11 @@
 const OPERATOR_RESERVE: u32 = 3;
 /// Connections that the standby gateway of an instance holds.
 pub const STANDBY_CONNECTIONS: u32 = 2;
-const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-const LAST_BACKOFF: Duration = Duration::from_secs(5);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Longest wait of a gateway that holds no connection at all: it can serve nothing of the instance, and
 /// what is in its way may pass within seconds, such as the connections of processes that are gone.
-const LONGEST_WITHOUT_ANY: Duration = Duration::from_millis(120);
+const MAX_WAIT_WITHOUT_CONNECTIONS: Duration = Duration::from_millis(120);
 /// Time between two steps of growth after a refusal.
 const GROWTH_INTERVAL: Duration = Duration::from_millis(200);
 
@@ -40,7 +40,7 @@
 impl ConnectionBudget {
     /// A budget of all that is configured.
     pub fn new(configured: u32) -> Self {
-        let backoff = Backoff::new(FIRST_BACKOFF, LAST_BACKOFF);
+        let backoff = Backoff::new(MIN_BACKOFF, MAX_BACKOFF);
         Self { configured, current: configured, backoff, next_step: None }
     }
 
@@ -76,7 +76,7 @@
     pub fn on_refused(&mut self, open: u32, now: Instant, random: u64) {
         self.current = self.current.min(open);
         let wait = self.backoff.on_failure(random);
-        let wait = if open == 0 { wait.min(LONGEST_WITHOUT_ANY) } else { wait };
+        let wait = if open == 0 { wait.min(MAX_WAIT_WITHOUT_CONNECTIONS) } else { wait };
         self.next_step = Some(now + wait);
     }
 }
--- a/crates/core/src/current_position.rs
+++ b/crates/core/src/current_position.rs
@@ -21,12 +21,12 @@
 
 /// A question for a group's current position, and what has been learnt since it was asked.
 #[derive(Clone, Debug)]
-pub struct CurrentPosition {
+pub struct CurrentPositionQuery {
     first_probe: ProbeNumber,
     answers: BTreeMap<InstanceName, Answer>,
 }
 
-impl CurrentPosition {
+impl CurrentPositionQuery {
     /// A question; probes with numbers from `first_probe` on are sent after it.
     pub fn new(first_probe: ProbeNumber) -> Self {
         Self { first_probe, answers: BTreeMap::new() }
--- a/crates/core/src/exchange_state.rs
+++ b/crates/core/src/exchange_state.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
     /// Held by the front; no byte has left the node.
-    Held,
+    AtFront,
     /// Handed to a gateway that has not answered; it may be anywhere beyond.
-    HandedOver,
+    Forwarded,
     /// Queued at the gateway, or in its socket buffer with no byte taken by the kernel.
     Queued,
     /// Some bytes may have reached the back end.
@@ -40,7 +40,7 @@
     /// Its deadline has passed.
     Deadline,
     /// The connection to the back end broke.
-    BackendLost,
+    InstanceConnectionLost,
     /// A higher term has been seen: the primary it ran on has been replaced.
     Superseded,
     /// The gateway's node died, or the connection to it broke.
@@ -53,7 +53,7 @@
 
 /// An exchange's place in its transaction and its worst effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Stake {
+pub struct ExchangeImpact {
     /// Its worst effect.
     pub effect: Effect,
     /// Whether earlier exchanges of the same lease opened a transaction that is lost with it.
@@ -61,10 +61,10 @@
 }
 
 /// What the caller is told.
-pub fn failure_code(stake: Stake, progress: Progress, fault: Fault) -> ResultCode {
+pub fn failure_code(stake: ExchangeImpact, progress: Progress, fault: Fault) -> ResultCode {
     match progress {
-        Progress::Held | Progress::Queued => unsent_code(stake, progress, fault),
-        Progress::HandedOver | Progress::Sent => sent_code(stake.effect, fault),
+        Progress::AtFront | Progress::Queued => unsent_code(stake, progress, fault),
+        Progress::Forwarded | Progress::Sent => sent_code(stake.effect, fault),
         Progress::Answered | Progress::Unconfirmed => match fault {
             Fault::Superseded => ResultCode::SupersededInDoubt,
             Fault::GatewayLost => ResultCode::GatewayLostInDoubt,
@@ -73,12 +73,12 @@
     }
 }
 
-fn unsent_code(stake: Stake, progress: Progress, fault: Fault) -> ResultCode {
+fn unsent_code(stake: ExchangeImpact, progress: Progress, fault: Fault) -> ResultCode {
     if stake.continues_transaction {
         return ResultCode::TransactionLost;
     }
     match (progress, fault) {
-        (Progress::Held, Fault::Deadline) => ResultCode::NoPrimary,
+        (Progress::AtFront, Fault::Deadline) => ResultCode::NoPrimary,
         (_, Fault::Deadline) => ResultCode::DeadlineBeforeSend,
         (_, Fault::Superseded) => ResultCode::NotPrimary,
         _ => ResultCode::NotSent,
@@ -94,7 +94,7 @@
         (Effect::MayCommit, Fault::GatewaySilent | Fault::AnswerLost) => {
             ResultCode::GatewaySilentInDoubt
         }
-        (Effect::MayCommit, Fault::Deadline | Fault::BackendLost) => {
+        (Effect::MayCommit, Fault::Deadline | Fault::InstanceConnectionLost) => {
             ResultCode::ConnectionLostInDoubt
         }
     }
@@ -102,7 +102,7 @@
 
 /// Whether a refusal leaves the exchange free to go out again on a new lease: it has surely not
 /// run, no transaction was lost with it, and another instance or gateway may do better.
-pub fn may_go_out_again(stake: Stake, code: ResultCode) -> bool {
+pub fn may_retry(stake: ExchangeImpact, code: ResultCode) -> bool {
     let elsewhere = matches!(
         code,
         ResultCode::NotSent
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -27,7 +27,7 @@
     /// Term it follows and offset that its readers see.
     pub applied: Position,
     /// When it was asked; what it said was true then or later.
-    pub asked: Moment,
+    pub requested_at: Moment,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +54,7 @@
             self.samples.clear();
         }
         if observation.role == Role::Primary && term == self.term {
-            self.sample(Sample { asked: observation.asked, position: observation.applied });
+            self.sample(Sample { asked: observation.requested_at, position: observation.applied });
         }
     }
 
@@ -78,7 +78,7 @@
             .newest
             .values()
             .filter(|observation| observation.applied.term == self.term)
-            .map(|observation| observation.asked)
+            .map(|observation| observation.requested_at)
             .collect();
         followers.sort_unstable();
         let index = followers.len().checked_sub(majority)?;
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -43,9 +43,9 @@
 }
 
 /// Codes of what passes by itself within about the time that a primary takes to be replaced.
-const PASSING_CODES: RangeInclusive<u16> = 1501..=1599;
+const TRANSIENT_CODES: RangeInclusive<u16> = 1501..=1599;
 /// When to come back after them: about half of that time.
-pub const USUAL_HINT: Duration = Duration::from_millis(250);
+pub const DEFAULT_RETRY_HINT: Duration = Duration::from_millis(250);
 
 result_codes! {
     /// The first message is not a PostgreSQL 3.x start-up.
@@ -193,11 +193,11 @@
 
     /// The same refusal, with the usual hint if it has none and what was in the way passes by itself:
     /// an instance or connection that was lost, or a primary that is being replaced.
-    pub fn with_usual_hint(self) -> Self {
-        let passes = PASSING_CODES.contains(&self.code.number());
+    pub fn with_default_retry_hint(self) -> Self {
+        let passes = TRANSIENT_CODES.contains(&self.code.number());
         match self.retry_after {
             None if passes && self.code.execution() == Execution::NotRun => {
-                self.retry_after(USUAL_HINT)
+                self.retry_after(DEFAULT_RETRY_HINT)
             }
             _ => self,
         }
--- a/crates/core/src/holding.rs
+++ b/crates/core/src/placement_deadline.rs
@@ -8,7 +8,7 @@
 
 /// Until when a request is held. A caller that repeats what was refused is told early, while it has
 /// time to come back, perhaps through another node; for any other one the wait is the only attempt.
-pub fn held_until(arrived: Instant, deadline: Instant, callers_repeat: bool) -> Instant {
+pub fn placement_deadline(arrived: Instant, deadline: Instant, callers_repeat: bool) -> Instant {
     let total = deadline.saturating_duration_since(arrived);
     let held: Duration = if callers_repeat { total.mul_f64(GIVEN_BACK_AFTER) } else { total };
     arrived + held
--- a/crates/core/src/quota/granting.rs
+++ b/crates/core/src/quota/allocation.rs
@@ -3,13 +3,13 @@
 
 use std::time::{Duration, Instant};
 
-use super::node::{GRANTERS, Quotas, UNREACHED_RETRY, View};
-use super::{Bucket, Grant, Outgoing, QuotaMessage, granters};
+use super::node::{ALLOCATOR_CANDIDATES, Quotas, UNREACHABLE_RETRY_DELAY, View};
+use super::{Bucket, Grant, Outgoing, QuotaMessage, allocators};
 use crate::catalog::Quota;
 use crate::ids::{AccountName, NodeName};
 
 /// Time for which a node that has handed an account over refers to its successor: until all nodes know it.
-const REMEMBERED: Duration = Duration::from_secs(6);
+const REFERRAL_PERIOD: Duration = Duration::from_secs(6);
 
 /// A question that waits until a bucket is taken over.
 #[derive(Debug)]
@@ -21,9 +21,9 @@
 
 /// What a node is for an account that it grants for.
 #[derive(Debug)]
-pub(super) enum Keeping {
+pub(super) enum AllocatorState {
     /// It has asked those that may have granted before.
-    TakingOver {
+    AwaitingHandover {
         since: Instant,
         /// Nodes that were asked and have not answered.
         asked: Vec<NodeName>,
@@ -31,15 +31,15 @@
         waiting: Vec<Waiting>,
     },
     /// It grants, or did and has not been asked to hand over.
-    Grants(Bucket),
+    Active(Bucket),
     /// It has handed the account over.
     HandedOver { to: NodeName, at: Instant },
 }
 
 /// The same, and when that was last of use.
 #[derive(Debug)]
-pub(super) struct Kept {
-    pub keeping: Keeping,
+pub(super) struct AllocatorEntry {
+    pub keeping: AllocatorState,
     /// When it was last asked.
     pub used: Instant,
 }
@@ -57,31 +57,31 @@
     ) {
         let Some(quota) = view.quota(account) else {
             // This node's configuration is older, or newer: the front asks again.
-            let nothing = Grant { count: 0, retry_after: UNREACHED_RETRY };
+            let nothing = Grant { count: 0, retry_after: UNREACHABLE_RETRY_DELAY };
             return self.answer(from, number, account, nothing, None, view);
         };
-        let quota = self.limits.in_force(account, quota, view.now);
+        let quota = self.limits.effective_limit(account, quota, view.now);
         let other = self.successor(account, view).or_else(|| self.other_granter(account, view));
         if other.is_some() {
             let nothing = Grant { count: 0, retry_after: Duration::ZERO };
             return self.answer(from, number, account, nothing, other, view);
         }
         if !self.kept.contains_key(account) {
-            let keeping = self.begin_granting(account, &quota, view);
-            self.kept.insert(account.clone(), Kept { keeping, used: view.now });
+            let keeping = self.start_allocating(account, &quota, view);
+            self.kept.insert(account.clone(), AllocatorEntry { keeping, used: view.now });
         }
         let share = self.share(view);
         let Some(kept) = self.kept.get_mut(account) else { return };
         kept.used = view.now;
         let grant = match &mut kept.keeping {
-            Keeping::TakingOver { waiting, .. } => {
+            AllocatorState::AwaitingHandover { waiting, .. } => {
                 return waiting.push(Waiting { from: from.clone(), number, count });
             }
-            Keeping::Grants(bucket) => {
+            AllocatorState::Active(bucket) => {
                 bucket.take_back(unused);
                 bucket.grant(&quota, share, count, view.now)
             }
-            Keeping::HandedOver { .. } => return,
+            AllocatorState::HandedOver { .. } => return,
         };
         self.answer(from, number, account, grant, None, view);
     }
@@ -89,8 +89,9 @@
     /// The node that grants for the account, if that is not this one: the first that can be reached. It is
     /// asked whether it answers, since fronts may ask here because they do not reach it.
     fn other_granter(&mut self, account: &AccountName, view: &View) -> Option<NodeName> {
-        let order = granters(account, view.live, GRANTERS);
-        let first = order.into_iter().find(|node| !self.reachability.is_gone(node, view.now))?;
+        let order = allocators(account, view.live, ALLOCATOR_CANDIDATES);
+        let first =
+            order.into_iter().find(|node| !self.reachability.is_unreachable(node, view.now))?;
         if first == view.own {
             return None;
         }
@@ -104,7 +105,7 @@
         if self.probes.values().any(|(known, _)| known == node) {
             return;
         }
-        let number = self.number();
+        let number = self.next_request_number();
         self.probes.insert(number, (node.clone(), now));
         let (account, count, unused) = (account.clone(), 0, 0);
         let message = QuotaMessage::Ask { number, account, count, unused };
@@ -114,11 +115,11 @@
     /// The node that this one has handed the account over to a short time ago, if that can be reached.
     fn successor(&mut self, account: &AccountName, view: &View) -> Option<NodeName> {
         let kept = self.kept.get(account)?;
-        let Keeping::HandedOver { to, at } = &kept.keeping else { return None };
+        let AllocatorState::HandedOver { to, at } = &kept.keeping else { return None };
         // It may not stand among the live nodes yet: it has just come.
-        let stands = view.now < *at + REMEMBERED;
+        let stands = view.now < *at + REFERRAL_PERIOD;
         let successor = to.clone();
-        if stands && !self.reachability.is_gone(&successor, view.now) {
+        if stands && !self.reachability.is_unreachable(&successor, view.now) {
             self.probe(&successor, account, view.now);
             return Some(successor);
         }
@@ -127,40 +128,56 @@
     }
 
     /// Asks whoever may have granted before.
-    fn begin_granting(&mut self, account: &AccountName, quota: &Quota, view: &View) -> Keeping {
-        let order = granters(account, view.live, GRANTERS);
+    fn start_allocating(
+        &mut self,
+        account: &AccountName,
+        quota: &Quota,
+        view: &View,
+    ) -> AllocatorState {
+        let order = allocators(account, view.live, ALLOCATOR_CANDIDATES);
         let others: Vec<NodeName> = order
             .into_iter()
-            .filter(|node| *node != view.own && !self.reachability.is_gone(node, view.now))
+            .filter(|node| *node != view.own && !self.reachability.is_unreachable(node, view.now))
             .cloned()
             .collect();
         if others.is_empty() {
-            return Keeping::Grants(Bucket::beginning(quota, self.share(view), view.now));
+            return AllocatorState::Active(Bucket::unknown_history(
+                quota,
+                self.share(view),
+                view.now,
+            ));
         }
         for to in &others {
             let message = QuotaMessage::TakeOver { account: account.clone() };
             self.outgoing.push(Outgoing { to: to.clone(), message });
         }
-        Keeping::TakingOver { since: view.now, asked: others, left: None, waiting: Vec::new() }
+        AllocatorState::AwaitingHandover {
+            since: view.now,
+            asked: others,
+            left: None,
+            waiting: Vec::new(),
+        }
     }
 
     /// Another node grants from now on.
     pub(super) fn on_take_over(&mut self, from: &NodeName, account: AccountName, view: &View) {
         let share = self.share(view);
-        let comes_first = granters(&account, [view.own, from], 1).first() == Some(&view.own);
+        let comes_first = allocators(&account, [view.own, from], 1).first() == Some(&view.own);
         let quota = view.quota(&account);
         let (tokens, elsewhere) = match (self.kept.get_mut(&account), quota) {
             // The other node has not heard of this one, which comes before it.
-            (Some(Kept { keeping: Keeping::Grants(_) | Keeping::TakingOver { .. }, .. }), _)
-                if comes_first =>
-            {
-                (None, Some(view.own.clone()))
-            }
-            (Some(Kept { keeping: Keeping::Grants(bucket), .. }), Some(quota)) => {
+            (
+                Some(AllocatorEntry {
+                    keeping: AllocatorState::Active(_) | AllocatorState::AwaitingHandover { .. },
+                    ..
+                }),
+                _,
+            ) if comes_first => (None, Some(view.own.clone())),
+            (Some(AllocatorEntry { keeping: AllocatorState::Active(bucket), .. }), Some(quota)) => {
                 (Some(bucket.left(&quota, share, view.now)), None)
             }
-            (Some(Kept { keeping: Keeping::HandedOver { to, at }, .. }), _)
-                if to != from && view.now < *at + REMEMBERED =>
+            (Some(AllocatorEntry { keeping: AllocatorState::HandedOver { to, at }, .. }), _)
+                if to != from && view.now < *at + REFERRAL_PERIOD =>
             {
                 (None, Some(to.clone()))
             }
@@ -175,9 +192,12 @@
 
     /// Refers to another node from now on, also whoever waits.
     fn hand_over(&mut self, account: &AccountName, to: &NodeName, view: &View) {
-        let keeping = Keeping::HandedOver { to: to.clone(), at: view.now };
-        let before = self.kept.insert(account.clone(), Kept { keeping, used: view.now });
-        let Some(Kept { keeping: Keeping::TakingOver { waiting, .. }, .. }) = before else {
+        let keeping = AllocatorState::HandedOver { to: to.clone(), at: view.now };
+        let before = self.kept.insert(account.clone(), AllocatorEntry { keeping, used: view.now });
+        let Some(AllocatorEntry {
+            keeping: AllocatorState::AwaitingHandover { waiting, .. }, ..
+        }) = before
+        else {
             return;
         };
         for Waiting { from: front, number, .. } in waiting {
@@ -196,7 +216,9 @@
         view: &View,
     ) {
         let Some(kept) = self.kept.get_mut(account) else { return };
-        let Keeping::TakingOver { asked, left, .. } = &mut kept.keeping else { return };
+        let AllocatorState::AwaitingHandover { asked, left, .. } = &mut kept.keeping else {
+            return;
+        };
         if !asked.contains(from) {
             return;
         }
@@ -215,27 +237,27 @@
             self.outgoing.push(Outgoing { to: other, message });
         }
         if asked.is_empty() {
-            self.finish_taking_over(account, view);
+            self.finish_handover(account, view);
         }
     }
 
-    pub(super) fn finish_taking_over(&mut self, account: &AccountName, view: &View) {
+    pub(super) fn finish_handover(&mut self, account: &AccountName, view: &View) {
         let Some(quota) = view.quota(account) else { return };
         let (left, all_answered) = match self.kept.get(account).map(|kept| &kept.keeping) {
-            Some(Keeping::TakingOver { left, asked, .. }) => (*left, asked.is_empty()),
+            Some(AllocatorState::AwaitingHandover { left, asked, .. }) => (*left, asked.is_empty()),
             _ => return,
         };
-        let is_first = granters(account, view.live, 1).first() == Some(&view.own);
+        let is_first = allocators(account, view.live, 1).first() == Some(&view.own);
         let bucket = match left {
             Some(tokens) => Bucket::with(tokens, &quota, view.now),
             None if all_answered && is_first => {
-                Bucket::beginning_alone(&quota, self.share(view), view.now)
+                Bucket::sole_allocator(&quota, self.share(view), view.now)
             }
-            None => Bucket::beginning(&quota, self.share(view), view.now),
+            None => Bucket::unknown_history(&quota, self.share(view), view.now),
         };
         let Some(kept) = self.kept.get_mut(account) else { return };
-        let before = std::mem::replace(&mut kept.keeping, Keeping::Grants(bucket));
-        let Keeping::TakingOver { waiting, .. } = before else { return };
+        let before = std::mem::replace(&mut kept.keeping, AllocatorState::Active(bucket));
+        let AllocatorState::AwaitingHandover { waiting, .. } = before else { return };
         for Waiting { from, number, count } in waiting {
             self.on_ask(&from, number, account, count, 0, view);
         }
--- a/crates/core/src/quota/granters.rs
+++ b/crates/core/src/quota/allocators.rs
@@ -14,7 +14,7 @@
 
 /// The `count` nodes that grant for an account: the first one, and who stands in where it cannot be
 /// reached.
-pub fn granters<'a>(
+pub fn allocators<'a>(
     account: &AccountName,
     nodes: impl IntoIterator<Item = &'a NodeName>,
     count: usize,
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/bucket.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use super::{
-    ALONE_BURST_PART, ALONE_TOKENS, CAUTIOUS_FOR, CAUTIOUS_PART, EXTRA_TOKENS, FIRST_BURST_PART,
-    FIRST_TOKENS,
+    CAUTIOUS_PERIOD, CAUTIOUS_RATE_FRACTION, EXTRA_TOKENS, INITIAL_BURST_FRACTION, INITIAL_TOKENS,
+    SOLE_INITIAL_BURST_FRACTION, SOLE_INITIAL_TOKENS,
 };
 use crate::catalog::Quota;
 
@@ -26,19 +26,19 @@
     cautious_until: Option<Instant>,
     /// Tokens that were asked for in vain and that the account's rate has not made up for since: whoever comes
     /// back is behind as many others.
-    owed: f64,
+    backlog: f64,
     /// When it was last asked, and when it last had less than it was asked for.
     asked: Instant,
     emptied: Option<Instant>,
 }
 
 /// Longest time to come back after: where the rate is zero, a change of the configuration may help.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// An account that asks more than it may does not fall silent by itself: after a silence of this length, and
 /// of a few tokens' time, others have granted meanwhile, because this node stood still or was cut off.
-const SILENCE: Duration = Duration::from_millis(250);
-const SILENT_TOKENS: f64 = 4.0;
+const SILENCE_PERIOD: Duration = Duration::from_millis(250);
+const SILENCE_TOKENS: f64 = 4.0;
 
 /// Most tokens that a bucket holds; none where the account may ask nothing.
 fn capacity(quota: &Quota) -> f64 {
@@ -48,19 +48,19 @@
 
 /// The same while it is not known what others have granted.
 fn cautious_capacity(quota: &Quota) -> f64 {
-    capacity(quota).min(FIRST_TOKENS + FIRST_BURST_PART * quota.burst.count())
+    capacity(quota).min(INITIAL_TOKENS + INITIAL_BURST_FRACTION * quota.burst.count())
 }
 
 impl Bucket {
     /// A bucket of which is not known what was granted before, of a node that sees `share` of the others.
-    pub fn beginning(quota: &Quota, share: f64, now: Instant) -> Self {
+    pub fn unknown_history(quota: &Quota, share: f64, now: Instant) -> Self {
         let first = cautious_capacity(quota) * share;
-        Self { cautious_until: Some(now + CAUTIOUS_FOR), ..Self::with(first, quota, now) }
+        Self { cautious_until: Some(now + CAUTIOUS_PERIOD), ..Self::with(first, quota, now) }
     }
 
     /// The same of a node that is the first by right and whose neighbours have not granted: nobody else does.
-    pub fn beginning_alone(quota: &Quota, share: f64, now: Instant) -> Self {
-        let first = ALONE_TOKENS + ALONE_BURST_PART * quota.burst.count();
+    pub fn sole_allocator(quota: &Quota, share: f64, now: Instant) -> Self {
+        let first = SOLE_INITIAL_TOKENS + SOLE_INITIAL_BURST_FRACTION * quota.burst.count();
         Self::with(first * share, quota, now)
     }
 
@@ -72,7 +72,7 @@
             filled: now,
             cautious_until: None,
             asked: now,
-            owed: 0.0,
+            backlog: 0.0,
             emptied: None,
         }
     }
@@ -82,12 +82,12 @@
         let passed = now.saturating_duration_since(self.filled).as_secs_f64();
         let cautious = self.cautious_until.is_some_and(|until| now < until);
         let (share, most) = match cautious {
-            true => (share.min(CAUTIOUS_PART), cautious_capacity(quota) * share),
+            true => (share.min(CAUTIOUS_RATE_FRACTION), cautious_capacity(quota) * share),
             false => (share, capacity(quota)),
         };
         let came = passed * quota.per_second.count() * share;
         self.tokens = (self.tokens + came).min(most);
-        self.owed = (self.owed - came).max(0.0);
+        self.backlog = (self.backlog - came).max(0.0);
         self.filled = self.filled.max(now);
         self.tokens
     }
@@ -99,8 +99,8 @@
 
     /// Grants as many of `wanted` tokens as there are.
     pub fn grant(&mut self, quota: &Quota, share: f64, wanted: u32, now: Instant) -> Grant {
-        if self.was_forgotten(quota, now) {
-            let beginning = Self::beginning(quota, share, now);
+        if self.was_bypassed(quota, now) {
+            let beginning = Self::unknown_history(quota, share, now);
             self.tokens = self.left(quota, share, now).min(beginning.tokens);
             self.cautious_until = beginning.cautious_until;
         }
@@ -115,24 +115,24 @@
         if missing == 0 {
             return Grant { count, retry_after: Duration::ZERO };
         }
-        self.owed += f64::from(missing);
-        Grant { count, retry_after: self.time_for_owed(quota, share) }
+        self.backlog += f64::from(missing);
+        Grant { count, retry_after: self.time_to_clear_backlog(quota, share) }
     }
 
     /// Whether others have granted since it was last asked: it had too little for a hungry account a short
     /// time ago, and then was not asked any more.
-    fn was_forgotten(&self, quota: &Quota, now: Instant) -> bool {
-        let was_empty = self.emptied.is_some_and(|at| now < at + CAUTIOUS_FOR);
-        let tokens = Duration::try_from_secs_f64(SILENT_TOKENS / quota.per_second.count());
-        let silence = SILENCE + tokens.unwrap_or(CAUTIOUS_FOR);
+    fn was_bypassed(&self, quota: &Quota, now: Instant) -> bool {
+        let was_empty = self.emptied.is_some_and(|at| now < at + CAUTIOUS_PERIOD);
+        let tokens = Duration::try_from_secs_f64(SILENCE_TOKENS / quota.per_second.count());
+        let silence = SILENCE_PERIOD + tokens.unwrap_or(CAUTIOUS_PERIOD);
         was_empty && now >= self.asked + silence
     }
 
     /// Time until there are tokens for all that were asked for in vain.
-    fn time_for_owed(&self, quota: &Quota, share: f64) -> Duration {
-        let missing = (self.owed - self.tokens).max(0.0);
+    fn time_to_clear_backlog(&self, quota: &Quota, share: f64) -> Duration {
+        let missing = (self.backlog - self.tokens).max(0.0);
         let seconds = missing / (quota.per_second.count() * share);
         // Without a rate the quotient is no number, or endless.
-        Duration::try_from_secs_f64(seconds).unwrap_or(LONGEST_RETRY).min(LONGEST_RETRY)
+        Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_DELAY).min(MAX_RETRY_DELAY)
     }
 }
--- a/crates/core/src/quota/limits.rs
+++ b/crates/core/src/quota/limits.rs
@@ -3,13 +3,13 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-use super::LOWERED_AFTER;
+use super::LOWERED_LIMIT_DELAY;
 use crate::catalog::Quota;
 use crate::ids::AccountName;
 
 /// What was known of an account's limit.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct LimitHistory {
     /// The limit of the configuration.
     configured: Quota,
     /// The higher one before it, and when it was lowered.
@@ -19,14 +19,19 @@
 /// Limits by account.
 #[derive(Debug, Default)]
 pub(super) struct Limits {
-    known: HashMap<AccountName, Known>,
+    known: HashMap<AccountName, LimitHistory>,
 }
 
 impl Limits {
     /// The limit to go by at `now`, where the configuration has `configured`.
-    pub fn in_force(&mut self, account: &AccountName, configured: Quota, now: Instant) -> Quota {
+    pub fn effective_limit(
+        &mut self,
+        account: &AccountName,
+        configured: Quota,
+        now: Instant,
+    ) -> Quota {
         let Some(known) = self.known.get_mut(account) else {
-            self.known.insert(account.clone(), Known { configured, before: None });
+            self.known.insert(account.clone(), LimitHistory { configured, before: None });
             return configured;
         };
         if known.configured != configured {
@@ -37,7 +42,7 @@
             known.configured = configured;
         }
         match known.before {
-            Some((former, at)) if now < at + LOWERED_AFTER => Quota {
+            Some((former, at)) if now < at + LOWERED_LIMIT_DELAY => Quota {
                 per_second: former.per_second.max(configured.per_second),
                 burst: former.burst.max(configured.burst),
             },
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -24,13 +24,13 @@
 //! operation), and running freely while far below the limit (an account at 7.5 times its usual rate uses a
 //! window's worth within 1.4 s, longer than nodes take to tell each other, and a cut node is told nothing).
 
+mod allocation;
+mod allocators;
 mod bucket;
-mod granters;
-mod granting;
 mod limits;
 mod node;
-mod purse;
 mod reachability;
+mod token_cache;
 
 use std::time::Duration;
 
@@ -38,45 +38,45 @@
 
 use crate::ids::{AccountName, NodeName};
 
+pub use allocators::allocators;
 pub use bucket::{Bucket, Grant};
-pub use granters::granters;
 pub use node::{Quotas, View};
-pub use purse::{Take, Ticket};
+pub use token_cache::{Take, Ticket};
 
 /// How long tokens last, counted from the question for them. Shorter costs more questions, longer lets more
 /// operations into one window.
-pub const GRANT_LIFE: Duration = Duration::from_millis(300);
+pub const TOKEN_LIFETIME: Duration = Duration::from_millis(300);
 /// Tokens that a bucket holds beyond the burst: a small account's callers come unevenly, and a burst of one or
 /// two operations would refuse some although it asks less than it may.
 pub const EXTRA_TOKENS: f64 = 10.0;
 /// Part of the rate at which a bucket fills that begins without knowing what was granted before; more than
 /// the five eighths that accounts usually ask.
-pub const CAUTIOUS_PART: f64 = 0.8;
+pub const CAUTIOUS_RATE_FRACTION: f64 = 0.8;
 /// How long a bucket is cautious, and an account hungry after it got less than it asked for: a window.
-pub const CAUTIOUS_FOR: Duration = Duration::from_secs(5);
+pub const CAUTIOUS_PERIOD: Duration = Duration::from_secs(5);
 /// Tokens of a bucket that begins without knowing what was granted before, besides a part of the burst: for
 /// a small account's few callers that all come back at once. With 10 two of 1,000 simulated runs were a
 /// hundredth over the limit.
-pub const FIRST_TOKENS: f64 = 6.0;
+pub const INITIAL_TOKENS: f64 = 6.0;
 /// The part of the burst, where the one before may still grant to some.
-pub const FIRST_BURST_PART: f64 = 0.1;
+pub const INITIAL_BURST_FRACTION: f64 = 0.1;
 /// The same where nobody else grants.
-pub const ALONE_TOKENS: f64 = 10.0;
+pub const SOLE_INITIAL_TOKENS: f64 = 10.0;
 /// The part of the burst where nobody else grants: after all nodes were killed their callers come back at once.
-pub const ALONE_BURST_PART: f64 = 0.3;
+pub const SOLE_INITIAL_BURST_FRACTION: f64 = 0.3;
 /// Longest time until the next token for which operations wait instead of being refused: an account that
 /// asks less than it may has such moments, one that asks more has not, since its backlog counts.
-pub const HELD_FOR: Duration = Duration::from_millis(100);
+pub const MAX_REFILL_WAIT: Duration = Duration::from_millis(100);
 /// How long a front does not ask after it was granted nothing: operations that come meanwhile are refused
 /// without a message.
-pub const ASKED_AGAIN: Duration = Duration::from_millis(50);
+pub const REFUSAL_CACHE_PERIOD: Duration = Duration::from_millis(50);
 /// How long a limit that was lowered holds on: operations are counted in windows of this length, and one that
 /// began before the change may hold what the old limit allowed.
-pub const LOWERED_AFTER: Duration = Duration::from_secs(5);
+pub const LOWERED_LIMIT_DELAY: Duration = Duration::from_secs(5);
 /// Time in which another node must answer.
-pub const ANSWER_LIMIT: Duration = Duration::from_millis(150);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long a node that did not answer is passed over.
-pub const PASSED_OVER: Duration = Duration::from_secs(1);
+pub const BYPASS_PERIOD: Duration = Duration::from_secs(1);
 
 /// What nodes tell each other of quotas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/core/src/quota/purse.rs
+++ b/crates/core/src/quota/token_cache.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::{ANSWER_LIMIT, ASKED_AGAIN, GRANT_LIFE, HELD_FOR};
+use super::{ANSWER_TIMEOUT, MAX_REFILL_WAIT, REFUSAL_CACHE_PERIOD, TOKEN_LIFETIME};
 use crate::ids::NodeName;
 
 /// What an operation hears that needs a token.
@@ -14,7 +14,7 @@
     /// The account has asked for as much as it may: come back after this time.
     Refused(Duration),
     /// Tokens have been asked for.
-    Waits,
+    Pending,
 }
 
 /// With which question an operation was counted that waits.
@@ -30,7 +30,7 @@
 
 /// A question that is open.
 #[derive(Clone, Debug)]
-pub(super) struct Question {
+pub(super) struct TokenRequest {
     pub number: u32,
     pub granter: NodeName,
     asked: Instant,
@@ -39,9 +39,9 @@
 
 /// What a front has of one account's tokens.
 #[derive(Clone, Debug)]
-pub(super) struct Purse {
+pub(super) struct TokenCache {
     tokens: VecDeque<Tokens>,
-    open: Option<Question>,
+    open: Option<TokenRequest>,
     /// Counts the answers, and the questions that were given up.
     round: u32,
     /// Operations that wait and are not part of the open question.
@@ -62,7 +62,7 @@
     recent: [u32; 2],
 }
 
-impl Purse {
+impl TokenCache {
     pub fn new(now: Instant) -> Self {
         Self {
             tokens: VecDeque::new(),
@@ -93,7 +93,7 @@
             ticket.0 = Some(self.round);
             self.uncounted += 1;
         }
-        Take::Waits
+        Take::Pending
     }
 
     fn take_token(&mut self, now: Instant) -> bool {
@@ -109,10 +109,10 @@
     }
 
     fn count(&mut self, now: Instant) {
-        while now >= self.counted_since + GRANT_LIFE {
+        while now >= self.counted_since + TOKEN_LIFETIME {
             self.recent = [0, self.recent[0]];
-            self.counted_since += GRANT_LIFE;
-            if now >= self.counted_since + 2 * GRANT_LIFE {
+            self.counted_since += TOKEN_LIFETIME;
+            if now >= self.counted_since + 2 * TOKEN_LIFETIME {
                 self.counted_since = now;
             }
         }
@@ -137,7 +137,7 @@
 
     /// The open question, if it has waited too long for an answer: it is given up.
     pub fn give_up(&mut self, now: Instant) -> Option<NodeName> {
-        let late = |open: &mut Question| now >= open.asked + ANSWER_LIMIT;
+        let late = |open: &mut TokenRequest| now >= open.asked + ANSWER_TIMEOUT;
         let late = self.open.take_if(late)?;
         self.next_round();
         self.elsewhere = None;
@@ -154,7 +154,7 @@
     pub fn ask(&mut self, number: u32, granter: NodeName, now: Instant) -> u32 {
         let wanted = self.uncounted + self.expected();
         self.uncounted = 0;
-        self.open = Some(Question { number, granter, asked: now, wanted });
+        self.open = Some(TokenRequest { number, granter, asked: now, wanted });
         wanted
     }
 
@@ -167,11 +167,11 @@
     pub fn on_grant(&mut self, number: u32, count: u32, retry: Duration, now: Instant) -> bool {
         let Some(open) = self.open.take_if(|open| open.number == number) else { return false };
         // Tokens last from the question on, so they are over before the granter takes them for over.
-        self.tokens.push_back(Tokens { count, until: open.asked + GRANT_LIFE });
+        self.tokens.push_back(Tokens { count, until: open.asked + TOKEN_LIFETIME });
         if count == 0 && open.wanted > 0 {
-            match retry <= HELD_FOR {
+            match retry <= MAX_REFILL_WAIT {
                 true => self.ask_after = Some(now + retry),
-                false => self.refused = Some((now + ASKED_AGAIN, now + retry)),
+                false => self.refused = Some((now + REFUSAL_CACHE_PERIOD, now + retry)),
             }
         }
         self.next_round();
--- a/crates/core/src/reader_choice.rs
+++ b/crates/core/src/reader_choice.rs
@@ -9,15 +9,15 @@
 use crate::position::Position;
 
 /// What leaving the zone is worth avoiding: bytes between zones are paid for.
-const ZONE_PRICE: Duration = Duration::from_millis(60);
+const CROSS_ZONE_PENALTY: Duration = Duration::from_millis(60);
 /// Expected extra time at an instance that has not answered lately what it was asked.
-const DOUBT_PRICE: Duration = Duration::from_secs(2);
+const UNRESPONSIVE_PENALTY: Duration = Duration::from_secs(2);
 /// Expected extra time at a replica that was behind the position when it last answered.
-const BEHIND_PRICE: Duration = Duration::from_millis(250);
+const LAG_PENALTY: Duration = Duration::from_millis(250);
 /// A replica that was behind longer ago than this has had time to catch up.
-const CATCH_UP: Duration = Duration::from_millis(200);
+const CATCH_UP_PERIOD: Duration = Duration::from_millis(200);
 /// Service time of an instance that has not answered yet.
-const UNKNOWN_SERVICE: Duration = Duration::from_millis(20);
+const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(20);
 
 /// An instance that may serve the read.
 #[derive(Clone, Copy, Debug)]
@@ -27,17 +27,17 @@
     /// Whether it is in this node's zone.
     pub is_local: bool,
     /// Position that it last told, if it can be behind.
-    pub reached: Option<Position>,
+    pub reported_position: Option<Position>,
     /// Time since then.
-    pub reached_for: Option<Duration>,
+    pub report_age: Option<Duration>,
     /// Mean time that its answers took lately.
-    pub service: Option<Duration>,
+    pub service_time: Option<Duration>,
     /// Statements that this node has under way there.
     pub running: u32,
     /// Statements that it runs well at once.
     pub slots: u32,
     /// Whether it has been silent, or refused connections, since it last answered.
-    pub in_doubt: bool,
+    pub is_unresponsive: bool,
 }
 
 /// Chooses among `readers` for a read that needs `position`.
@@ -47,15 +47,15 @@
 }
 
 fn cost(reader: &Reader, position: Option<&Position>) -> Duration {
-    let service = reader.service.unwrap_or(UNKNOWN_SERVICE);
+    let service = reader.service_time.unwrap_or(DEFAULT_SERVICE_TIME);
     let queue = service.mul_f64(f64::from(reader.running) / f64::from(reader.slots.max(1)));
-    let zone = if reader.is_local { Duration::ZERO } else { ZONE_PRICE };
-    let doubt = if reader.in_doubt { DOUBT_PRICE } else { Duration::ZERO };
-    let lately = reader.reached_for.is_some_and(|age| age < CATCH_UP);
-    let is_behind = match (&reader.reached, position) {
+    let zone = if reader.is_local { Duration::ZERO } else { CROSS_ZONE_PENALTY };
+    let doubt = if reader.is_unresponsive { UNRESPONSIVE_PENALTY } else { Duration::ZERO };
+    let lately = reader.report_age.is_some_and(|age| age < CATCH_UP_PERIOD);
+    let is_behind = match (&reader.reported_position, position) {
         (Some(reached), Some(position)) => lately && !reached.satisfies(position),
         _ => false,
     };
-    let behind = if is_behind { BEHIND_PRICE } else { Duration::ZERO };
+    let behind = if is_behind { LAG_PENALTY } else { Duration::ZERO };
     service + queue + zone + doubt + behind
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -40,23 +40,23 @@
 
 /// Paces questions that are asked again because their answers did not help.
 #[derive(Clone, Copy, Debug)]
-pub struct Repetition {
+pub struct RequestPacer {
     first: Backoff,
     backoff: Backoff,
     /// A question that comes so long after the last one is no repetition.
-    afresh: Duration,
+    reset_after: Duration,
     last: Option<Instant>,
 }
 
-impl Repetition {
+impl RequestPacer {
     /// Waits as `backoff` says, from its first wait on after `afresh` without a question.
     pub const fn new(backoff: Backoff, afresh: Duration) -> Self {
-        Self { first: backoff, backoff, afresh, last: None }
+        Self { first: backoff, backoff, reset_after: afresh, last: None }
     }
 
     /// A question is asked. Returns how long to wait before the next one.
-    pub fn on_asked(&mut self, now: Instant, random: u64) -> Duration {
-        if self.last.is_none_or(|last| now >= last + self.afresh) {
+    pub fn on_request(&mut self, now: Instant, random: u64) -> Duration {
+        if self.last.is_none_or(|last| now >= last + self.reset_after) {
             self.backoff = self.first;
         }
         self.last = Some(now);
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -82,7 +82,7 @@
     /// To this replica, which is expected to reach the bound within `wait`.
     ServeAfter(&'a InstanceName, Duration),
     /// Nowhere yet: no instance qualifies.
-    Nowhere,
+    NoInstance,
 }
 
 /// Picks the reachable instance that claims to be primary under the highest term that any instance
@@ -163,7 +163,7 @@
         .max_by_key(|candidate| candidate.status.applied.term);
     match primary {
         Some(candidate) if may_run(candidate, access) => Choice::Serve(&candidate.status.instance),
-        _ => Choice::Nowhere,
+        _ => Choice::NoInstance,
     }
 }
 
--- a/crates/core/src/session_state.rs
+++ b/crates/core/src/session_state.rs
@@ -25,7 +25,7 @@
     SqlPrepare,
     /// A cursor that outlives its transaction.
     #[error("a cursor WITH HOLD needs a connection of its own")]
-    HeldCursor,
+    HoldableCursor,
     /// A temporary object that outlives its transaction.
     #[error("temporary objects are not supported, except tables with ON COMMIT DROP")]
     TemporaryObject,
@@ -144,12 +144,12 @@
     }
 
     /// Whether [`Self::on_end`] must be told how the next exchange ends.
-    pub fn follows(&self, effects: &[Effect]) -> bool {
+    pub fn needs_exchange_end(&self, effects: &[Effect]) -> bool {
         !effects.is_empty() || self.committed.is_some() || self.has_savepoint
     }
 
     /// Takes in the end of an exchange.
-    pub fn on_end(&mut self, effects: &[Effect], end: ExchangeEnd) {
+    pub fn on_exchange_end(&mut self, effects: &[Effect], end: ExchangeEnd) {
         if !end.failed {
             for effect in effects {
                 self.apply(effect);
--- a/crates/core/tests/admission/rules.rs
+++ b/crates/core/tests/admission/rules.rs
@@ -31,7 +31,7 @@
 fn run(dispatch: Option<Dispatch<u64>>) -> Option<(Ticket, u64)> {
     match dispatch {
         Some(Dispatch::Run { ticket, work }) => Some((ticket, work)),
-        Some(Dispatch::GiveUp(refused)) => panic!("gave up {}", refused.work),
+        Some(Dispatch::Expired(refused)) => panic!("gave up {}", refused.work),
         None => None,
     }
 }
@@ -125,7 +125,7 @@
                             prop_assert!(account.running(Some(tenant)) <= capacity);
                         }
                     }
-                    Some(Dispatch::GiveUp(refused)) => {
+                    Some(Dispatch::Expired(refused)) => {
                         prop_assert!(account.waiting.remove(&refused.work).is_some());
                     }
                     None if account.running(None) < slots => {
@@ -332,8 +332,8 @@
     scheduler.offer(&request(1, 1, Priority::Normal, deadline), 7, now).expect("it fits");
     // The one in the slot takes longer than any before.
     let before = now + SERVICE * 2 - Duration::from_micros(10);
-    assert!(scheduler.give_up_late(before).is_empty());
-    let late = scheduler.give_up_late(now + SERVICE * 2 + Duration::from_micros(10));
+    assert!(scheduler.take_expired(before).is_empty());
+    let late = scheduler.take_expired(now + SERVICE * 2 + Duration::from_micros(10));
     let given_up: Vec<u64> = late.into_iter().map(|refused| refused.work).collect();
     assert_eq!(given_up, [7]);
     assert_eq!(scheduler.waiting(), 0);
--- a/crates/core/tests/admission/simulation.rs
+++ b/crates/core/tests/admission/simulation.rs
@@ -74,7 +74,7 @@
     }
 
     fn start(&mut self, now: Instant, arrivals: &[Arrival]) {
-        for late in self.scheduler.give_up_late(now) {
+        for late in self.scheduler.take_expired(now) {
             self.fates[late.work] = Fate::GivenUp { at: now };
         }
         while let Some(dispatch) = self.scheduler.take_next(now) {
@@ -85,7 +85,7 @@
                     self.fates[work] = Fate::Ran { started: now, finished };
                     self.ends.push(Reverse((finished, work)));
                 }
-                Dispatch::GiveUp(refused) => self.fates[refused.work] = Fate::GivenUp { at: now },
+                Dispatch::Expired(refused) => self.fates[refused.work] = Fate::GivenUp { at: now },
             }
         }
     }
--- a/crates/core/tests/classify.rs
+++ b/crates/core/tests/classify.rs
@@ -86,7 +86,7 @@
 #[test]
 fn what_a_shared_connection_cannot_offer_is_refused() {
     use Unsupported::{
-        AdvisoryLock, Authorization, Copy, Durability, HeldCursor, Listen, SequenceValue,
+        AdvisoryLock, Authorization, Copy, Durability, HoldableCursor, Listen, SequenceValue,
         SessionCharacteristics, SetConfig, SqlPrepare, TemporaryObject,
     };
     let table = [
@@ -97,7 +97,7 @@
         ("PREPARE a AS SELECT 1", SqlPrepare),
         ("EXECUTE a", SqlPrepare),
         ("DEALLOCATE a", SqlPrepare),
-        ("DECLARE c CURSOR WITH HOLD FOR SELECT 1", HeldCursor),
+        ("DECLARE c CURSOR WITH HOLD FOR SELECT 1", HoldableCursor),
         ("CREATE TEMP TABLE t (id INT)", TemporaryObject),
         ("CREATE TEMPORARY TABLE t ON COMMIT PRESERVE ROWS AS SELECT 1", TemporaryObject),
         ("CREATE TEMP VIEW v AS SELECT 1", TemporaryObject),
@@ -189,7 +189,7 @@
         for (text, end) in *steps {
             let facts = classify(text);
             state.check(&facts, end.in_transaction).expect("supported");
-            state.on_end(&facts.effects, *end);
+            state.on_exchange_end(&facts.effects, *end);
         }
         let statements: Vec<String> =
             state.settings().into_iter().map(|setting| setting.statement).collect();
@@ -200,10 +200,10 @@
 #[test]
 fn a_setting_behind_a_savepoint_is_refused() {
     let mut state = SessionState::default();
-    state.on_end(&classify("SAVEPOINT a").effects, OPEN);
+    state.on_exchange_end(&classify("SAVEPOINT a").effects, OPEN);
     let set = classify("SET a.x = '1'");
     assert_eq!(state.check(&set, true), Err(Unsupported::SetAfterSavepoint));
-    state.on_end(&[], UNDONE);
+    state.on_exchange_end(&[], UNDONE);
     assert_eq!(state.check(&set, false), Ok(()));
 }
 
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -17,7 +17,7 @@
 fn observe(freshness: &mut Freshness, said: (&str, Role, u32, u64, u64)) {
     let (instance, role, term, offset, asked) = said;
     let applied = Position { term: Term(term), offset: LogOffset(offset) };
-    let observation = Observation { role, applied, asked: at(asked) };
+    let observation = Observation { role, applied, requested_at: at(asked) };
     freshness.on_observation(&InstanceName::new(instance), observation);
 }
 
--- a/crates/core/tests/quota/limits.rs
+++ b/crates/core/tests/quota/limits.rs
@@ -35,7 +35,8 @@
         let account = &self.account;
         let find = |_: &AccountName| Some(account);
         let live = [self.own.clone()];
-        let view = View { now: self.now, own: &self.own, live: &live, counted: 1, account: &find };
+        let view =
+            View { now: self.now, own: &self.own, live: &live, recent_nodes: 1, account: &find };
         self.quotas.take(&self.name, &mut Ticket::default(), &view)
     }
 
@@ -108,5 +109,5 @@
     let mut single = Single::new(1.0, 1.0);
     single.account.quota = None;
     assert_eq!(single.taken_in(Duration::from_secs(1)), 1_000);
-    assert!(!single.quotas.has_news());
+    assert!(!single.quotas.has_pending_output());
 }
--- a/crates/core/tests/quota/world.rs
+++ b/crates/core/tests/quota/world.rs
@@ -7,12 +7,12 @@
 
 use kestrellock_core::catalog::{Account, Operations, Quota};
 use kestrellock_core::ids::{AccountName, NodeName};
-use kestrellock_core::quota::{ANSWER_LIMIT, QuotaMessage, Quotas, Take, Ticket, View};
+use kestrellock_core::quota::{ANSWER_TIMEOUT, QuotaMessage, Quotas, Take, Ticket, View};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 /// Longest wait of an operation for a token, as the fronts have it.
-const TOKEN_WAIT: Duration = Duration::from_millis(3 * ANSWER_LIMIT.as_millis() as u64);
+const TOKEN_WAIT: Duration = Duration::from_millis(3 * ANSWER_TIMEOUT.as_millis() as u64);
 const TICK: Duration = Duration::from_millis(10);
 /// Part of the operations that get a token and then do not run, where something befalls the nodes.
 const NOT_RUN: f64 = 0.05;
@@ -243,7 +243,7 @@
         };
         let counted = self.nodes.len();
         let Node { name, quotas, live, .. } = &mut self.nodes[node];
-        let view = View { now: self.now, own: name, live, counted, account: &find };
+        let view = View { now: self.now, own: name, live, recent_nodes: counted, account: &find };
         let outcome = work(quotas, &view);
         self.send_all(node);
         outcome
@@ -303,8 +303,8 @@
                 }
                 Take::Taken => account.ran.push(self.now - self.start),
                 Take::Refused(_) => account.refused += 1,
-                Take::Waits if late => account.unanswered += 1,
-                Take::Waits => self.nodes[node].waiting.push_back(waiting),
+                Take::Pending if late => account.unanswered += 1,
+                Take::Pending => self.nodes[node].waiting.push_back(waiting),
             }
         }
     }
--- a/crates/core/tests/read_your_writes.rs
+++ b/crates/core/tests/read_your_writes.rs
@@ -9,7 +9,7 @@
 use kestrellock_core::confirmation::{
     Confirmation, ConfirmationRule, Evidence, ProbeNumber, Verdict,
 };
-use kestrellock_core::current_position::CurrentPosition;
+use kestrellock_core::current_position::CurrentPositionQuery;
 use kestrellock_core::ids::InstanceName;
 use kestrellock_core::position::{LogOffset, Position, Term};
 use kestrellock_core::routing::Role;
@@ -82,7 +82,7 @@
 
 struct PendingSession {
     must_see: BTreeSet<usize>,
-    question: CurrentPosition,
+    question: CurrentPositionQuery,
 }
 
 struct Session {
@@ -138,7 +138,7 @@
             Step::Probe { instance } => self.probe(instance),
             Step::Connect => self.connecting.push(PendingSession {
                 must_see: self.acknowledged.clone(),
-                question: CurrentPosition::new(self.last_probe.next()),
+                question: CurrentPositionQuery::new(self.last_probe.next()),
             }),
         }
     }
--- a/crates/core/tests/result_codes.rs
+++ b/crates/core/tests/result_codes.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use kestrellock_core::outcome::{Execution, Refusal, ResultCode, USUAL_HINT};
+use kestrellock_core::outcome::{DEFAULT_RETRY_HINT, Execution, Refusal, ResultCode};
 
 fn row(code: ResultCode) -> String {
     let execution = match code.execution() {
@@ -36,11 +36,11 @@
 
 #[test]
 fn who_was_not_served_because_of_something_that_passes_is_told_when_to_come_back() {
-    let hint = |code| Refusal::new(code, "").with_usual_hint().retry_after;
-    assert_eq!(hint(ResultCode::ReadInterrupted), Some(USUAL_HINT));
-    assert_eq!(hint(ResultCode::TransactionLost), Some(USUAL_HINT));
+    let hint = |code| Refusal::new(code, "").with_default_retry_hint().retry_after;
+    assert_eq!(hint(ResultCode::ReadInterrupted), Some(DEFAULT_RETRY_HINT));
+    assert_eq!(hint(ResultCode::TransactionLost), Some(DEFAULT_RETRY_HINT));
     assert_eq!(hint(ResultCode::SupersededInDoubt), None);
     assert_eq!(hint(ResultCode::DatabaseNotAllowed), None);
     let told = Refusal::new(ResultCode::NotSent, "").retry_after(Duration::from_millis(7));
-    assert_eq!(told.with_usual_hint().retry_after, Some(Duration::from_millis(7)));
+    assert_eq!(told.with_default_retry_hint().retry_after, Some(Duration::from_millis(7)));
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_core::connection_budget::{ConnectionBudget, owner_limit};
-use kestrellock_core::retry::{Backoff, Repetition, RetryBudget};
+use kestrellock_core::retry::{Backoff, RequestPacer, RetryBudget};
 use proptest::prelude::*;
 
 const FIRST: Duration = Duration::from_millis(10);
@@ -105,13 +105,13 @@
     let start = std::time::Instant::now();
     let (first, last) = (Duration::from_millis(8), Duration::from_millis(60));
     let afresh = Duration::from_millis(500);
-    let mut repetition = Repetition::new(Backoff::new(first, last), afresh);
+    let mut repetition = RequestPacer::new(Backoff::new(first, last), afresh);
     let mut now = start;
     let mut asked = 0;
     while now < start + Duration::from_secs(1) {
-        now += repetition.on_asked(now, u64::MAX);
+        now += repetition.on_request(now, u64::MAX);
         asked += 1;
     }
     assert!((16..25).contains(&asked), "{asked} questions in a second");
-    assert_eq!(repetition.on_asked(now + afresh, u64::MAX), first, "that is another one");
+    assert_eq!(repetition.on_request(now + afresh, u64::MAX), first, "that is another one");
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -45,7 +45,7 @@
         .collect();
     match choose(access, &candidates, &ZoneName::new("here")) {
         Choice::Serve(name) | Choice::ServeAfter(name, _) => Some(name.as_str().to_owned()),
-        Choice::Nowhere => None,
+        Choice::NoInstance => None,
     }
 }
 
--- a/crates/daemon/src/front/session.rs
+++ b/crates/daemon/src/front/session.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_core::catalog::Revision;
-use kestrellock_core::exchange_state::{Effect, Stake};
+use kestrellock_core::exchange_state::{Effect, ExchangeImpact};
 use kestrellock_core::ids::{AccountName, InstanceName, LeaseId};
 use kestrellock_core::outcome::{Refusal, ResultCode};
 use kestrellock_core::position::Position;
@@ -50,7 +50,8 @@
 /// Reads repeated in a session, for 100 first attempts, and beyond that.
 const REPEATS_PERCENT: u32 = 10;
 const REPEATS_RESERVE: u32 = 5;
-const NOTHING_AT_STAKE: Stake = Stake { effect: Effect::Read, continues_transaction: false };
+const NOTHING_AT_STAKE: ExchangeImpact =
+    ExchangeImpact { effect: Effect::Read, continues_transaction: false };
 
 /// A transaction that never got as far as its commit.
 const UNDONE: ExchangeEnd = ExchangeEnd { failed: true, in_transaction: false, rolled_back: true };
@@ -89,7 +90,7 @@
     /// Only kept where answered commits are evidence of a primary.
     writes: TransactionWrites,
     /// What the exchange under way puts at stake.
-    stake: Stake,
+    stake: ExchangeImpact,
     /// Whether part of its answer has been passed on.
     answer_begun: bool,
     /// Earliest time to send a held request.
--- a/crates/daemon/src/front/session/authorization.rs
+++ b/crates/daemon/src/front/session/authorization.rs
@@ -84,7 +84,7 @@
             let output = &mut self.connection.output;
             self.protocol.put_refusal(&refusal, Severity::Session, output);
         }
-        self.state.on_end(&[], UNDONE);
+        self.state.on_exchange_end(&[], UNDONE);
         self.abandon(io);
         self.parting_since = Some(io.now);
         self.part(io)
--- a/crates/daemon/src/front/session/lease.rs
+++ b/crates/daemon/src/front/session/lease.rs
@@ -83,7 +83,7 @@
     /// Ends the exchange under way, and the lease unless a transaction stays open.
     pub(super) fn end_lease(&mut self, event: LeaseEvent, io: &Io) {
         let event = match event {
-            LeaseEvent::Refused(refusal) => LeaseEvent::Refused(refusal.with_usual_hint()),
+            LeaseEvent::Refused(refusal) => LeaseEvent::Refused(refusal.with_default_retry_hint()),
             other => other,
         };
         // A read that broke off changed nothing, but an instance may have run it.
@@ -126,7 +126,7 @@
                 let ended = request.is_none_or(|request| {
                     matches!(request.class(), StatementClass::Commit | StatementClass::Rollback)
                 });
-                self.state.on_end(&[], UNDONE);
+                self.state.on_exchange_end(&[], UNDONE);
                 self.transaction_lost = self.transaction != TransactionState::Idle && !ended;
                 self.transaction = match self.transaction_lost {
                     true => TransactionState::Failed,
@@ -185,11 +185,11 @@
     /// Lets the session's state follow an exchange that its back end has answered.
     fn follow_end(&mut self, request: &Request, answer: &Bytes, transaction: TransactionState) {
         let effects: &[Effect] = if request.executes { &request.facts.effects } else { &[] };
-        if !self.state.follows(effects) {
+        if !self.state.needs_exchange_end(effects) {
             return;
         }
         let end = self.protocol.exchange_end(answer, transaction);
-        self.state.on_end(effects, end);
+        self.state.on_exchange_end(effects, end);
         if !end.failed && effects.contains(&Effect::Discard) {
             self.protocol.forget_statements();
         }
--- a/crates/daemon/src/front/session/parting.rs
+++ b/crates/daemon/src/front/session/parting.rs
@@ -88,7 +88,7 @@
         self.abandon(io);
         self.transaction_lost = true;
         self.transaction = TransactionState::Failed;
-        self.state.on_end(&[], UNDONE);
+        self.state.on_exchange_end(&[], UNDONE);
     }
 
     fn is_overdue(&self, io: &Io) -> bool {
--- a/crates/daemon/src/front/session/quota.rs
+++ b/crates/daemon/src/front/session/quota.rs
@@ -4,14 +4,14 @@
 
 use kestrellock_core::ids::AccountName;
 use kestrellock_core::outcome::{Refusal, ResultCode};
-use kestrellock_core::quota::{ANSWER_LIMIT, Take, Ticket};
+use kestrellock_core::quota::{ANSWER_TIMEOUT, Take, Ticket};
 use kestrellock_peer::message::TransactionState;
 
 use super::Session;
 use crate::event::Io;
 
 /// Longest wait for an answer about tokens: each of the nodes that may grant has its time.
-const TOKEN_WAIT: Duration = ANSWER_LIMIT.saturating_mul(3);
+const TOKEN_WAIT: Duration = ANSWER_TIMEOUT.saturating_mul(3);
 /// When to come back after nobody answered.
 const UNANSWERED_RETRY: Duration = Duration::from_millis(100);
 
@@ -55,8 +55,8 @@
                 self.needs_token = false;
                 return true;
             }
-            Take::Waits if io.now < request.arrived + TOKEN_WAIT => return false,
-            Take::Waits => {
+            Take::Pending if io.now < request.arrived + TOKEN_WAIT => return false,
+            Take::Pending => {
                 let detail = "no node has said whether the account may ask for more";
                 Refusal::new(ResultCode::QuotaUnanswered, detail).retry_after(UNANSWERED_RETRY)
             }
--- a/crates/daemon/src/front/session/requests.rs
+++ b/crates/daemon/src/front/session/requests.rs
@@ -132,7 +132,7 @@
         output.extend_from_slice(&request.rollback_replies);
         self.protocol.put_ready(self.transaction, output);
         if request.is_local {
-            self.state.on_end(&request.facts.effects, DONE_LOCALLY);
+            self.state.on_exchange_end(&request.facts.effects, DONE_LOCALLY);
         }
     }
 
@@ -153,7 +153,7 @@
             self.abandon(io);
             self.transaction_lost = true;
             self.transaction = TransactionState::Failed;
-            self.state.on_end(&[], UNDONE);
+            self.state.on_exchange_end(&[], UNDONE);
         }
         counting::refused(refusal, io);
         decisions::refused(None, self.login.as_ref(), self.account.as_ref(), None, refusal, io);
--- a/crates/daemon/src/front/session/retrying.rs
+++ b/crates/daemon/src/front/session/retrying.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use kestrellock_core::exchange_state::{Effect, Fault, Progress, failure_code, may_go_out_again};
+use kestrellock_core::exchange_state::{Effect, Fault, Progress, failure_code, may_retry};
 use kestrellock_core::ids::NodeName;
 use kestrellock_core::outcome::{Execution, Refusal, ResultCode};
 use kestrellock_core::retry::Backoff;
@@ -28,7 +28,7 @@
     /// it.
     pub fn on_unsent(&mut self, io: &mut Io) {
         self.mark_unreachable(io);
-        let code = failure_code(self.stake, Progress::Held, Fault::GatewayLost);
+        let code = failure_code(self.stake, Progress::AtFront, Fault::GatewayLost);
         self.on_refused(Refusal::new(code, "no connection to the gateway"), io);
     }
 
@@ -56,14 +56,14 @@
         if !has_not_run {
             return self.end_unanswered(Fault::AnswerLost, "the gateway lost the answer", io);
         }
-        let code = failure_code(self.stake, Progress::Held, Fault::GatewayLost);
+        let code = failure_code(self.stake, Progress::AtFront, Fault::GatewayLost);
         self.on_refused(Refusal::new(code, "the statement did not reach the gateway"), io);
     }
 
     /// Ends an exchange that the gateway may have run. The lease is over: nothing more goes out on
     /// it, so a transaction whose commit has not been sent cannot commit any more.
     pub(super) fn end_unanswered(&mut self, fault: Fault, detail: &str, io: &mut Io) {
-        let code = failure_code(self.stake, Progress::HandedOver, fault);
+        let code = failure_code(self.stake, Progress::Forwarded, fault);
         self.abandon(io);
         self.on_refused(Refusal::new(code, detail), io);
     }
@@ -96,7 +96,7 @@
         let unsafe_resend = io.context.policy == Policy::ResendOnError
             && refusal.code.execution() == Execution::InDoubt
             && !self.stake.continues_transaction;
-        let again = may_go_out_again(self.stake, refusal.code) || unfinished_read || unsafe_resend;
+        let again = may_retry(self.stake, refusal.code) || unfinished_read || unsafe_resend;
         if unfinished_read {
             self.repeat_operation();
         }
@@ -111,7 +111,7 @@
             }
             // Sent back for the last time: what the caller waited for in vain is a primary.
             Some(_) if again && !self.answer_begun && refusal.code == ResultCode::NotPrimary => {
-                let code = failure_code(NOTHING_AT_STAKE, Progress::Held, Fault::Deadline);
+                let code = failure_code(NOTHING_AT_STAKE, Progress::AtFront, Fault::Deadline);
                 self.settle_or_refuse(Refusal::new(code, refusal.detail), io);
             }
             _ => self.settle_or_refuse(refusal, io),
--- a/crates/daemon/src/front/session/sending.rs
+++ b/crates/daemon/src/front/session/sending.rs
@@ -6,9 +6,9 @@
 use kestrellock_core::catalog::{Consistency, Template};
 use kestrellock_core::classify::StatementClass;
 use kestrellock_core::exchange_state::{Fault, Progress, failure_code};
-use kestrellock_core::holding::held_until;
 use kestrellock_core::ids::{InstanceName, LeaseId};
 use kestrellock_core::outcome::{Refusal, ResultCode};
+use kestrellock_core::placement_deadline::placement_deadline;
 use kestrellock_core::routing::Access;
 use kestrellock_peer::message::{
     Exchange, GatewayCall, Placement, PlacementNeed, ToGateway, TransactionState,
@@ -40,10 +40,10 @@
         }
         let Some(request) = &self.request else { return };
         let repeats = io.context.protocol.traits().callers_repeat;
-        if io.now > held_until(request.arrived, request.deadline, repeats) {
+        if io.now > placement_deadline(request.arrived, request.deadline, repeats) {
             let code = match self.awaited {
                 Some(_) => ResultCode::NoFreshInstance,
-                None => failure_code(NOTHING_AT_STAKE, Progress::Held, Fault::Deadline),
+                None => failure_code(NOTHING_AT_STAKE, Progress::AtFront, Fault::Deadline),
             };
             let refusal = Refusal::new(code, "no instance could take the statement");
             self.settle_or_refuse(refusal, io);
--- a/crates/daemon/src/front/target.rs
+++ b/crates/daemon/src/front/target.rs
@@ -62,7 +62,7 @@
         .collect();
     let chosen = match choose(access, &candidates, &io.context.identity.zone) {
         Choice::Serve(instance) | Choice::ServeAfter(instance, _) => instance,
-        Choice::Nowhere => return None,
+        Choice::NoInstance => return None,
     };
     let role = statuses.get(chosen).map(|known| known.status.role);
     let instance = instances.iter().find(|instance| instance.name == *chosen)?;
--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use kestrellock_core::catalog::{Elector, Group};
 use kestrellock_core::confirmation::{Confirmation, Evidence, ProbeNumber, Verdict};
-use kestrellock_core::exchange_state::{Effect, Fault, Progress, Stake, failure_code};
+use kestrellock_core::exchange_state::{Effect, ExchangeImpact, Fault, Progress, failure_code};
 use kestrellock_core::ids::{GroupName, InstanceName, LeaseId, NodeName};
 use kestrellock_core::outcome::Refusal;
 use kestrellock_core::position::{Position, Term};
@@ -116,7 +116,7 @@
     /// Adds a commit; its own primary, which reported after it, is the first to confirm.
     pub fn wait_for(&mut self, commit: Commit, group: &Group, io: &mut Io) {
         let Some(report) = commit.report else {
-            return refuse(commit, Progress::Answered, Fault::BackendLost, io);
+            return refuse(commit, Progress::Answered, Fault::InstanceConnectionLost, io);
         };
         // It led when it committed: it has stepped down since, and may have to drop the commit.
         if report.role == Role::Replica {
@@ -271,7 +271,7 @@
 }
 
 fn refuse(commit: Commit, progress: Progress, fault: Fault, io: &mut Io) {
-    let stake = Stake { effect: Effect::MayCommit, continues_transaction: false };
+    let stake = ExchangeImpact { effect: Effect::MayCommit, continues_transaction: false };
     let detail = match fault {
         Fault::Superseded => "a new primary appeared before a majority confirmed the commit",
         Fault::Deadline => "no majority confirmed the commit in time",
--- a/crates/daemon/src/gateway/current_position.rs
+++ b/crates/daemon/src/gateway/current_position.rs
@@ -4,7 +4,7 @@
 
 use kestrellock_core::catalog::Group;
 use kestrellock_core::confirmation::{Evidence, ProbeNumber};
-use kestrellock_core::current_position::CurrentPosition;
+use kestrellock_core::current_position::CurrentPositionQuery;
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_peer::message::ToFront;
 
@@ -20,7 +20,7 @@
     shard: u16,
     number: u64,
     until: Instant,
-    question: CurrentPosition,
+    question: CurrentPositionQuery,
 }
 
 /// Questions for one group's current position.
@@ -45,11 +45,11 @@
         match self.waiting.iter_mut().find(same) {
             Some(known) if known.number == number => known.until = until,
             Some(known) => {
-                let question = CurrentPosition::new(first_probe);
+                let question = CurrentPositionQuery::new(first_probe);
                 *known = Waiting { node, shard, number, until, question };
             }
             None => {
-                let question = CurrentPosition::new(first_probe);
+                let question = CurrentPositionQuery::new(first_probe);
                 self.waiting.push(Waiting { node, shard, number, until, question });
             }
         }
--- a/crates/daemon/src/gateway/exchanges.rs
+++ b/crates/daemon/src/gateway/exchanges.rs
@@ -178,7 +178,7 @@
         let Some(server) = self.servers.get_mut(key) else { return };
         if !server.accepts(exchange) {
             server.refuse_unsent(exchange, Fault::AnswerLost, io);
-            return self.on_server_lost(key, Fault::BackendLost, io);
+            return self.on_server_lost(key, Fault::InstanceConnectionLost, io);
         }
         if exchange.number == 0 && !self.is_recent_enough(key, exchange, io) {
             let code = match exchange.access.is_write() {
@@ -197,7 +197,7 @@
         }
         server.run(exchange, deadline, io);
         if server.flush(io).is_err() {
-            self.on_server_lost(key, Fault::BackendLost, io);
+            self.on_server_lost(key, Fault::InstanceConnectionLost, io);
         }
     }
 }
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -74,7 +74,7 @@
             self.leases.remove(lease);
         }
         if !server.reset(io) || server.flush(io).is_err() {
-            self.on_server_lost(key, Fault::BackendLost, io);
+            self.on_server_lost(key, Fault::InstanceConnectionLost, io);
         }
     }
 
--- a/crates/daemon/src/gateway/losses.rs
+++ b/crates/daemon/src/gateway/losses.rs
@@ -23,7 +23,7 @@
         match server.purpose {
             Use::Pooled => {
                 state.monitor.on_connection_lost(&server.instance, io.now);
-                if fault == Fault::BackendLost {
+                if fault == Fault::InstanceConnectionLost {
                     io.context.statuses.forget_evidence(&server.group);
                 }
                 if state.standings.on_ready(&server.instance, key, io) {
@@ -50,7 +50,7 @@
     pub(super) fn close_idle(&mut self, key: usize, io: &mut Io) {
         let pooled = self.servers.get(key).is_some_and(|server| server.purpose == Use::Pooled);
         if !pooled {
-            return self.on_server_lost(key, Fault::BackendLost, io);
+            return self.on_server_lost(key, Fault::InstanceConnectionLost, io);
         }
         let mut server = self.servers.remove(key);
         io.context.metrics.backends.count(ConnectionEvent::Closed);
@@ -81,7 +81,7 @@
         return None;
     }
     match (server.was_refused(), fault) {
-        (true, Fault::BackendLost) => Some(Reachability::Refused),
+        (true, Fault::InstanceConnectionLost) => Some(Reachability::Refused),
         _ => Some(Reachability::Broken),
     }
 }
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -306,7 +306,7 @@
         let moment = |at: Instant| at.saturating_duration_since(self.started);
         let (asked, now) = (moment(answer.asked), moment(now));
         let Report { role, applied, .. } = answer.report;
-        self.freshness.on_observation(instance, Observation { role, applied, asked });
+        self.freshness.on_observation(instance, Observation { role, applied, requested_at: asked });
         self.freshness.age(instance, majority, now).unwrap_or(UNKNOWN_LAG)
     }
 
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -5,10 +5,10 @@
 use std::time::Instant;
 
 use kestrellock_core::catalog::Group;
-use kestrellock_core::exchange_state::{Effect, Fault, Progress, Stake, failure_code};
-use kestrellock_core::holding::held_until;
+use kestrellock_core::exchange_state::{Effect, ExchangeImpact, Fault, Progress, failure_code};
 use kestrellock_core::ids::{GroupName, InstanceName, LeaseId, NodeName};
 use kestrellock_core::outcome::Refusal;
+use kestrellock_core::placement_deadline::placement_deadline;
 use kestrellock_core::routing::Access;
 use kestrellock_peer::message::{Exchange, LeaseEvent, Placement, PlacementNeed};
 
@@ -18,7 +18,8 @@
 use crate::event::Io;
 
 /// An exchange that was never sent puts nothing at stake.
-const NOTHING_AT_STAKE: Stake = Stake { effect: Effect::Read, continues_transaction: false };
+const NOTHING_AT_STAKE: ExchangeImpact =
+    ExchangeImpact { effect: Effect::Read, continues_transaction: false };
 
 /// An exchange without an instance.
 #[derive(Debug)]
@@ -41,7 +42,7 @@
         let arrived = now.checked_sub(need.waited).unwrap_or(now);
         let deadline = now + exchange.time_left;
         let repeats = io.context.protocol.traits().callers_repeat;
-        let until = held_until(arrived, deadline, repeats);
+        let until = placement_deadline(arrived, deadline, repeats);
         Self { exchange, need, arrived, deadline, until, is_told: false }
     }
 
@@ -95,7 +96,7 @@
     }
 
     fn give_back(self, io: &mut Io) {
-        let code = failure_code(NOTHING_AT_STAKE, Progress::Held, Fault::Deadline);
+        let code = failure_code(NOTHING_AT_STAKE, Progress::AtFront, Fault::Deadline);
         let refusal = Refusal::new(code, "no instance could take the statement");
         notify(&self.exchange.lease, 0, LeaseEvent::Refused(refusal), io);
     }
--- a/crates/daemon/src/gateway/placing.rs
+++ b/crates/daemon/src/gateway/placing.rs
@@ -160,12 +160,14 @@
             Reader {
                 instance: &instance.name,
                 is_local: instance.zone == io.context.identity.zone,
-                reached: record.reached.filter(|_| instance.announced_role == Some(Role::Replica)),
-                reached_for: record.reached_at.map(|at| io.now.saturating_duration_since(at)),
-                service: record.service,
+                reported_position: record
+                    .reached
+                    .filter(|_| instance.announced_role == Some(Role::Replica)),
+                report_age: record.reached_at.map(|at| io.now.saturating_duration_since(at)),
+                service_time: record.service,
                 running: record.running() + queued(&instance.name),
                 slots: instance.slots,
-                in_doubt: record.in_doubt,
+                is_unresponsive: record.in_doubt,
             }
         })
         .collect();
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -244,7 +244,7 @@
 
     /// Takes out exchanges that can no longer finish in time.
     pub fn give_up_late(&mut self, now: Instant) -> Vec<RefusedExchange> {
-        let late = self.scheduler.give_up_late(now);
+        let late = self.scheduler.take_expired(now);
         late.into_iter().map(|refused| self.left_queue(refused)).collect()
     }
 
@@ -260,7 +260,7 @@
         let reserved = self.reserved(now);
         while let Some(dispatch) = self.take_next(reserved, now) {
             match dispatch {
-                Dispatch::GiveUp(refused) => {
+                Dispatch::Expired(refused) => {
                     let refused = self.left_queue(refused);
                     assigned.refused.push(refused);
                 }
--- a/crates/daemon/src/gateway/primary_questions.rs
+++ b/crates/daemon/src/gateway/primary_questions.rs
@@ -5,7 +5,7 @@
 
 use kestrellock_core::catalog::{Group, Instance};
 use kestrellock_core::ids::{GroupName, InstanceName};
-use kestrellock_core::retry::{Backoff, Repetition};
+use kestrellock_core::retry::{Backoff, RequestPacer};
 use kestrellock_core::routing::Role;
 
 use crate::event::Io;
@@ -13,7 +13,7 @@
 /// Time after which instances that have not answered are asked again.
 const ANSWER_LIMIT: Duration = Duration::from_millis(60);
 /// Times between two questions where the answer did not help: an answer that helps does so for long.
-const REPETITION: Repetition = Repetition::new(
+const REPETITION: RequestPacer = RequestPacer::new(
     Backoff::new(Duration::from_millis(8), Duration::from_millis(60)),
     Duration::from_millis(500),
 );
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct PrimaryQuestions {
     newest: Option<Question>,
-    repetition: Repetition,
+    repetition: RequestPacer,
 }
 
 impl Default for PrimaryQuestions {
@@ -56,7 +56,7 @@
         }
         let chosen = choose(name, group, io);
         if !chosen.is_empty() {
-            let pause = self.repetition.on_asked(io.now, rand::random());
+            let pause = self.repetition.on_request(io.now, rand::random());
             self.newest = Some(Question { asked: Instant::now(), answered: false, pause });
         }
         chosen
--- a/crates/daemon/src/gateway/running.rs
+++ b/crates/daemon/src/gateway/running.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use bytes::{Bytes, BytesMut};
-use kestrellock_core::exchange_state::{Effect, Fault, Progress, Stake, failure_code};
+use kestrellock_core::exchange_state::{Effect, ExchangeImpact, Fault, Progress, failure_code};
 use kestrellock_core::ids::{InstanceName, LeaseId};
 use kestrellock_core::outcome::{Refusal, ResultCode};
 use kestrellock_core::position::{Position, Term};
@@ -13,13 +13,13 @@
 use kestrellock_protocol::backend::{BackendProtocol, Failure, Passage, Reply, ReplyKind, Report};
 
 /// What an exchange puts at stake.
-pub fn stake_of(exchange: &Exchange) -> Stake {
+pub fn stake_of(exchange: &Exchange) -> ExchangeImpact {
     let effect = match (&exchange.access, exchange.may_commit) {
         (Access::Read { .. } | Access::PrimaryRead { .. }, _) => Effect::Read,
         (Access::Write { .. }, false) => Effect::InsideTransaction,
         (Access::Write { .. }, true) => Effect::MayCommit,
     };
-    Stake { effect, continues_transaction: exchange.number > 0 }
+    ExchangeImpact { effect, continues_transaction: exchange.number > 0 }
 }
 
 /// What remains to be done after a message.
@@ -53,7 +53,7 @@
     /// Lease it belongs to.
     pub lease: LeaseId,
     /// What it puts at stake.
-    pub stake: Stake,
+    pub stake: ExchangeImpact,
     /// When it was sent.
     pub sent: Instant,
     /// Latest time to answer.
@@ -261,7 +261,7 @@
         };
         let stake = match self.is_answered() && !idle && !self.has_committed {
             // The transaction was still open after the answer: it ends with its connection.
-            true => Stake { effect: Effect::InsideTransaction, ..self.stake },
+            true => ExchangeImpact { effect: Effect::InsideTransaction, ..self.stake },
             false => self.stake,
         };
         let code = failure_code(stake, progress, fault);
@@ -273,7 +273,7 @@
     match fault {
         Fault::Deadline => "the back end did not answer in time",
         Fault::Superseded => "the primary has been replaced",
-        Fault::BackendLost => "the connection to the back end was lost",
+        Fault::InstanceConnectionLost => "the connection to the back end was lost",
         Fault::GatewayLost | Fault::GatewaySilent | Fault::AnswerLost => "the gateway was lost",
     }
 }
--- a/crates/daemon/src/gateway/server_events.rs
+++ b/crates/daemon/src/gateway/server_events.rs
@@ -47,7 +47,7 @@
             self.on_server_event(key, event, io);
         }
         if broken {
-            self.on_server_lost(key, Fault::BackendLost, io);
+            self.on_server_lost(key, Fault::InstanceConnectionLost, io);
         }
     }
 
@@ -85,19 +85,19 @@
                 }
             }
             ServerEvent::Ready => state.monitor.on_probe_ready(key, &instance),
-            ServerEvent::Unusable => self.on_server_lost(key, Fault::BackendLost, io),
+            ServerEvent::Unusable => self.on_server_lost(key, Fault::InstanceConnectionLost, io),
             ServerEvent::Refused => {
                 io.context.metrics.backends.count(ConnectionEvent::Refused);
                 if let Some(pool) = state.pools.get_mut(&instance) {
                     pool.on_refused(io.now, rand::random());
                 }
-                self.on_server_lost(key, Fault::BackendLost, io);
+                self.on_server_lost(key, Fault::InstanceConnectionLost, io);
             }
             ServerEvent::Displaced => {
                 if let Some(server) = self.servers.get_mut(key) {
                     server.mark_refused();
                 }
-                self.on_server_lost(key, Fault::BackendLost, io);
+                self.on_server_lost(key, Fault::InstanceConnectionLost, io);
                 let state = self.groups.get_mut(&group);
                 if let Some(pool) = state.and_then(|state| state.pools.get_mut(&instance)) {
                     pool.on_displaced(io.now);
--- a/crates/daemon/src/gateway/standings.rs
+++ b/crates/daemon/src/gateway/standings.rs
@@ -120,7 +120,7 @@
             }
         }
         for key in broken {
-            self.on_server_lost(key, Fault::BackendLost, io);
+            self.on_server_lost(key, Fault::InstanceConnectionLost, io);
         }
     }
 }
--- a/crates/daemon/src/shared/quotas.rs
+++ b/crates/daemon/src/shared/quotas.rs
@@ -125,11 +125,11 @@
             now,
             own: &context.identity.node,
             live: &nodes.working,
-            counted: nodes.counted,
+            recent_nodes: nodes.counted,
             account: &account,
         };
         let outcome = work(quotas, &view);
-        if quotas.has_news() {
+        if quotas.has_pending_output() {
             self.has_news.store(true, Ordering::Release);
         }
         outcome
