--- a/crates/core/src/quota/allocation.rs
+++ b/crates/core/src/quota/allocation.rs
@@ -1,5 +1,5 @@
-//! The buckets that a node keeps for all: it grants, refers to the node that does, takes a bucket over and
-//! hands it over.
+//! The allocator side of quotas: grants tokens from this node's buckets, refers fronts to another
+//! allocator, and runs the handover of an account between allocators.
 
 use std::time::{Duration, Instant};
 
@@ -8,44 +8,45 @@
 use crate::catalog::Quota;
 use crate::ids::{AccountName, NodeName};
 
-/// Time for which a node that has handed an account over refers to its successor: until all nodes know it.
+/// After a handover the previous allocator refers fronts to the new one for this long. By then all
+/// nodes know the new allocator from the list of live nodes.
 const REFERRAL_PERIOD: Duration = Duration::from_secs(6);
 
-/// A question that waits until a bucket is taken over.
+/// A request for tokens that waits for the end of a handover.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct WaitingRequest {
     from: NodeName,
     number: u32,
     count: u32,
 }
 
-/// What a node is for an account that it grants for.
+/// This node's role for an account that it allocates, or allocated until a handover.
 #[derive(Debug)]
 pub(super) enum AllocatorState {
-    /// It has asked those that may have granted before.
+    /// Asked the nodes that may have allocated before for their remaining tokens.
     AwaitingHandover {
         since: Instant,
-        /// Nodes that were asked and have not answered.
-        asked: Vec<NodeName>,
-        left: Option<f64>,
-        waiting: Vec<Waiting>,
+        /// Nodes that were asked and have not answered yet.
+        unanswered: Vec<NodeName>,
+        remaining: Option<f64>,
+        waiting: Vec<WaitingRequest>,
     },
-    /// It grants, or did and has not been asked to hand over.
+    /// Grants tokens, or did so earlier and no other node has requested the handover.
     Active(Bucket),
-    /// It has handed the account over.
+    /// The account was handed over to another node.
     HandedOver { to: NodeName, at: Instant },
 }
 
-/// The same, and when that was last of use.
+/// The state of one account and the time of its last use.
 #[derive(Debug)]
 pub(super) struct AllocatorEntry {
-    pub keeping: AllocatorState,
-    /// When it was last asked.
-    pub used: Instant,
+    pub state: AllocatorState,
+    /// Time of the last request for this account.
+    pub last_used: Instant,
 }
 
 impl Quotas {
-    /// A front wants tokens.
+    /// Handles a front's request for tokens.
     pub(super) fn on_ask(
         &mut self,
         from: &NodeName,
@@ -56,29 +57,31 @@
         view: &View,
     ) {
         let Some(quota) = view.quota(account) else {
-            // This node's configuration is older, or newer: the front asks again.
-            let nothing = Grant { count: 0, retry_after: UNREACHABLE_RETRY_DELAY };
-            return self.answer(from, number, account, nothing, None, view);
+            // This node's configuration is older or newer than the front's, so the front has to
+            // retry.
+            let no_tokens = Grant { count: 0, retry_after: UNREACHABLE_RETRY_DELAY };
+            return self.answer(from, number, account, no_tokens, None, view);
         };
         let quota = self.limits.effective_limit(account, quota, view.now);
-        let other = self.successor(account, view).or_else(|| self.other_granter(account, view));
+        let other = self.successor(account, view).or_else(|| self.other_allocator(account, view));
         if other.is_some() {
-            let nothing = Grant { count: 0, retry_after: Duration::ZERO };
-            return self.answer(from, number, account, nothing, other, view);
+            let no_tokens = Grant { count: 0, retry_after: Duration::ZERO };
+            return self.answer(from, number, account, no_tokens, other, view);
         }
-        if !self.kept.contains_key(account) {
-            let keeping = self.start_allocating(account, &quota, view);
-            self.kept.insert(account.clone(), AllocatorEntry { keeping, used: view.now });
+        if !self.allocator_entries.contains_key(account) {
+            let state = self.start_allocating(account, &quota, view);
+            self.allocator_entries
+                .insert(account.clone(), AllocatorEntry { state, last_used: view.now });
         }
         let share = self.share(view);
-        let Some(kept) = self.kept.get_mut(account) else { return };
-        kept.used = view.now;
-        let grant = match &mut kept.keeping {
+        let Some(entry) = self.allocator_entries.get_mut(account) else { return };
+        entry.last_used = view.now;
+        let grant = match &mut entry.state {
             AllocatorState::AwaitingHandover { waiting, .. } => {
-                return waiting.push(Waiting { from: from.clone(), number, count });
+                return waiting.push(WaitingRequest { from: from.clone(), number, count });
             }
             AllocatorState::Active(bucket) => {
-                bucket.take_back(unused);
+                bucket.refund(unused);
                 bucket.grant(&quota, share, count, view.now)
             }
             AllocatorState::HandedOver { .. } => return,
@@ -86,9 +89,10 @@
         self.answer(from, number, account, grant, None, view);
     }
 
-    /// The node that grants for the account, if that is not this one: the first that can be reached. It is
-    /// asked whether it answers, since fronts may ask here because they do not reach it.
-    fn other_granter(&mut self, account: &AccountName, view: &View) -> Option<NodeName> {
+    /// Returns the allocator of the account if it is another node: the first candidate in
+    /// rendezvous order that is reachable. Also probes that node, since a front may send its
+    /// request here because it cannot reach the other node itself.
+    fn other_allocator(&mut self, account: &AccountName, view: &View) -> Option<NodeName> {
         let order = allocators(account, view.live, ALLOCATOR_CANDIDATES);
         let first =
             order.into_iter().find(|node| !self.reachability.is_unreachable(node, view.now))?;
@@ -100,7 +104,8 @@
         Some(first)
     }
 
-    /// Asks a node that this one refers to whether it answers.
+    /// Checks that a node answers before this node refers more fronts to it. The probe is a request
+    /// for zero tokens.
     fn probe(&mut self, node: &NodeName, account: &AccountName, now: Instant) {
         if self.probes.values().any(|(known, _)| known == node) {
             return;
@@ -112,22 +117,23 @@
         self.outgoing.push(Outgoing { to: node.clone(), message });
     }
 
-    /// The node that this one has handed the account over to a short time ago, if that can be reached.
+    /// Returns the node that this node recently handed the account over to, if that node is
+    /// reachable.
     fn successor(&mut self, account: &AccountName, view: &View) -> Option<NodeName> {
-        let kept = self.kept.get(account)?;
-        let AllocatorState::HandedOver { to, at } = &kept.keeping else { return None };
-        // It may not stand among the live nodes yet: it has just come.
-        let stands = view.now < *at + REFERRAL_PERIOD;
+        let entry = self.allocator_entries.get(account)?;
+        let AllocatorState::HandedOver { to, at } = &entry.state else { return None };
+        // The successor may have joined only now and be missing from the list of live nodes.
+        let is_recent = view.now < *at + REFERRAL_PERIOD;
         let successor = to.clone();
-        if stands && !self.reachability.is_unreachable(&successor, view.now) {
+        if is_recent && !self.reachability.is_unreachable(&successor, view.now) {
             self.probe(&successor, account, view.now);
             return Some(successor);
         }
-        self.kept.remove(account);
+        self.allocator_entries.remove(account);
         None
     }
 
-    /// Asks whoever may have granted before.
+    /// Starts a handover from the other nodes that may have allocated this account.
     fn start_allocating(
         &mut self,
         account: &AccountName,
@@ -153,60 +159,65 @@
         }
         AllocatorState::AwaitingHandover {
             since: view.now,
-            asked: others,
-            left: None,
+            unanswered: others,
+            remaining: None,
             waiting: Vec::new(),
         }
     }
 
-    /// Another node grants from now on.
+    /// Handles a handover request: the sender allocates the account from now on.
     pub(super) fn on_take_over(&mut self, from: &NodeName, account: AccountName, view: &View) {
         let share = self.share(view);
-        let comes_first = allocators(&account, [view.own, from], 1).first() == Some(&view.own);
+        let has_precedence = allocators(&account, [view.own, from], 1).first() == Some(&view.own);
         let quota = view.quota(&account);
-        let (tokens, elsewhere) = match (self.kept.get_mut(&account), quota) {
-            // The other node has not heard of this one, which comes before it.
+        let (tokens, elsewhere) = match (self.allocator_entries.get_mut(&account), quota) {
+            // The sender does not know about this node yet, which precedes it in the rendezvous
+            // order.
             (
                 Some(AllocatorEntry {
-                    keeping: AllocatorState::Active(_) | AllocatorState::AwaitingHandover { .. },
+                    state: AllocatorState::Active(_) | AllocatorState::AwaitingHandover { .. },
                     ..
                 }),
                 _,
-            ) if comes_first => (None, Some(view.own.clone())),
-            (Some(AllocatorEntry { keeping: AllocatorState::Active(bucket), .. }), Some(quota)) => {
-                (Some(bucket.left(&quota, share, view.now)), None)
+            ) if has_precedence => (None, Some(view.own.clone())),
+            (Some(AllocatorEntry { state: AllocatorState::Active(bucket), .. }), Some(quota)) => {
+                (Some(bucket.available(&quota, share, view.now)), None)
             }
-            (Some(AllocatorEntry { keeping: AllocatorState::HandedOver { to, at }, .. }), _)
+            (Some(AllocatorEntry { state: AllocatorState::HandedOver { to, at }, .. }), _)
                 if to != from && view.now < *at + REFERRAL_PERIOD =>
             {
                 (None, Some(to.clone()))
             }
             _ => (None, None),
         };
-        if !comes_first {
+        if !has_precedence {
             self.hand_over(&account, from, view);
         }
         let message = QuotaMessage::Left { account, tokens, elsewhere };
         self.outgoing.push(Outgoing { to: from.clone(), message });
     }
 
-    /// Refers to another node from now on, also whoever waits.
+    /// Refers fronts to another node from now on, including those whose requests wait for a
+    /// handover.
     fn hand_over(&mut self, account: &AccountName, to: &NodeName, view: &View) {
-        let keeping = AllocatorState::HandedOver { to: to.clone(), at: view.now };
-        let before = self.kept.insert(account.clone(), AllocatorEntry { keeping, used: view.now });
+        let state = AllocatorState::HandedOver { to: to.clone(), at: view.now };
+        let previous = self
+            .allocator_entries
+            .insert(account.clone(), AllocatorEntry { state, last_used: view.now });
         let Some(AllocatorEntry {
-            keeping: AllocatorState::AwaitingHandover { waiting, .. }, ..
-        }) = before
+            state: AllocatorState::AwaitingHandover { waiting, .. }, ..
+        }) = previous
         else {
             return;
         };
-        for Waiting { from: front, number, .. } in waiting {
-            let nothing = Grant { count: 0, retry_after: Duration::ZERO };
-            self.answer(&front, number, account, nothing, Some(to.clone()), view);
+        for WaitingRequest { from: front, number, .. } in waiting {
+            let no_tokens = Grant { count: 0, retry_after: Duration::ZERO };
+            self.answer(&front, number, account, no_tokens, Some(to.clone()), view);
         }
     }
 
-    /// What is left at a node that may have granted before, and who may have granted besides.
+    /// Handles the answer to a handover request: the tokens remaining at a node that may have
+    /// allocated before, and another node that may have allocated as well.
     pub(super) fn on_left(
         &mut self,
         from: &NodeName,
@@ -215,50 +226,57 @@
         elsewhere: Option<NodeName>,
         view: &View,
     ) {
-        let Some(kept) = self.kept.get_mut(account) else { return };
-        let AllocatorState::AwaitingHandover { asked, left, .. } = &mut kept.keeping else {
+        let Some(entry) = self.allocator_entries.get_mut(account) else { return };
+        let AllocatorState::AwaitingHandover { unanswered, remaining, .. } = &mut entry.state
+        else {
             return;
         };
-        if !asked.contains(from) {
+        if !unanswered.contains(from) {
             return;
         }
         if elsewhere.as_ref() == Some(from) {
             return self.hand_over(account, from, view);
         }
-        asked.retain(|node| node != from);
-        // Several may have granted at once: the one that has least was asked most.
-        *left = match (*left, tokens) {
+        unanswered.retain(|node| node != from);
+        // Several nodes may have granted at once. The lowest remainder belongs to the one that
+        // granted most.
+        *remaining = match (*remaining, tokens) {
             (Some(known), Some(tokens)) => Some(known.min(tokens)),
             (known, tokens) => known.or(tokens),
         };
-        if let Some(other) = elsewhere.filter(|other| other != view.own && !asked.contains(other)) {
-            asked.push(other.clone());
+        if let Some(other) =
+            elsewhere.filter(|other| other != view.own && !unanswered.contains(other))
+        {
+            unanswered.push(other.clone());
             let message = QuotaMessage::TakeOver { account: account.clone() };
             self.outgoing.push(Outgoing { to: other, message });
         }
-        if asked.is_empty() {
+        if unanswered.is_empty() {
             self.finish_handover(account, view);
         }
     }
 
     pub(super) fn finish_handover(&mut self, account: &AccountName, view: &View) {
         let Some(quota) = view.quota(account) else { return };
-        let (left, all_answered) = match self.kept.get(account).map(|kept| &kept.keeping) {
-            Some(AllocatorState::AwaitingHandover { left, asked, .. }) => (*left, asked.is_empty()),
-            _ => return,
-        };
+        let (remaining, all_answered) =
+            match self.allocator_entries.get(account).map(|entry| &entry.state) {
+                Some(AllocatorState::AwaitingHandover { remaining, unanswered, .. }) => {
+                    (*remaining, unanswered.is_empty())
+                }
+                _ => return,
+            };
         let is_first = allocators(account, view.live, 1).first() == Some(&view.own);
-        let bucket = match left {
-            Some(tokens) => Bucket::with(tokens, &quota, view.now),
+        let bucket = match remaining {
+            Some(tokens) => Bucket::with_tokens(tokens, &quota, view.now),
             None if all_answered && is_first => {
                 Bucket::sole_allocator(&quota, self.share(view), view.now)
             }
             None => Bucket::unknown_history(&quota, self.share(view), view.now),
         };
-        let Some(kept) = self.kept.get_mut(account) else { return };
-        let before = std::mem::replace(&mut kept.keeping, AllocatorState::Active(bucket));
-        let AllocatorState::AwaitingHandover { waiting, .. } = before else { return };
-        for Waiting { from, number, count } in waiting {
+        let Some(entry) = self.allocator_entries.get_mut(account) else { return };
+        let previous = std::mem::replace(&mut entry.state, AllocatorState::Active(bucket));
+        let AllocatorState::AwaitingHandover { waiting, .. } = previous else { return };
+        for WaitingRequest { from, number, count } in waiting {
             self.on_ask(&from, number, account, count, 0, view);
         }
     }
--- a/crates/core/src/quota/allocators.rs
+++ b/crates/core/src/quota/allocators.rs
@@ -1,4 +1,4 @@
-//! Which nodes grant for an account, in order: rendezvous hashing over the live nodes.
+//! Selects the nodes that allocate an account's tokens, by rendezvous hashing over the live nodes.
 
 use xxhash_rust::xxh3::Xxh3;
 
@@ -12,8 +12,8 @@
     hasher.digest()
 }
 
-/// The `count` nodes that grant for an account: the first one, and who stands in where it cannot be
-/// reached.
+/// The first `count` nodes in the account's rendezvous order. The first one allocates; the others
+/// replace it, in this order, while it is unreachable.
 pub fn allocators<'a>(
     account: &AccountName,
     nodes: impl IntoIterator<Item = &'a NodeName>,
@@ -21,10 +21,10 @@
 ) -> Vec<&'a NodeName> {
     let mut first: Vec<(u64, &NodeName)> = Vec::with_capacity(count + 1);
     for node in nodes {
-        let claim = (weight(account, node), node);
-        let place = first.partition_point(|other| *other > claim);
-        if place < count {
-            first.insert(place, claim);
+        let candidate = (weight(account, node), node);
+        let index = first.partition_point(|other| *other > candidate);
+        if index < count {
+            first.insert(index, candidate);
             first.truncate(count);
         }
     }
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket.
+//! The token bucket from which an allocator grants an account's tokens.
 
 use std::time::{Duration, Instant};
 
@@ -8,108 +8,115 @@
 };
 use crate::catalog::Quota;
 
-/// What became of a question for tokens.
+/// The result of a request for tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Grant {
-    /// Tokens granted.
+    /// Number of tokens granted.
     pub count: u32,
-    /// When more will be there, if fewer were granted than were asked for.
+    /// When further tokens will be available, if fewer were granted than requested.
     pub retry_after: Duration,
 }
 
-/// A token bucket: it fills at the account's rate and holds its burst at the most.
+/// A token bucket: it refills at the account's rate, up to the account's burst plus
+/// [`EXTRA_TOKENS`].
 #[derive(Clone, Copy, Debug)]
 pub struct Bucket {
     tokens: f64,
-    filled: Instant,
-    /// Until when it fills more slowly.
+    last_fill_at: Instant,
+    /// End of the period in which the bucket refills at a reduced rate.
     cautious_until: Option<Instant>,
-    /// Tokens that were asked for in vain and that the account's rate has not made up for since: whoever comes
-    /// back is behind as many others.
+    /// Tokens that were requested but not granted and that the account's rate has not made up for
+    /// yet. Retry hints count them, so that a client that retries queues behind the earlier
+    /// refusals.
     backlog: f64,
-    /// When it was last asked, and when it last had less than it was asked for.
-    asked: Instant,
-    emptied: Option<Instant>,
+    /// Times of the last request, and of the last request that got fewer tokens than it asked for.
+    last_request_at: Instant,
+    last_shortage_at: Option<Instant>,
 }
 
-/// Longest time to come back after: where the rate is zero, a change of the configuration may help.
+/// Upper bound of retry hints. It also applies where the rate is zero, since a configuration change
+/// may raise it.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// An account that asks more than it may does not fall silent by itself: after a silence of this length, and
-/// of a few tokens' time, others have granted meanwhile, because this node stood still or was cut off.
+/// An account that exceeds its limit keeps sending requests. If its requests pause for this long,
+/// plus the time in which [`SILENCE_TOKENS`] refill, then this node was frozen or partitioned, and
+/// another node has granted meanwhile.
 const SILENCE_PERIOD: Duration = Duration::from_millis(250);
 const SILENCE_TOKENS: f64 = 4.0;
 
-/// Most tokens that a bucket holds; none where the account may ask nothing.
+/// Capacity of a bucket: zero if the account has neither rate nor burst.
 fn capacity(quota: &Quota) -> f64 {
     let asks = quota.per_second.count() > 0.0 || quota.burst.count() > 0.0;
     if asks { quota.burst.count() + EXTRA_TOKENS } else { 0.0 }
 }
 
-/// The same while it is not known what others have granted.
+/// Capacity while the tokens granted by other nodes are unknown.
 fn cautious_capacity(quota: &Quota) -> f64 {
     capacity(quota).min(INITIAL_TOKENS + INITIAL_BURST_FRACTION * quota.burst.count())
 }
 
 impl Bucket {
-    /// A bucket of which is not known what was granted before, of a node that sees `share` of the others.
+    /// A bucket of an account whose earlier grants are unknown. It starts with a reduced fill and
+    /// refills at [`CAUTIOUS_RATE_FRACTION`] of the rate for [`CAUTIOUS_PERIOD`]. `share` is the
+    /// fraction of the nodes that this node reaches.
     pub fn unknown_history(quota: &Quota, share: f64, now: Instant) -> Self {
         let first = cautious_capacity(quota) * share;
-        Self { cautious_until: Some(now + CAUTIOUS_PERIOD), ..Self::with(first, quota, now) }
+        Self { cautious_until: Some(now + CAUTIOUS_PERIOD), ..Self::with_tokens(first, quota, now) }
     }
 
-    /// The same of a node that is the first by right and whose neighbours have not granted: nobody else does.
+    /// A bucket of the first allocator in rendezvous order after the other candidates answered that
+    /// they have not granted, so that no other node grants.
     pub fn sole_allocator(quota: &Quota, share: f64, now: Instant) -> Self {
         let first = SOLE_INITIAL_TOKENS + SOLE_INITIAL_BURST_FRACTION * quota.burst.count();
-        Self::with(first * share, quota, now)
+        Self::with_tokens(first * share, quota, now)
     }
 
-    /// A bucket with so many tokens.
-    pub fn with(tokens: f64, quota: &Quota, now: Instant) -> Self {
+    /// A bucket with the given number of tokens.
+    pub fn with_tokens(tokens: f64, quota: &Quota, now: Instant) -> Self {
         let tokens = if tokens.is_finite() { tokens } else { 0.0 };
         Self {
             tokens: tokens.clamp(0.0, capacity(quota)),
-            filled: now,
+            last_fill_at: now,
             cautious_until: None,
-            asked: now,
+            last_request_at: now,
             backlog: 0.0,
-            emptied: None,
+            last_shortage_at: None,
         }
     }
 
-    /// Tokens that are left, if the bucket fills at `share` of the rate.
-    pub fn left(&mut self, quota: &Quota, share: f64, now: Instant) -> f64 {
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
+    /// Refills the bucket at `share` of the rate and returns the tokens it holds.
+    pub fn available(&mut self, quota: &Quota, share: f64, now: Instant) -> f64 {
+        let passed = now.saturating_duration_since(self.last_fill_at).as_secs_f64();
         let cautious = self.cautious_until.is_some_and(|until| now < until);
-        let (share, most) = match cautious {
+        let (share, max) = match cautious {
             true => (share.min(CAUTIOUS_RATE_FRACTION), cautious_capacity(quota) * share),
             false => (share, capacity(quota)),
         };
-        let came = passed * quota.per_second.count() * share;
-        self.tokens = (self.tokens + came).min(most);
-        self.backlog = (self.backlog - came).max(0.0);
-        self.filled = self.filled.max(now);
+        let added = passed * quota.per_second.count() * share;
+        self.tokens = (self.tokens + added).min(max);
+        self.backlog = (self.backlog - added).max(0.0);
+        self.last_fill_at = self.last_fill_at.max(now);
         self.tokens
     }
 
-    /// Takes tokens back that were granted and not used.
-    pub fn take_back(&mut self, unused: u32) {
+    /// Returns tokens that were granted but not used.
+    pub fn refund(&mut self, unused: u32) {
         self.tokens += f64::from(unused);
     }
 
-    /// Grants as many of `wanted` tokens as there are.
+    /// Grants up to `wanted` tokens.
     pub fn grant(&mut self, quota: &Quota, share: f64, wanted: u32, now: Instant) -> Grant {
         if self.was_bypassed(quota, now) {
-            let beginning = Self::unknown_history(quota, share, now);
-            self.tokens = self.left(quota, share, now).min(beginning.tokens);
-            self.cautious_until = beginning.cautious_until;
+            let fresh = Self::unknown_history(quota, share, now);
+            self.tokens = self.available(quota, share, now).min(fresh.tokens);
+            self.cautious_until = fresh.cautious_until;
         }
-        let left = self.left(quota, share, now);
-        let count = wanted.min(left as u32);
+        let available = self.available(quota, share, now);
+        let count = wanted.min(available as u32);
         self.tokens -= f64::from(count);
-        self.asked = now;
+        self.last_request_at = now;
         if count < wanted {
-            self.emptied = Some(now);
+            self.last_shortage_at = Some(now);
         }
         let missing = wanted - count;
         if missing == 0 {
@@ -119,20 +126,20 @@
         Grant { count, retry_after: self.time_to_clear_backlog(quota, share) }
     }
 
-    /// Whether others have granted since it was last asked: it had too little for a hungry account a short
-    /// time ago, and then was not asked any more.
+    /// Whether another node has granted since the last request: the bucket ran short for this
+    /// account recently, and then requests stopped for longer than [`SILENCE_PERIOD`].
     fn was_bypassed(&self, quota: &Quota, now: Instant) -> bool {
-        let was_empty = self.emptied.is_some_and(|at| now < at + CAUTIOUS_PERIOD);
+        let was_empty = self.last_shortage_at.is_some_and(|at| now < at + CAUTIOUS_PERIOD);
         let tokens = Duration::try_from_secs_f64(SILENCE_TOKENS / quota.per_second.count());
         let silence = SILENCE_PERIOD + tokens.unwrap_or(CAUTIOUS_PERIOD);
-        was_empty && now >= self.asked + silence
+        was_empty && now >= self.last_request_at + silence
     }
 
-    /// Time until there are tokens for all that were asked for in vain.
+    /// Time until the refill covers all tokens that were requested and not granted.
     fn time_to_clear_backlog(&self, quota: &Quota, share: f64) -> Duration {
         let missing = (self.backlog - self.tokens).max(0.0);
         let seconds = missing / (quota.per_second.count() * share);
-        // Without a rate the quotient is no number, or endless.
+        // With a rate of zero the quotient is infinite or NaN.
         Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_DELAY).min(MAX_RETRY_DELAY)
     }
 }
--- a/crates/core/src/quota/limits.rs
+++ b/crates/core/src/quota/limits.rs
@@ -1,4 +1,5 @@
-//! The limits that a granter goes by: those of the configuration, but that a lowered one holds on for a window.
+//! The limits that an allocator applies: those of the configuration, except that a lowered limit
+//! takes effect only after [`LOWERED_LIMIT_DELAY`].
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -7,51 +8,51 @@
 use crate::catalog::Quota;
 use crate::ids::AccountName;
 
-/// What was known of an account's limit.
+/// The current and the previous limit of an account.
 #[derive(Clone, Copy, Debug)]
 struct LimitHistory {
-    /// The limit of the configuration.
+    /// Limit in the configuration.
     configured: Quota,
-    /// The higher one before it, and when it was lowered.
-    before: Option<(Quota, Instant)>,
+    /// The higher limit that applied earlier, and when it was lowered.
+    previous: Option<(Quota, Instant)>,
 }
 
-/// Limits by account.
+/// Limit histories by account.
 #[derive(Debug, Default)]
 pub(super) struct Limits {
-    known: HashMap<AccountName, LimitHistory>,
+    histories: HashMap<AccountName, LimitHistory>,
 }
 
 impl Limits {
-    /// The limit to go by at `now`, where the configuration has `configured`.
+    /// The limit that applies at `now`, given the limit in the configuration.
     pub fn effective_limit(
         &mut self,
         account: &AccountName,
         configured: Quota,
         now: Instant,
     ) -> Quota {
-        let Some(known) = self.known.get_mut(account) else {
-            self.known.insert(account.clone(), LimitHistory { configured, before: None });
+        let Some(history) = self.histories.get_mut(account) else {
+            self.histories.insert(account.clone(), LimitHistory { configured, previous: None });
             return configured;
         };
-        if known.configured != configured {
-            let former = known.before.map_or(known.configured, |(former, _)| former);
+        if history.configured != configured {
+            let previous = history.previous.map_or(history.configured, |(previous, _)| previous);
             let is_lower =
-                configured.per_second < former.per_second || configured.burst < former.burst;
-            known.before = is_lower.then_some((former, now));
-            known.configured = configured;
+                configured.per_second < previous.per_second || configured.burst < previous.burst;
+            history.previous = is_lower.then_some((previous, now));
+            history.configured = configured;
         }
-        match known.before {
-            Some((former, at)) if now < at + LOWERED_LIMIT_DELAY => Quota {
-                per_second: former.per_second.max(configured.per_second),
-                burst: former.burst.max(configured.burst),
+        match history.previous {
+            Some((previous, at)) if now < at + LOWERED_LIMIT_DELAY => Quota {
+                per_second: previous.per_second.max(configured.per_second),
+                burst: previous.burst.max(configured.burst),
             },
             _ => configured,
         }
     }
 
-    /// Forgets accounts for which `keeps` does not hold.
+    /// Drops accounts for which `keeps` returns false.
     pub fn retain(&mut self, keeps: impl Fn(&AccountName) -> bool) {
-        self.known.retain(|account, _| keeps(account));
+        self.histories.retain(|account, _| keeps(account));
     }
 }
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -1,28 +1,35 @@
-//! Quotas: how many operations an account may ask of all nodes together.
+//! Quotas limit how many operations an account may run on all nodes together.
 //!
-//! One node grants for each account ([`granters`]): it keeps the account's token bucket. A front asks it
-//! for tokens and uses each for one operation, within [`GRANT_LIFE`] of its question; what it has not used
-//! by then lapses. So whatever nodes do with their tokens, no more operations run in any span of time than
-//! were granted in it and in the [`GRANT_LIFE`] before. A bucket grants `per_second` for each second, and
-//! `burst` and [`EXTRA_TOKENS`] at once, so a window of 5 s holds at most 5.3 times the rate, the burst and 10
-//! more. The deployments tolerate a tenth more than rate and burst, and 20: what is left of that pays for
-//! what follows.
+//! For each account one node is the allocator ([`allocators`]): it holds the account's token
+//! bucket. A front requests tokens from the allocator and spends one token per operation, within
+//! [`TOKEN_LIFETIME`] of sending the request. Unspent tokens expire after that. Therefore, whatever
+//! the nodes do with their tokens, the operations run in any period are bounded by the tokens
+//! granted in that period and in the [`TOKEN_LIFETIME`] before it. A bucket grants `per_second`
+//! tokens per second, and up to `burst` plus [`EXTRA_TOKENS`] at once, so a window of 5 s holds at
+//! most 5.3 times the rate, plus the burst, plus 10. The deployments tolerate 10% more than rate
+//! and burst, plus 20 operations. The rest of that tolerance covers the cases below.
 //!
-//! Tokens that lapsed, and those of operations that have not run after all, go back with the next question.
+//! The front returns expired tokens, and tokens of operations that did not run after all, with its
+//! next request.
 //!
-//! **Who grants** follows from the list of live nodes, which nodes see at different times. A node that has
-//! just become the granter asks those that may have granted before it what they have left; whoever is
-//! asked hands over and refers everybody to the new one from then on. Where nobody answers, the bucket
-//! begins with [`FIRST_TOKENS`] rather than with a burst, so that no restart grants one twice, and fills at
-//! [`CAUTIOUS_PART`] of the rate for a window, since the one before may still grant to some.
+//! **Choosing the allocator.** The allocator follows from the list of live nodes, which nodes
+//! update at different times. A node that has just become the allocator asks the nodes that may
+//! have allocated before it for their remaining tokens. A node that is asked hands the account over
+//! and from then on refers fronts to the new allocator. If no node answers, the bucket starts with
+//! [`INITIAL_TOKENS`] and a fraction of the burst instead of a full burst, so that a restart does
+//! not grant the burst twice. For one window it refills at [`CAUTIOUS_RATE_FRACTION`] of the rate,
+//! because the previous allocator may still grant to some fronts.
 //!
-//! **A granter that cannot be reached** is passed over by the front that notices; the next node grants
-//! only if it cannot reach the granter either, and refers to it otherwise. A node that sees less than half of the nodes that lived a short time ago grants the part that it sees: both sides
-//! of a cut together grant little more than the rate.
+//! **Unreachable allocators.** A front that cannot reach the allocator sends its request to the
+//! next candidate. That node grants only if it cannot reach the allocator either, and otherwise
+//! refers the front to it. A node that reaches less than half of the recently live nodes grants
+//! only the fraction of the rate that corresponds to the nodes it reaches. Both sides of a network
+//! partition together then grant little more than the rate.
 //!
-//! Weighed: rates divided among all nodes (a small account's rate over 83 nodes is a fraction of one
-//! operation), and running freely while far below the limit (an account at 7.5 times its usual rate uses a
-//! window's worth within 1.4 s, longer than nodes take to tell each other, and a cut node is told nothing).
+//! **Rejected alternatives.** Dividing the rate among all nodes: a small account's rate over 83
+//! nodes is a fraction of one operation. Granting freely while an account is far below its limit:
+//! an account at 7.5 times its usual rate uses up a window's tokens within 1.4 s, which is longer
+//! than nodes take to inform each other, and a partitioned node is not informed at all.
 
 mod allocation;
 mod allocators;
@@ -43,82 +50,90 @@
 pub use node::{Quotas, View};
 pub use token_cache::{Take, Ticket};
 
-/// How long tokens last, counted from the question for them. Shorter costs more questions, longer lets more
-/// operations into one window.
+/// Lifetime of tokens, counted from when the request for them was sent. A shorter lifetime costs
+/// more requests; a longer one lets more operations into one window.
 pub const TOKEN_LIFETIME: Duration = Duration::from_millis(300);
-/// Tokens that a bucket holds beyond the burst: a small account's callers come unevenly, and a burst of one or
-/// two operations would refuse some although it asks less than it may.
+/// Tokens that a bucket holds beyond the burst. The requests of a small account arrive unevenly,
+/// and a burst of one or two operations would refuse some of them although the account stays below
+/// its rate.
 pub const EXTRA_TOKENS: f64 = 10.0;
-/// Part of the rate at which a bucket fills that begins without knowing what was granted before; more than
-/// the five eighths that accounts usually ask.
+/// Fraction of the rate at which a bucket refills whose earlier grants are unknown. Above the five
+/// eighths of their rate that accounts usually use.
 pub const CAUTIOUS_RATE_FRACTION: f64 = 0.8;
-/// How long a bucket is cautious, and an account hungry after it got less than it asked for: a window.
+/// How long a bucket refills at the reduced rate, and how long an account counts as over its limit
+/// after it got fewer tokens than requested. Equals one counting window.
 pub const CAUTIOUS_PERIOD: Duration = Duration::from_secs(5);
-/// Tokens of a bucket that begins without knowing what was granted before, besides a part of the burst: for
-/// a small account's few callers that all come back at once. With 10 two of 1,000 simulated runs were a
-/// hundredth over the limit.
+/// Tokens, besides a fraction of the burst, in a new bucket whose earlier grants are unknown. They
+/// serve the few clients of a small account that all reconnect at once. With 10 tokens, two of
+/// 1,000 simulated runs exceeded the limit by 1%.
 pub const INITIAL_TOKENS: f64 = 6.0;
-/// The part of the burst, where the one before may still grant to some.
+/// Fraction of the burst in a new bucket while the previous allocator may still grant to some
+/// fronts.
 pub const INITIAL_BURST_FRACTION: f64 = 0.1;
-/// The same where nobody else grants.
+/// Tokens in a new bucket when no other node grants, besides [`SOLE_INITIAL_BURST_FRACTION`].
 pub const SOLE_INITIAL_TOKENS: f64 = 10.0;
-/// The part of the burst where nobody else grants: after all nodes were killed their callers come back at once.
+/// Fraction of the burst in a new bucket when no other node grants: after all nodes were killed,
+/// their clients reconnect at once.
 pub const SOLE_INITIAL_BURST_FRACTION: f64 = 0.3;
-/// Longest time until the next token for which operations wait instead of being refused: an account that
-/// asks less than it may has such moments, one that asks more has not, since its backlog counts.
+/// If the next token is available within this time, operations wait for it instead of being
+/// refused. An account below its limit runs short only for such moments. For an account over its
+/// limit the wait is longer, because it includes the backlog of refused requests.
 pub const MAX_REFILL_WAIT: Duration = Duration::from_millis(100);
-/// How long a front does not ask after it was granted nothing: operations that come meanwhile are refused
-/// without a message.
+/// After a request that was granted nothing, the front sends no further request for this long and
+/// refuses operations locally.
 pub const REFUSAL_CACHE_PERIOD: Duration = Duration::from_millis(50);
-/// How long a limit that was lowered holds on: operations are counted in windows of this length, and one that
-/// began before the change may hold what the old limit allowed.
+/// Delay before a lowered limit takes effect. Operations are counted in windows of this length, and
+/// a window that began before the change may contain what the old limit allowed.
 pub const LOWERED_LIMIT_DELAY: Duration = Duration::from_secs(5);
-/// Time in which another node must answer.
+/// How long to wait for another node's answer.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long a node that did not answer is passed over.
+/// How long a node that did not answer is bypassed.
 pub const BYPASS_PERIOD: Duration = Duration::from_secs(1);
 
-/// What nodes tell each other of quotas.
+/// Messages between nodes about quotas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// The sender wants tokens.
+    /// Requests tokens for an account.
     Ask {
-        /// Number of the question.
+        /// Request number.
         number: u32,
         /// The account.
         account: AccountName,
-        /// How many; none: only whether the receiver answers.
+        /// Number of tokens requested; zero only probes whether the receiver answers.
         count: u32,
-        /// Tokens that were granted before and that no operation has used.
+        /// Tokens that were granted earlier and not spent.
         #[serde(default, skip_serializing_if = "is_zero")]
         unused: u32,
     },
-    /// The answer.
+    /// Answers [`QuotaMessage::Ask`].
     Grant {
-        /// Number of the question.
+        /// Number of the request.
         number: u32,
         /// The account.
         account: AccountName,
-        /// Tokens granted.
+        /// Number of tokens granted.
         count: u32,
-        /// When more will be there, if fewer were granted than were asked for.
+        /// When further tokens will be available, in milliseconds, if fewer were granted than
+        /// requested.
         retry_ms: u32,
-        /// The node that grants instead.
+        /// The node that allocates the account instead of the sender.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         elsewhere: Option<NodeName>,
     },
-    /// The sender grants for the account from now on and wants to know what is left.
+    /// Requests a handover: the sender allocates the account from now on and needs the remaining
+    /// tokens.
     TakeOver {
         /// The account.
         account: AccountName,
     },
-    /// The answer.
+    /// Answers [`QuotaMessage::TakeOver`].
     Left {
         /// The account.
         account: AccountName,
-        /// Tokens that are left; `None` if the sender did not grant.
+        /// Remaining tokens; `None` if the sender did not allocate the account.
         tokens: Option<f64>,
-        /// The node that grants as far as the sender knows: another one than the receiver.
+        /// The node that allocates the account according to the sender, if that is not the
+        /// receiver.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         elsewhere: Option<NodeName>,
     },
@@ -128,10 +143,10 @@
     *count == 0
 }
 
-/// A message and whom it goes to.
+/// A message and its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// Receiver.
+    /// The receiving node.
     pub to: NodeName,
     /// The message.
     pub message: QuotaMessage,
--- a/crates/core/src/quota/node.rs
+++ b/crates/core/src/quota/node.rs
@@ -1,5 +1,5 @@
-//! What one node does about quotas: tokens for its own callers here, the buckets that it keeps for all in
-//! `granting`.
+//! The quota state of one node. This file handles tokens for the node's own clients and the
+//! messages of other nodes; the buckets that this node holds as an allocator are in `allocation`.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,27 +14,28 @@
 use crate::catalog::{Account, Quota};
 use crate::ids::{AccountName, NodeName};
 
-/// Nodes that may grant for an account: the first one, and two in its place.
+/// Number of candidates per account: the allocator and two nodes that can replace it.
 pub(super) const ALLOCATOR_CANDIDATES: usize = 3;
-/// Purses and buckets that were not used for so long are dropped; a bucket begins with less than it had.
+/// Token caches and buckets that are unused for this long are dropped. A bucket that is created
+/// again starts with fewer tokens than the dropped one held.
 const IDLE_RETENTION: Duration = Duration::from_secs(60);
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
-/// When to ask again where the one that grants cannot be reached, or does not know the account.
+/// Delay before a front retries when the allocator is unreachable or does not know the account.
 pub(super) const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Least part of the nodes with which a node grants in full.
+/// Smallest fraction of the recently live nodes that a node must reach to grant the full rate.
 const MAJORITY: f64 = 0.5;
 
-/// What decisions on quotas depend on.
+/// The inputs of quota decisions.
 pub struct View<'a> {
-    /// The time.
+    /// Current time.
     pub now: Instant,
-    /// This node.
+    /// Name of this node.
     pub own: &'a NodeName,
-    /// Live nodes that take work, this one among them.
+    /// Live nodes that accept work, including this one.
     pub live: &'a [NodeName],
-    /// Nodes that live or did a short time ago.
+    /// Number of nodes that are live or were live recently.
     pub recent_nodes: usize,
-    /// Finds an account of the configuration in force.
+    /// Looks up an account in the active configuration.
     pub account: &'a dyn Fn(&AccountName) -> Option<&'a Account>,
 }
 
@@ -44,85 +45,90 @@
     }
 }
 
-/// Quotas of one node.
+/// Quota state of one node.
 #[derive(Debug, Default)]
 pub struct Quotas {
     token_caches: HashMap<AccountName, TokenCache>,
-    pub(super) kept: HashMap<AccountName, AllocatorEntry>,
+    pub(super) allocator_entries: HashMap<AccountName, AllocatorEntry>,
     pub(super) limits: Limits,
     pub(super) reachability: Reachability,
-    /// Questions whether a granter answers, by number, and when they were sent.
+    /// Probes that check whether an allocator answers, by request number, with the time they were
+    /// sent.
     pub(super) probes: HashMap<u32, (NodeName, Instant)>,
     next_number: u32,
     pub(super) outgoing: Vec<Outgoing>,
-    /// Accounts whose waiting operations can go on.
+    /// Accounts whose waiting operations can proceed.
     answered: Vec<AccountName>,
     next_cleanup: Option<Instant>,
 }
 
 impl Quotas {
-    /// Whether there are messages to send, or operations that can go on.
+    /// Whether there are messages to send or operations that can proceed.
     pub fn has_pending_output(&self) -> bool {
         !self.outgoing.is_empty() || !self.answered.is_empty()
     }
 
-    /// Messages to send, since the last call.
+    /// Takes the messages to send since the last call.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Accounts whose waiting operations are to ask again, since the last call.
+    /// Takes the accounts whose waiting operations should call [`Self::take`] again, since the last
+    /// call.
     pub fn take_answered(&mut self) -> Vec<AccountName> {
         std::mem::take(&mut self.answered)
     }
 
-    /// An operation of an account needs a token. `ticket` is the operation's own, for as long as it waits.
+    /// Takes a token for an operation of an account. The caller keeps one `ticket` per operation
+    /// while the operation waits.
     pub fn take(&mut self, account: &AccountName, ticket: &mut Ticket, view: &View) -> Take {
         if view.quota(account).is_none() {
             return Take::Taken;
         }
         let now = view.now;
-        let purse =
+        let cache =
             self.token_caches.entry(account.clone()).or_insert_with(|| TokenCache::new(now));
-        if let Some(late) = purse.give_up(now) {
-            self.reachability.miss(late, 1, now);
+        if let Some(late) = cache.take_timed_out(now) {
+            self.reachability.record_misses(late, 1, now);
         }
-        let outcome = purse.take(ticket, now);
-        if outcome != Take::Pending || !purse.is_due(now) {
+        let outcome = cache.take(ticket, now);
+        if outcome != Take::Pending || !cache.needs_request(now) {
             return outcome;
         }
         self.ask(account, view);
-        // A granter on this node has answered already.
-        self.token_caches.get_mut(account).map_or(outcome, |purse| purse.take(ticket, now))
+        // If this node is the allocator, the request was answered synchronously.
+        self.token_caches.get_mut(account).map_or(outcome, |cache| cache.take(ticket, now))
     }
 
-    /// An operation of an account that had a token has not run.
+    /// Returns the token of an operation that did not run.
     pub fn give_back(&mut self, account: &AccountName) {
-        if let Some(purse) = self.token_caches.get_mut(account) {
-            purse.give_back();
+        if let Some(cache) = self.token_caches.get_mut(account) {
+            cache.give_back();
         }
     }
 
-    /// Asks for tokens.
+    /// Sends a request for tokens to the account's allocator.
     fn ask(&mut self, account: &AccountName, view: &View) {
         let number = self.next_request_number();
-        let Some(granter) = self.allocator(account, view) else { return };
-        let Some(purse) = self.token_caches.get_mut(account) else { return };
-        let count = purse.ask(number, granter.clone(), view.now);
-        let unused = purse.take_unused();
-        if granter == *view.own {
+        let Some(allocator) = self.allocator(account, view) else { return };
+        let Some(cache) = self.token_caches.get_mut(account) else { return };
+        let count = cache.start_request(number, allocator.clone(), view.now);
+        let unused = cache.take_unused();
+        if allocator == *view.own {
             return self.on_ask(view.own, number, account, count, unused, view);
         }
         let message = QuotaMessage::Ask { number, account: account.clone(), count, unused };
-        self.outgoing.push(Outgoing { to: granter, message });
+        self.outgoing.push(Outgoing { to: allocator, message });
     }
 
-    /// The node to ask: the one that was named, else the first one that can be reached.
+    /// The node to request tokens from: the one that the last answer referred to, otherwise the
+    /// first candidate that is not bypassed.
     fn allocator(&self, account: &AccountName, view: &View) -> Option<NodeName> {
-        let named = self.token_caches.get(account).and_then(|purse| purse.elsewhere(view.now));
-        if let Some(named) = named.filter(|node| !self.reachability.is_unreachable(node, view.now))
+        let referral = self.token_caches.get(account).and_then(|cache| cache.referral(view.now));
+        if let Some(referral) =
+            referral.filter(|node| !self.reachability.is_unreachable(node, view.now))
         {
-            return Some(named.clone());
+            return Some(referral.clone());
         }
         let order = allocators(account, view.live, ALLOCATOR_CANDIDATES);
         let reachable = order.iter().find(|node| !self.reachability.is_bypassed(node, view.now));
@@ -134,7 +140,8 @@
         self.next_number
     }
 
-    /// Part of the rate that the nodes which this one reaches may use together.
+    /// Fraction of the rate that this node's side may use: all of it while at least [`MAJORITY`] of
+    /// the recently live nodes are reachable, otherwise the fraction that is.
     pub(super) fn share(&self, view: &View) -> f64 {
         let reached = view
             .live
@@ -145,12 +152,12 @@
         if seen >= MAJORITY { 1.0 } else { seen }
     }
 
-    /// A connection to a node broke, or a message could not be sent to it.
+    /// Records that a connection to a node broke or that a message could not be sent to it.
     pub fn on_unreachable(&mut self, node: &NodeName, now: Instant) {
-        self.reachability.miss(node.clone(), UNREACHABLE_MISSES, now);
+        self.reachability.record_misses(node.clone(), UNREACHABLE_MISSES, now);
     }
 
-    /// Takes in a message of another node.
+    /// Handles a message from another node.
     pub fn on_message(&mut self, from: &NodeName, message: QuotaMessage, view: &View) {
         self.reachability.on_answer(from);
         match message {
@@ -188,13 +195,13 @@
         let now = view.now;
         let reachable =
             elsewhere.clone().filter(|node| !self.reachability.is_unreachable(node, now));
-        let Some(purse) = self.token_caches.get_mut(account) else { return };
-        let was_open = match reachable {
-            None if elsewhere.is_some() => purse.on_grant(number, 0, UNREACHABLE_RETRY_DELAY, now),
-            Some(node) => purse.on_elsewhere(number, node, now + BYPASS_PERIOD),
-            None => purse.on_grant(number, grant.count, grant.retry_after, now),
+        let Some(cache) = self.token_caches.get_mut(account) else { return };
+        let was_pending = match reachable {
+            None if elsewhere.is_some() => cache.on_grant(number, 0, UNREACHABLE_RETRY_DELAY, now),
+            Some(node) => cache.on_referral(number, node, now + BYPASS_PERIOD),
+            None => cache.on_grant(number, grant.count, grant.retry_after, now),
         };
-        if was_open {
+        if was_pending {
             self.answered.push(account.clone());
         }
     }
@@ -217,22 +224,22 @@
         self.outgoing.push(Outgoing { to: to.clone(), message });
     }
 
-    /// Time passes: what has waited too long for an answer goes on without it.
+    /// Handles timeouts: probes and handovers that were not answered in time end without an answer.
     pub fn on_tick(&mut self, view: &View) {
         let now = view.now;
         let late = |at: Instant| now >= at + ANSWER_TIMEOUT;
-        let silent: Vec<u32> = self
+        let timed_out: Vec<u32> = self
             .probes
             .iter()
             .filter(|(_, probe)| late(probe.1))
             .map(|(number, _)| *number)
             .collect();
-        for number in silent {
+        for number in timed_out {
             if let Some((node, _)) = self.probes.remove(&number) {
-                self.reachability.miss(node, 1, now);
+                self.reachability.record_misses(node, 1, now);
             }
         }
-        let overdue = self.kept.iter().filter(|(_, kept)| match &kept.keeping {
+        let overdue = self.allocator_entries.iter().filter(|(_, entry)| match &entry.state {
             AllocatorState::AwaitingHandover { since, .. } => late(*since),
             _ => false,
         });
@@ -240,23 +247,24 @@
         for account in overdue {
             self.finish_handover(&account, view);
         }
-        self.clean(view);
+        self.cleanup(view);
     }
 
-    fn clean(&mut self, view: &View) {
+    fn cleanup(&mut self, view: &View) {
         let now = view.now;
         if self.next_cleanup.is_some_and(|next| now < next) {
             return;
         }
         self.next_cleanup = Some(now + CLEANUP_INTERVAL);
-        self.token_caches.retain(|_, purse| now < purse.used + IDLE_RETENTION);
+        self.token_caches.retain(|_, cache| now < cache.last_used + IDLE_RETENTION);
         self.limits.retain(|account| view.quota(account).is_some());
-        self.kept.retain(|account, kept| {
+        self.allocator_entries.retain(|account, entry| {
             let is_first = || allocators(account, view.live, 1).first() == Some(&view.own);
-            // A bucket that another node has not taken over would be full when this one grants again.
-            let forgotten = matches!(kept.keeping, AllocatorState::Active(_))
-                && now >= kept.used + BYPASS_PERIOD;
-            now < kept.used + IDLE_RETENTION && (!forgotten || is_first())
+            // If this node stopped being the allocator without a handover, its bucket would be full
+            // again by the time it becomes the allocator once more.
+            let may_be_stale = matches!(entry.state, AllocatorState::Active(_))
+                && now >= entry.last_used + BYPASS_PERIOD;
+            now < entry.last_used + IDLE_RETENTION && (!may_be_stale || is_first())
         });
     }
 }
--- a/crates/core/src/quota/token_cache.rs
+++ b/crates/core/src/quota/token_cache.rs
@@ -1,4 +1,4 @@
-//! The tokens that a front has for an account, and its question for more.
+//! A front's cached tokens for one account, and its pending request for more.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -6,84 +6,85 @@
 use super::{ANSWER_TIMEOUT, MAX_REFILL_WAIT, REFUSAL_CACHE_PERIOD, TOKEN_LIFETIME};
 use crate::ids::NodeName;
 
-/// What an operation hears that needs a token.
+/// The result of taking a token for an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Take {
-    /// It has one.
+    /// The operation has a token.
     Taken,
-    /// The account has asked for as much as it may: come back after this time.
+    /// The account is over its limit: the operation may be retried after this time.
     Refused(Duration),
-    /// Tokens have been asked for.
+    /// The operation waits for tokens that are being requested.
     Pending,
 }
 
-/// With which question an operation was counted that waits.
+/// The round in which a waiting operation was counted, so that each request counts it once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ticket(Option<u32>);
 
-/// Tokens that came with one answer.
+/// Tokens from one answer.
 #[derive(Clone, Copy, Debug)]
 struct Tokens {
     count: u32,
     until: Instant,
 }
 
-/// A question that is open.
+/// A request that has not been answered.
 #[derive(Clone, Debug)]
 pub(super) struct TokenRequest {
     pub number: u32,
-    pub granter: NodeName,
-    asked: Instant,
+    pub allocator: NodeName,
+    sent_at: Instant,
     wanted: u32,
 }
 
-/// What a front has of one account's tokens.
+/// A front's tokens for one account.
 #[derive(Clone, Debug)]
 pub(super) struct TokenCache {
     tokens: VecDeque<Tokens>,
-    open: Option<TokenRequest>,
-    /// Counts the answers, and the questions that were given up.
+    pending: Option<TokenRequest>,
+    /// Increases with each answer and each request that timed out.
     round: u32,
-    /// Operations that wait and are not part of the open question.
-    uncounted: u32,
-    /// Until when nobody asks after the granter had no more, and when operations that are refused meanwhile
-    /// may come back.
+    /// Waiting operations that the pending request does not cover.
+    unrequested: u32,
+    /// After the allocator had no tokens left: until when the front sends no request, and when the
+    /// operations refused meanwhile may be retried.
     refused: Option<(Instant, Instant)>,
-    /// When to ask again, where the granter has more in a moment.
+    /// When to send the next request, if the allocator expects more tokens shortly.
     ask_after: Option<Instant>,
-    /// Who grants instead of the node that this one knows of, and until when that is believed.
-    elsewhere: Option<(NodeName, Instant)>,
-    /// When it was last used.
-    pub used: Instant,
-    /// Tokens that lapsed or were given back: the granter gets them with the next question.
+    /// The node that allocates according to the last referral, and until when the referral is
+    /// valid.
+    referral: Option<(NodeName, Instant)>,
+    /// Time of the last use.
+    pub last_used: Instant,
+    /// Tokens that expired or were returned. They go back to the allocator with the next request.
     unused: u32,
-    /// Operations in the current stretch of [`GRANT_LIFE`] and in the one before.
-    counted_since: Instant,
-    recent: [u32; 2],
+    /// Operations in the current interval of [`TOKEN_LIFETIME`] and in the previous one.
+    interval_start: Instant,
+    recent_counts: [u32; 2],
 }
 
 impl TokenCache {
     pub fn new(now: Instant) -> Self {
         Self {
             tokens: VecDeque::new(),
-            open: None,
+            pending: None,
             round: 0,
-            uncounted: 0,
+            unrequested: 0,
             refused: None,
             ask_after: None,
-            elsewhere: None,
-            used: now,
+            referral: None,
+            last_used: now,
             unused: 0,
-            counted_since: now,
-            recent: [0; 2],
+            interval_start: now,
+            recent_counts: [0; 2],
         }
     }
 
     /// Takes a token, or counts the operation among those that wait for one.
     pub fn take(&mut self, ticket: &mut Ticket, now: Instant) -> Take {
-        self.used = now;
+        self.last_used = now;
         if self.take_token(now) {
-            self.count(now);
+            self.count_operation(now);
             return Take::Taken;
         }
         if let Some((_, back)) = self.refused.filter(|(until, _)| now < *until) {
@@ -91,7 +92,7 @@
         }
         if ticket.0 != Some(self.round) {
             ticket.0 = Some(self.round);
-            self.uncounted += 1;
+            self.unrequested += 1;
         }
         Take::Pending
     }
@@ -108,67 +109,72 @@
         false
     }
 
-    fn count(&mut self, now: Instant) {
-        while now >= self.counted_since + TOKEN_LIFETIME {
-            self.recent = [0, self.recent[0]];
-            self.counted_since += TOKEN_LIFETIME;
-            if now >= self.counted_since + 2 * TOKEN_LIFETIME {
-                self.counted_since = now;
+    fn count_operation(&mut self, now: Instant) {
+        while now >= self.interval_start + TOKEN_LIFETIME {
+            self.recent_counts = [0, self.recent_counts[0]];
+            self.interval_start += TOKEN_LIFETIME;
+            if now >= self.interval_start + 2 * TOKEN_LIFETIME {
+                self.interval_start = now;
             }
         }
-        self.recent[0] += 1;
+        self.recent_counts[0] += 1;
     }
 
-    /// Operations that will need tokens within half of their life, by those of late: what is asked for
-    /// in vain lapses and is missing elsewhere.
+    /// Estimates how many further operations will need tokens within half a token lifetime, from
+    /// the previous interval. Tokens requested in excess would expire here and be missing on other
+    /// nodes.
     fn expected(&self) -> u32 {
-        self.recent[1] / 2
+        self.recent_counts[1] / 2
     }
 
-    /// An operation that had a token has not run.
+    /// Returns the token of an operation that did not run.
     pub fn give_back(&mut self) {
         self.unused += 1;
     }
 
-    /// Tokens that go back to the granter, since the last call.
+    /// Takes the tokens to return to the allocator, since the last call.
     pub fn take_unused(&mut self) -> u32 {
         std::mem::take(&mut self.unused)
     }
 
-    /// The open question, if it has waited too long for an answer: it is given up.
-    pub fn give_up(&mut self, now: Instant) -> Option<NodeName> {
-        let late = |open: &mut TokenRequest| now >= open.asked + ANSWER_TIMEOUT;
-        let late = self.open.take_if(late)?;
+    /// Drops the pending request if it was not answered within [`ANSWER_TIMEOUT`]. Returns the node
+    /// that did not answer.
+    pub fn take_timed_out(&mut self, now: Instant) -> Option<NodeName> {
+        let timed_out = |pending: &mut TokenRequest| now >= pending.sent_at + ANSWER_TIMEOUT;
+        let timed_out = self.pending.take_if(timed_out)?;
         self.next_round();
-        self.elsewhere = None;
-        Some(late.granter)
+        self.referral = None;
+        Some(timed_out.allocator)
     }
 
-    /// Whether a question is due.
-    pub fn is_due(&self, now: Instant) -> bool {
+    /// Whether a request should be sent now.
+    pub fn needs_request(&self, now: Instant) -> bool {
         let waits = self.ask_after.is_some_and(|at| now < at);
-        self.open.is_none() && self.uncounted > 0 && !waits
+        self.pending.is_none() && self.unrequested > 0 && !waits
     }
 
-    /// Opens a question to `granter`. Returns how many tokens it asks for.
-    pub fn ask(&mut self, number: u32, granter: NodeName, now: Instant) -> u32 {
-        let wanted = self.uncounted + self.expected();
-        self.uncounted = 0;
-        self.open = Some(TokenRequest { number, granter, asked: now, wanted });
+    /// Starts a request to `allocator` and returns the number of tokens to request.
+    pub fn start_request(&mut self, number: u32, allocator: NodeName, now: Instant) -> u32 {
+        let wanted = self.unrequested + self.expected();
+        self.unrequested = 0;
+        self.pending = Some(TokenRequest { number, allocator, sent_at: now, wanted });
         wanted
     }
 
-    /// The node to ask in place of the one that is known, if there is one.
-    pub fn elsewhere(&self, now: Instant) -> Option<&NodeName> {
-        self.elsewhere.as_ref().filter(|(_, until)| now < *until).map(|(node, _)| node)
+    /// The node that the last valid referral names.
+    pub fn referral(&self, now: Instant) -> Option<&NodeName> {
+        self.referral.as_ref().filter(|(_, until)| now < *until).map(|(node, _)| node)
     }
 
-    /// The answer to the question with this number. Returns whether it was open.
+    /// Handles the answer to request `number`. Returns whether that request was pending.
     pub fn on_grant(&mut self, number: u32, count: u32, retry: Duration, now: Instant) -> bool {
-        let Some(open) = self.open.take_if(|open| open.number == number) else { return false };
-        // Tokens last from the question on, so they are over before the granter takes them for over.
-        self.tokens.push_back(Tokens { count, until: open.asked + TOKEN_LIFETIME });
-        if count == 0 && open.wanted > 0 {
+        let Some(pending) = self.pending.take_if(|pending| pending.number == number) else {
+            return false;
+        };
+        // The lifetime starts when the request is sent, so tokens expire here before the allocator
+        // counts them as expired.
+        self.tokens.push_back(Tokens { count, until: pending.sent_at + TOKEN_LIFETIME });
+        if count == 0 && pending.wanted > 0 {
             match retry <= MAX_REFILL_WAIT {
                 true => self.ask_after = Some(now + retry),
                 false => self.refused = Some((now + REFUSAL_CACHE_PERIOD, now + retry)),
@@ -178,16 +184,18 @@
         true
     }
 
-    /// The open question goes to another node.
-    pub fn on_elsewhere(&mut self, number: u32, node: NodeName, until: Instant) -> bool {
-        let Some(_) = self.open.take_if(|open| open.number == number) else { return false };
-        self.elsewhere = Some((node, until));
+    /// Handles an answer that refers to another node. Returns whether that request was pending.
+    pub fn on_referral(&mut self, number: u32, node: NodeName, until: Instant) -> bool {
+        let Some(_) = self.pending.take_if(|pending| pending.number == number) else {
+            return false;
+        };
+        self.referral = Some((node, until));
         self.next_round();
         true
     }
 
     fn next_round(&mut self) {
         self.round = self.round.wrapping_add(1);
-        self.uncounted = 0;
+        self.unrequested = 0;
     }
 }
