--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -1,15 +1,18 @@
-//! Admission to one instance: who runs next, who waits, and who is refused at once.
+//! Admission to one instance: decides which request runs next, which requests wait, and which are
+//! refused at once.
 //!
-//! One gateway owns an instance, so one scheduler sees all requests for it. Slots bound what runs
-//! at once; each tenant's capacity bounds its part of them. Priorities go in order, except that a
-//! lower one is served after [`STARVATION_LIMIT`] requests have gone ahead of it. Tenants of one
-//! priority share by start-time fair queuing, weighted by capacity; a tenant's own requests go by
-//! deadline. Where tenants are shared by accounts, each account of a tenant counts as one of its own, and
-//! a request starts only if its account has a connection. A request that by the estimate cannot finish before its deadline is refused when it
-//! arrives, or given up as soon as that shows, and is told when to come back.
+//! One gateway owns an instance, so one scheduler sees all requests for it. Slots bound the number
+//! of requests that run concurrently on the instance; each tenant's capacity bounds the tenant's
+//! share of the slots. Higher priorities go first, except that a lower priority is served after
+//! [`STARVATION_LIMIT`] requests have gone ahead of it. Tenants of the same priority share by
+//! start-time fair queuing, weighted by capacity. A tenant's own requests run in order of their
+//! deadlines. If a tenant has several accounts, each account is scheduled as a separate tenant, and
+//! a request starts only if its account has a connection. A request that by the estimate cannot
+//! finish before its deadline is refused on arrival. A waiting request is dropped as soon as it can
+//! no longer finish in time. Both refusals carry a retry hint.
 //!
-//! Time is an argument. A decision allocates nothing once a tenant is known and its queue has
-//! reached its working size.
+//! Time is an argument. Once a tenant is known and its queue has reached its working size, a
+//! decision allocates no memory.
 
 mod estimate;
 mod service_time;
@@ -29,15 +32,17 @@
 
 /// Number of priorities.
 const LEVELS: usize = 3;
-/// Requests of higher priorities that may go ahead of a waiting lower one in a row.
+/// Number of consecutive requests of higher priorities that may go ahead of a waiting request of a
+/// lower priority.
 pub const STARVATION_LIMIT: u32 = 16;
-/// Units in which shares of starts are kept, and how fast they follow: by 1/32 of the difference.
+/// Fixed-point unit of the share of starts, and the step of its moving average: 1/32 of the
+/// difference per start.
 const SHARE_UNITS: u32 = 1 << 16;
 const SHARE_SHIFT: u32 = 5;
-/// Tenants remembered before those without any request are dropped.
-const REMEMBERED_TENANTS: usize = 256;
+/// When this many tenants are known, those without any request are dropped.
+const MAX_KNOWN_TENANTS: usize = 256;
 
-/// All tenants' state at one priority.
+/// State of all tenants at one priority.
 #[derive(Debug, Default)]
 struct Level {
     /// Keys of tenants with waiting requests.
@@ -45,31 +50,32 @@
     waiting: usize,
     /// Sum of the active tenants' weights.
     weight: u64,
-    /// Virtual time of the last request started: where a tenant that returns begins.
+    /// Virtual time of the request that started last. A tenant that becomes active again starts
+    /// from here.
     virtual_time: u64,
-    /// Requests of higher levels that went ahead since this one was last served.
-    passed_over: u32,
-    /// Part of the latest starts that were of higher levels, in units of 1 / [`SHARE_UNITS`].
+    /// Number of higher-priority requests that started since this level was last served.
+    overtaken: u32,
+    /// Fraction of recent starts that belonged to higher levels, in units of 1 / [`SHARE_UNITS`].
     higher_share: u32,
     service: ServiceTime,
 }
 
-/// Whose requests share one queue a level.
+/// Identifies the requests that share one queue per level.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Flow {
     tenant: TenantName,
     account: Option<AccountName>,
 }
 
-/// The scheduler of one instance. `T` is the work that waits.
+/// The scheduler of one instance. `T` is the work of a request.
 #[derive(Debug)]
 pub struct Scheduler<T> {
     limits: Limits,
     levels: [Level; LEVELS],
     tenants: Vec<Tenant<T>>,
     keys: HashMap<Flow, usize>,
-    /// Places of tenants that were forgotten.
-    vacant: Vec<usize>,
+    /// Indices of dropped tenants, for reuse.
+    free_indices: Vec<usize>,
     running: u32,
     refusals: u32,
 }
@@ -87,46 +93,46 @@
 }
 
 impl<T> Scheduler<T> {
-    /// An idle scheduler.
+    /// Creates an idle scheduler.
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
             levels: std::array::from_fn(|_| Level::default()),
             tenants: Vec::new(),
             keys: HashMap::new(),
-            vacant: Vec::new(),
+            free_indices: Vec::new(),
             running: 0,
             refusals: 0,
         }
     }
 
-    /// Replaces the limits. What runs and waits stays.
+    /// Replaces the limits. Running and waiting requests are not affected.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Requests running now.
+    /// Number of running requests.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests waiting now.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.levels.iter().map(|level| level.waiting).sum()
     }
 
-    /// Requests of a tenant that run now.
+    /// Number of running requests of a tenant.
     pub fn running_of(&self, tenant: &TenantName) -> u32 {
         let flows = self.keys.iter().filter(|(flow, _)| flow.tenant == *tenant);
         flows.map(|(_, key)| self.tenants[*key].running).sum()
     }
 
-    /// Slots that nothing uses.
+    /// Number of free slots.
     pub fn free_slots(&self) -> u32 {
         self.limits.slots.saturating_sub(self.running)
     }
 
-    /// How many more requests could start now if all had connections.
+    /// Number of further requests that could start now if all accounts had connections.
     pub fn startable(&self) -> u32 {
         let free = self.limits.slots.saturating_sub(self.running);
         if free == 0 {
@@ -136,8 +142,8 @@
         free.min(u32::try_from(ready).unwrap_or(u32::MAX))
     }
 
-    /// The requests that could start if all had connections, by account; those that have waited longest
-    /// come first.
+    /// The requests that could start now if all accounts had connections, by account. Accounts with
+    /// the longest wait come first.
     pub fn startable_by_account(&self, now: Instant) -> Vec<Startable> {
         if self.running >= self.limits.slots || self.waiting() == 0 {
             return Vec::new();
@@ -166,9 +172,9 @@
         let level = level_of(request.priority);
         let key = self.tenant_key(request);
         let total = request.deadline.saturating_duration_since(now);
-        let time = TimeBudget { deadline: request.deadline, total };
+        let budget = TimeBudget { deadline: request.deadline, total };
         let position = self.tenants[key].queues[level].ahead_of(request.deadline);
-        if let Some(overload) = self.overload(key, level, position, time, now) {
+        if let Some(overload) = self.overload(key, level, position, budget, now) {
             return Err(Refused { work, overload });
         }
         let tenant = &mut self.tenants[key];
@@ -178,9 +184,9 @@
             queue.virtual_time = queue.virtual_time.max(state.virtual_time);
             state.active.push(key);
         }
-        queue.insert(position, Waiting { time, work });
+        queue.insert(position, Waiting { budget, work });
         state.waiting += 1;
-        self.sum_weights(level);
+        self.update_weight(level);
         Ok(())
     }
 
@@ -190,11 +196,11 @@
             self.tenants[key].capacity = request.capacity;
             return key;
         }
-        if self.keys.len() >= REMEMBERED_TENANTS {
+        if self.keys.len() >= MAX_KNOWN_TENANTS {
             self.forget_idle_tenants();
         }
         let tenant = Tenant::new(request.account.clone(), request.capacity);
-        let key = match self.vacant.pop() {
+        let key = match self.free_indices.pop() {
             Some(key) => {
                 self.tenants[key] = tenant;
                 key
@@ -209,27 +215,28 @@
     }
 
     fn forget_idle_tenants(&mut self) {
-        let (tenants, vacant) = (&self.tenants, &mut self.vacant);
+        let (tenants, free_indices) = (&self.tenants, &mut self.free_indices);
         self.keys.retain(|_, key| {
             let idle = tenants[*key].is_idle();
             if idle {
-                vacant.push(*key);
+                free_indices.push(*key);
             }
             !idle
         });
     }
 
-    fn sum_weights(&mut self, level: usize) {
+    fn update_weight(&mut self, level: usize) {
         let weights = self.levels[level].active.iter().map(|key| self.tenants[*key].weight());
         self.levels[level].weight = weights.sum();
     }
 
-    /// The next request to run, or to give up; `None` if no slot is free or nobody may start.
+    /// Takes the next request to run or to refuse. Returns `None` if no slot is free or no request
+    /// may start.
     pub fn take_next(&mut self, now: Instant) -> Option<Dispatch<T>> {
         self.take_next_where(now, |_| true)
     }
 
-    /// The same among the accounts that have a connection.
+    /// Like [`Self::take_next`], limited to the accounts that have a connection.
     pub fn take_next_where(
         &mut self,
         now: Instant,
@@ -240,25 +247,26 @@
         }
         let (level, key) = self.choose(&has_connection)?;
         let waiting = self.pop(level, key)?;
-        if self.cannot_meet_deadline(level, waiting.time, now) {
+        if self.cannot_meet_deadline(level, waiting.budget, now) {
             return Some(Dispatch::Expired(self.expire(level, key, waiting.work)));
         }
         let ticket = self.start(level, key, now);
         Some(Dispatch::Run { ticket, work: waiting.work })
     }
 
-    /// The level and tenant to serve: a level passed over too often, else the highest one.
+    /// Chooses the level and tenant to serve: a level that was overtaken too often, otherwise the
+    /// highest one.
     fn choose(
         &self,
         has_connection: &impl Fn(Option<&AccountName>) -> bool,
     ) -> Option<(usize, usize)> {
         let starved = (0..LEVELS)
-            .filter(|level| self.levels[*level].passed_over >= STARVATION_LIMIT)
+            .filter(|level| self.levels[*level].overtaken >= STARVATION_LIMIT)
             .find_map(|level| self.choose_in(level, has_connection));
         starved.or_else(|| (0..LEVELS).find_map(|level| self.choose_in(level, has_connection)))
     }
 
-    /// The tenant with the least virtual time that is below its capacity.
+    /// Chooses the tenant with the lowest virtual time among those below their capacity.
     fn choose_in(
         &self,
         level: usize,
@@ -288,7 +296,7 @@
         if let Some(index) = state.active.iter().position(|active| *active == key) {
             state.active.swap_remove(index);
         }
-        self.sum_weights(level);
+        self.update_weight(level);
     }
 
     fn start(&mut self, level: usize, key: usize, now: Instant) -> Ticket {
@@ -298,9 +306,9 @@
             state.higher_share += target >> SHARE_SHIFT;
             match number.cmp(&level) {
                 std::cmp::Ordering::Less => {}
-                std::cmp::Ordering::Equal => state.passed_over = 0,
-                std::cmp::Ordering::Greater if state.waiting > 0 => state.passed_over += 1,
-                std::cmp::Ordering::Greater => state.passed_over = 0,
+                std::cmp::Ordering::Equal => state.overtaken = 0,
+                std::cmp::Ordering::Greater if state.waiting > 0 => state.overtaken += 1,
+                std::cmp::Ordering::Greater => state.overtaken = 0,
             }
         }
         let state = &mut self.levels[level];
@@ -311,8 +319,9 @@
         ticket
     }
 
-    /// Takes a slot for the next statement of an open transaction. It never waits: others may be
-    /// waiting for locks that the transaction holds. Requests that do wait stay behind it.
+    /// Takes a slot for the next statement of an open transaction. It never waits, because other
+    /// requests may wait for locks that the transaction holds. The slots may be exceeded; waiting
+    /// requests do not start until slots are free again.
     pub fn resume(&mut self, ticket: &mut Ticket, now: Instant) {
         if ticket.running.is_some() {
             return;
@@ -328,8 +337,8 @@
         ticket.running = Some(Running { started: now, charged });
     }
 
-    /// Gives the slot back while an open transaction waits for its caller, and corrects what the
-    /// tenant was charged by the time really taken.
+    /// Frees the slot while an open transaction waits for its client, and replaces the expected
+    /// service time that the tenant was charged by the actual one.
     pub fn pause(&mut self, ticket: &mut Ticket, now: Instant) {
         let Some(Running { started, charged }) = ticket.running.take() else { return };
         let taken = now.saturating_duration_since(started);
@@ -349,7 +358,7 @@
         self.tenants[ticket.tenant].paused -= 1;
     }
 
-    /// Takes out waiting requests that can no longer finish in time.
+    /// Removes the waiting requests that can no longer finish before their deadlines.
     pub fn take_expired(&mut self, now: Instant) -> Vec<Refused<T>> {
         let mut late = Vec::new();
         for level in 0..LEVELS {
@@ -368,15 +377,15 @@
         now: Instant,
         late: &mut Vec<Refused<T>>,
     ) {
-        while let Some(time) = self.tenants[key].queues[level].first_budget()
-            && self.cannot_meet_deadline(level, time, now)
+        while let Some(budget) = self.tenants[key].queues[level].first_budget()
+            && self.cannot_meet_deadline(level, budget, now)
             && let Some(waiting) = self.pop(level, key)
         {
             late.push(self.expire(level, key, waiting.work));
         }
     }
 
-    /// Takes out one waiting request, because its caller is gone.
+    /// Removes one waiting request, for example because its client disconnected.
     pub fn remove(&mut self, mut matches: impl FnMut(&T) -> bool) -> Option<T> {
         for level in 0..LEVELS {
             for index in 0..self.levels[level].active.len() {
@@ -395,13 +404,13 @@
         None
     }
 
-    /// Everything that waits, in no particular order.
+    /// All waiting work, in no particular order.
     pub fn waiting_work(&self) -> impl Iterator<Item = &T> {
         let queues = self.tenants.iter().flat_map(|tenant| &tenant.queues);
         queues.flat_map(|queue| queue.work_items())
     }
 
-    /// Takes out everything that waits.
+    /// Removes all waiting requests.
     pub fn drain(&mut self) -> Vec<T> {
         std::iter::from_fn(|| self.remove(|_| true)).collect()
     }
--- a/crates/core/src/admission/service_time.rs
+++ b/crates/core/src/admission/service_time.rs
@@ -1,11 +1,12 @@
-//! Running estimate of how long a request holds its slot.
+//! Running estimate of how long a request occupies its slot.
 
 use std::time::Duration;
 
-/// The mean moves by 1/8 of each difference, the deviation by 1/4, as in TCP's round-trip timer.
+/// The mean moves by 1/8 of each difference and the deviation by 1/4, as in TCP's round-trip time
+/// estimator.
 const MEAN_SHIFT: u32 = 3;
 const DEVIATION_SHIFT: u32 = 2;
-/// Deviations above the mean that the tail estimate stands for.
+/// Number of mean deviations above the mean in the tail estimate.
 const TAIL_DEVIATIONS: u64 = 4;
 
 /// Exponentially weighted mean and mean deviation of service times. Zero until the first sample.
@@ -17,7 +18,7 @@
 }
 
 impl ServiceTime {
-    /// Takes in one observed service time.
+    /// Records one observed service time.
     pub fn record(&mut self, sample: Duration) {
         let sample = nanoseconds(sample);
         if !self.sampled {
@@ -34,7 +35,7 @@
         Duration::from_nanos(self.mean)
     }
 
-    /// Service time that few requests exceed: the mean and four mean deviations.
+    /// Service time that few requests exceed: the mean plus four mean deviations.
     pub fn tail(&self) -> Duration {
         Duration::from_nanos(
             self.mean.saturating_add(self.deviation.saturating_mul(TAIL_DEVIATIONS)),
--- a/crates/core/src/admission/tenant.rs
+++ b/crates/core/src/admission/tenant.rs
@@ -1,4 +1,4 @@
-//! What the scheduler knows of one tenant: its queues, its running requests, its virtual time.
+//! Scheduler state of one tenant: its queues, its running requests and its virtual time.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -9,26 +9,27 @@
 /// One waiting request.
 #[derive(Debug)]
 pub(super) struct Waiting<T> {
-    pub time: TimeBudget,
+    pub budget: TimeBudget,
     pub work: T,
 }
 
-/// The time a request has.
+/// The time in which a request must finish.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TimeBudget {
     pub deadline: Instant,
-    /// Time from its arrival to its deadline.
+    /// Time from arrival to deadline.
     pub total: Duration,
 }
 
 impl TimeBudget {
-    /// How long a request has waited.
+    /// How long the request has waited so far.
     pub fn waited(&self, now: Instant) -> Duration {
         self.total.saturating_sub(self.deadline.saturating_duration_since(now))
     }
 
-    /// Time to leave for a service of this length. A service time longer than half of the time allowed counts
-    /// as that half: a slow back end must not have everything refused unseen.
+    /// Time to reserve for a given service time, at most half of the total. Without that bound an
+    /// instance slower than the deadlines would have every request refused before any of them was
+    /// tried.
     pub fn needed_for(&self, service: Duration) -> Duration {
         service.min(self.total / 2)
     }
@@ -38,7 +39,8 @@
 #[derive(Debug)]
 pub(super) struct DeadlineQueue<T> {
     items: VecDeque<Waiting<T>>,
-    /// Service received per unit of weight, in nanoseconds; the least goes next.
+    /// Service received per unit of weight, in nanoseconds. The queue with the lowest value is
+    /// served next.
     pub virtual_time: u64,
 }
 
@@ -57,16 +59,17 @@
         self.items.is_empty()
     }
 
-    /// How many waiting requests stay ahead of one with this deadline. Arrivals come nearly in
-    /// the order of their deadlines, so the search begins at the end.
+    /// Number of waiting requests that stay ahead of a request with this deadline. Requests arrive
+    /// nearly in the order of their deadlines, so the search starts at the end.
     pub fn ahead_of(&self, deadline: Instant) -> usize {
-        let behind = self.items.iter().rev().take_while(|waiting| waiting.time.deadline > deadline);
+        let behind =
+            self.items.iter().rev().take_while(|waiting| waiting.budget.deadline > deadline);
         self.items.len() - behind.count()
     }
 
-    /// Allowances of the requests from `position` on.
+    /// Time budgets of the requests from `position` on.
     pub fn budgets_from(&self, position: usize) -> impl Iterator<Item = TimeBudget> + '_ {
-        self.items.range(position..).map(|waiting| waiting.time)
+        self.items.range(position..).map(|waiting| waiting.budget)
     }
 
     pub fn insert(&mut self, position: usize, waiting: Waiting<T>) {
@@ -74,7 +77,7 @@
     }
 
     pub fn first_budget(&self) -> Option<TimeBudget> {
-        self.items.front().map(|waiting| waiting.time)
+        self.items.front().map(|waiting| waiting.budget)
     }
 
     pub fn pop(&mut self) -> Option<Waiting<T>> {
@@ -91,15 +94,15 @@
     }
 }
 
-/// One tenant, or one account of it.
+/// One tenant, or one account of a tenant.
 #[derive(Debug)]
 pub(super) struct Tenant<T> {
-    /// Account whose connections its requests need.
+    /// Account whose connections the requests need.
     pub account: Option<AccountName>,
-    /// Requests it may have running at once; also its weight among tenants.
+    /// Number of requests that may run concurrently; also the weight among tenants.
     pub capacity: u32,
     pub running: u32,
-    /// Open transactions that wait for their callers.
+    /// Open transactions that wait for their clients.
     pub paused: u32,
     pub queues: [DeadlineQueue<T>; LEVELS],
 }
@@ -123,16 +126,16 @@
         self.running >= self.capacity
     }
 
-    /// How many of its waiting requests its capacity lets start.
+    /// Number of waiting requests that the capacity lets start.
     pub fn startable(&self) -> usize {
         let waiting = self.queues.iter().map(DeadlineQueue::len).sum();
         (self.capacity.saturating_sub(self.running) as usize).min(waiting)
     }
 
-    /// How long the request that has waited longest has.
+    /// Longest time that any of the waiting requests has waited.
     pub fn longest_wait(&self, now: Instant) -> Duration {
         let first = self.queues.iter().filter_map(DeadlineQueue::first_budget);
-        first.map(|time| time.waited(now)).max().unwrap_or_default()
+        first.map(|budget| budget.waited(now)).max().unwrap_or_default()
     }
 
     pub fn is_idle(&self) -> bool {
--- a/crates/core/src/admission/types.rs
+++ b/crates/core/src/admission/types.rs
@@ -1,4 +1,4 @@
-//! What goes into the scheduler and what comes out of it.
+//! Inputs and outputs of the scheduler.
 
 use std::time::{Duration, Instant};
 
@@ -6,65 +6,66 @@
 use crate::ids::{AccountName, TenantName};
 use crate::outcome::ResultCode;
 
-/// What an instance can take.
+/// Limits of one instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests running at once.
+    /// Requests that may run concurrently.
     pub slots: u32,
-    /// Requests waiting at once.
+    /// Requests that may wait.
     pub queue_length: usize,
 }
 
-/// What the scheduler must know of a request.
+/// What the scheduler needs to know of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Tenant that is charged.
     pub tenant: TenantName,
-    /// Account on whose behalf it is asked: accounts of one tenant share like tenants.
+    /// Account that the request belongs to. The accounts of one tenant are scheduled like separate
+    /// tenants.
     pub account: Option<AccountName>,
-    /// Requests that the tenant may have running at once on this instance.
+    /// Requests that the tenant may run concurrently on this instance.
     pub capacity: u32,
-    /// Order among all requests.
+    /// Priority among all requests.
     pub priority: Priority,
-    /// Time by which it is to be finished.
+    /// Time by which the request must finish.
     pub deadline: Instant,
 }
 
-/// Requests of one account that wait and could start.
+/// Waiting requests of one account that could start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Startable {
-    /// The account; `None`: nobody in particular.
+    /// The account; `None` for requests without an account.
     pub account: Option<AccountName>,
-    /// How many.
+    /// Number of requests.
     pub count: u32,
-    /// How long the one that has waited longest has.
+    /// Longest time that any of them has waited.
     pub waited: Duration,
 }
 
-/// A refusal: the request did not run.
+/// The reason for a refusal; the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overload {
-    /// `Overloaded`, or `TenantOverCapacity` where the tenant's own limit is the cause.
+    /// `Overloaded`, or `TenantOverCapacity` if the tenant's own limit is the cause.
     pub code: ResultCode,
-    /// When to come back.
+    /// Delay after which to retry.
     pub retry_after: Duration,
 }
 
-/// A request that was refused on arrival, given back.
+/// A refused request, with the work returned.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Refused<T> {
     /// The request's work.
     pub work: T,
-    /// Why.
+    /// The reason for the refusal.
     pub overload: Overload,
 }
 
-/// The right to one slot, given back through [`Scheduler::finish`](super::Scheduler::finish).
+/// The use of one slot, ended by [`Scheduler::finish`](super::Scheduler::finish).
 #[derive(Debug, PartialEq, Eq)]
 pub struct Ticket {
     pub(super) tenant: usize,
     pub(super) level: usize,
-    /// When it last took its slot, and what its tenant was charged then; `None` while paused.
+    /// When the slot was last taken and what the tenant was charged for it; `None` while paused.
     pub(super) running: Option<Running>,
 }
 
@@ -74,16 +75,16 @@
     pub charged: u64,
 }
 
-/// What comes out of the queue.
+/// The next request and what to do with it.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Dispatch<T> {
-    /// Run it now.
+    /// Run the request now.
     Run {
-        /// Its slot.
+        /// The slot it uses.
         ticket: Ticket,
         /// The work.
         work: T,
     },
-    /// It can no longer finish in time: answer it at once.
+    /// The request can no longer finish before its deadline: answer it at once.
     Expired(Refused<T>),
 }
