--- a/crates/core/src/admin/configuration.rs
+++ b/crates/core/src/admin/configuration.rs
@@ -1,4 +1,4 @@
-//! Reading and changing the configuration through a node.
+//! Messages for reading and changing the configuration through a node.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 use crate::catalog::{Account, Catalog, Group, Revision, Template, Tenant, Zone};
 use crate::ids::{AccountName, GroupName, NodeName, TemplateName, TenantName, ZoneName};
 
-/// What an entry of the configuration describes.
+/// The kind of a configuration entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EntryKind {
@@ -24,7 +24,7 @@
 }
 
 impl EntryKind {
-    /// Every kind, those that others refer to first.
+    /// All kinds, ordered so that entries come before the entries that refer to them.
     pub const ALL: [Self; 5] =
         [Self::Zone, Self::Group, Self::Template, Self::Tenant, Self::Account];
 
@@ -39,18 +39,18 @@
         }
     }
 
-    /// The kind whose entries stand in a table.
+    /// The kind of the entries in a table.
     pub fn of_table(table: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.table() == table)
     }
 }
 
-/// Name of an entry.
+/// Identifies an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryId {
-    /// What it describes.
+    /// Kind of the entry.
     pub kind: EntryKind,
-    /// Its name among those.
+    /// Name among the entries of its kind.
     pub name: String,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl EntryValue {
-    /// What it describes.
+    /// Kind of the entry.
     pub fn kind(&self) -> EntryKind {
         match self {
             Self::Zone(_) => EntryKind::Zone,
@@ -99,13 +99,14 @@
 }
 
 impl Change {
-    /// The entry it writes.
+    /// The entry that the change writes.
     pub fn id(&self) -> EntryId {
         EntryId { kind: self.value.kind(), name: self.name.clone() }
     }
 }
 
-/// Number of an apply, chosen by the client: the same number is never applied twice.
+/// Number of an apply request, chosen by the client. Requests with the same number are applied
+/// once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub String);
@@ -116,50 +117,50 @@
     }
 }
 
-/// Asks to write entries, all or none.
+/// Request to write entries, all or none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
     /// Number of the request.
     pub request: RequestId,
-    /// Who asks.
+    /// Who requests the change.
     pub author: String,
-    /// Revision that the author saw: an entry written later is a conflict.
+    /// Revision that the author has read. If an entry was written after it, the request conflicts.
     pub base: Revision,
-    /// What to write.
+    /// Entries to write.
     pub changes: Vec<Change>,
 }
 
-/// The entries are written.
+/// The result of a successful apply request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Applied {
-    /// Revision at which they were.
+    /// Revision at which the entries were written.
     pub revision: Revision,
-    /// False if every entry already had its value, so that nothing was written.
+    /// False if all entries already had their values, so that nothing was written.
     pub changed: bool,
 }
 
 /// Who wrote a version of an entry, and when.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Authorship {
-    /// Counts the versions of the entry; zero: not written through a node.
+    /// Version number of the entry; zero if it was not written through a node.
     pub version: u64,
     /// Number of the request that wrote it.
     pub request: String,
-    /// Who asked for it.
+    /// Who requested the change.
     pub author: String,
-    /// When, in milliseconds since 1970 by the clock of the node asked.
+    /// When, in milliseconds since 1970, by the clock of the node that handled the request.
     pub at_ms: u64,
 }
 
-/// An entry as it stands in the store, or stood there.
+/// A version of an entry in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Name among the entries of its kind.
     pub name: String,
     /// Revision at which this version was written.
     pub revision: Revision,
-    /// Who wrote it.
+    /// Who wrote it, and when.
     pub authorship: Authorship,
     /// Value.
     pub value: EntryValue,
@@ -169,36 +170,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
-    /// The store, just read.
+    /// The store, read for this request.
     Store,
-    /// What the node has in force, because the store did not answer.
+    /// The node's active configuration, because the store did not answer.
     InForce,
 }
 
 /// Entries of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Revision of the whole configuration: base of an apply that follows.
+    /// Revision of the whole configuration, to use as the base of a later apply request.
     pub revision: Revision,
-    /// Where it comes from.
+    /// Where the listing comes from.
     pub source: Source,
-    /// The entries asked for.
+    /// The requested entries.
     pub entries: Vec<Entry>,
 }
 
-/// A live node and the configuration it has in force.
+/// A live node and its active configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRevision {
     /// The node.
     pub node: NodeName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Newest revision it is known to have in force; zero if none is known.
+    /// Newest revision known to be active on the node; zero if none is known.
     pub revision: Revision,
 }
 
 impl Catalog {
-    /// Puts an entry in, or replaces it.
+    /// Inserts or replaces an entry.
     pub fn insert(&mut self, name: &str, value: EntryValue) {
         match value {
             EntryValue::Zone(zone) => {
--- a/crates/core/src/admin/mod.rs
+++ b/crates/core/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! What a node's admin port and the operators' command line tell each other, as JSON.
+//! JSON messages between a node's admin port and the operators' command line.
 
 pub mod configuration;
 
@@ -12,9 +12,9 @@
 /// Answer to `/healthz`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
-    /// Whether callers should be sent here.
+    /// Whether clients should be sent to this node.
     pub ready: bool,
-    /// Why not; empty if ready.
+    /// Why the node is not ready; empty if it is.
     pub reasons: Vec<String>,
 }
 
@@ -29,35 +29,35 @@
     pub version: String,
     /// Incarnation of its process.
     pub incarnation: u64,
-    /// Revision of the configuration in force.
+    /// Revision of the active configuration.
     pub revision: Revision,
-    /// Connected callers.
+    /// Number of connected clients.
     pub callers: usize,
-    /// Open back-end connections.
+    /// Number of open connections to instances.
     pub backend_connections: usize,
-    /// Nodes it believes to live, itself among them.
+    /// Number of nodes that this node considers live, including itself.
     pub live_nodes: usize,
-    /// Threads restarted after a panic.
+    /// Number of threads restarted after a panic.
     pub restarts: u64,
 }
 
-/// Body of every answer that is not a success.
+/// Body of all answers other than success.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdminError {
-    /// Numbered code as text, such as `KL2101`.
+    /// Result code as text, such as `KL2101`.
     pub code: String,
     /// What is wrong.
     pub message: String,
-    /// Path of the faulty field of the configuration, where there is one.
+    /// Path of the invalid configuration field, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// Entries that somebody else changed, as they stand now.
+    /// Current state of the entries that another author has changed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub conflicting: Vec<Entry>,
 }
 
 impl AdminError {
-    /// An error without a field.
+    /// Creates an error without a field.
     pub fn new(code: ResultCode, message: impl Into<String>) -> Self {
         Self {
             code: code.to_string(),
--- a/crates/core/src/cancel.rs
+++ b/crates/core/src/cancel.rs
@@ -1,7 +1,7 @@
-//! The key with which a caller asks to cancel what its session runs.
+//! The key with which a client cancels the statement that its session runs.
 //!
-//! A cancel request arrives on a connection of its own, perhaps at another node than the session's.
-//! Half of the key's first number tells the session's node; everything else is random.
+//! A cancel request arrives on its own connection, possibly at another node than the session's. The
+//! upper half of the key's first number identifies the session's node; everything else is random.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -10,23 +10,24 @@
 const NODE_SHIFT: u32 = 16;
 const LOW_HALF: u32 = 0xFFFF;
 
-/// A cancel key: what PostgreSQL calls process number and secret key.
+/// A cancel key: PostgreSQL's process ID and secret key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct CancelKey {
-    /// Node in the upper half, randomness in the lower one.
+    /// Hash of the node name in the upper half, random bits in the lower half.
     pub process: u32,
-    /// Randomness.
+    /// Random bits.
     pub secret: u32,
 }
 
 impl CancelKey {
-    /// A key for a session of `node`; `random` must be unpredictable.
+    /// Creates a key for a session of `node`; `random` must be unpredictable.
     pub fn new(node: &NodeName, random: u64) -> Self {
         let low = (random >> u32::BITS) as u32 & LOW_HALF;
         Self { process: node_half(node) << NODE_SHIFT | low, secret: random as u32 }
     }
 
-    /// Whether the session may be one of `node`'s. Several nodes may share the answer.
+    /// Whether the session may be on `node`. Several nodes may match, because the key holds only 16
+    /// bits of the name's hash.
     pub fn may_belong_to(&self, node: &NodeName) -> bool {
         self.process >> NODE_SHIFT == node_half(node)
     }
--- a/crates/core/src/classify/functions.rs
+++ b/crates/core/src/classify/functions.rs
@@ -1,29 +1,29 @@
-//! What is known of PostgreSQL's functions and system relations.
+//! Known PostgreSQL functions and system relations.
 
 use sqlparser::ast::{Ident, ObjectName, ObjectNamePart};
 
 use crate::session_state::Unsupported;
 
-/// What calling a function means.
+/// The effect of calling a function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FunctionKind {
-    /// Changes nothing and answers the same on every instance that has applied the same log.
+    /// Changes nothing and returns the same on every instance that has applied the same log.
     Safe,
-    /// Needs the primary, but leaves nothing behind on the connection.
+    /// Needs the primary, but leaves no state on the connection.
     Primary,
-    /// `set_config`, which depends on its third argument.
+    /// `set_config`, whose effect depends on its third argument.
     SetConfig,
-    /// Works only within the transaction that went before.
+    /// Refers to an earlier statement on the same connection, so it needs a transaction.
     OnlyInTransaction(Unsupported),
-    /// Cannot be offered.
+    /// Not supported.
     Refused(Unsupported),
-    /// Anything may happen.
+    /// May have any effect.
     Unknown,
 }
 
 const SYSTEM_SCHEMA: &str = "pg_catalog";
 
-/// Sorted, for a binary search.
+/// Sorted for binary search.
 const SAFE: &[&str] = &[
     "abs",
     "age",
@@ -181,7 +181,7 @@
     "width_bucket",
 ];
 
-/// Sorted, for a binary search.
+/// Sorted for binary search.
 const PRIMARY: &[&str] = &[
     "clock_timestamp",
     "current_role",
@@ -216,7 +216,7 @@
     "version",
 ];
 
-/// Sorted, for a binary search.
+/// Sorted for binary search.
 const SESSION_LOCKS: &[&str] = &[
     "pg_advisory_lock",
     "pg_advisory_lock_shared",
@@ -227,8 +227,8 @@
     "pg_try_advisory_lock_shared",
 ];
 
-/// System tables whose content the log carries; other relations named `pg_...` tell about one
-/// instance. Sorted, for a binary search.
+/// System tables whose content is replicated through the log. Other relations named `pg_...`
+/// describe a single instance. Sorted for binary search.
 const REPLICATED_RELATIONS: &[&str] = &[
     "pg_attrdef",
     "pg_attribute",
@@ -252,7 +252,8 @@
     "pg_views",
 ];
 
-/// Settings whose value is the same on every instance unless the session sets it. Sorted.
+/// Settings whose value is the same on every instance unless the session changes it. Sorted for
+/// binary search.
 const COMMON_SETTINGS: &[&str] = &[
     "application_name",
     "client_encoding",
@@ -273,7 +274,7 @@
     sorted.binary_search(&name).is_ok()
 }
 
-/// An identifier as the back end understands it: folded unless quoted.
+/// Folds an identifier to lower case unless it is quoted, as PostgreSQL does.
 pub fn normalized_identifier(identifier: &Ident) -> String {
     match identifier.quote_style {
         Some(_) => identifier.value.clone(),
@@ -281,7 +282,7 @@
     }
 }
 
-/// The last part of a name, if the rest is empty or the system schema.
+/// The last part of a name that is unqualified or qualified by the system schema.
 fn system_name(name: &ObjectName) -> Option<String> {
     let identifier = |part: &ObjectNamePart| part.as_ident().map(normalized_identifier);
     match name.0.as_slice() {
@@ -291,7 +292,7 @@
     }
 }
 
-/// What calling `name` means.
+/// The effect of calling `name`.
 pub fn function_kind(name: &ObjectName) -> FunctionKind {
     let Some(name) = system_name(name) else { return FunctionKind::Unknown };
     match name.as_str() {
@@ -304,13 +305,13 @@
     }
 }
 
-/// Whether reading a relation gives the same on every instance that has applied the same log.
+/// Whether a read of the relation returns the same on every instance that has applied the same log.
 pub fn is_replicated(name: &ObjectName) -> bool {
     let last = name.0.last().and_then(ObjectNamePart::as_ident).map(normalized_identifier);
     last.is_some_and(|last| !last.starts_with("pg_") || contains(REPLICATED_RELATIONS, &last))
 }
 
-/// Whether a setting's value is the same on every instance unless the session sets it.
+/// Whether the setting's value is the same on every instance unless the session changes it.
 pub fn is_common_setting(name: &str) -> bool {
     contains(COMMON_SETTINGS, name)
 }
--- a/crates/core/src/classify/inspector.rs
+++ b/crates/core/src/classify/inspector.rs
@@ -1,4 +1,4 @@
-//! Finds what a statement calls, reads and locks.
+//! Finds the functions, relations and locks that a statement uses.
 
 use std::ops::ControlFlow;
 
@@ -10,22 +10,22 @@
 use super::functions::{FunctionKind, function_kind, is_replicated};
 use crate::session_state::{Effect, Unsupported};
 
-/// Collects what makes a statement more than a read, and what it leaves behind.
+/// Collects what makes a statement more than a read, and its effects on the connection.
 #[derive(Debug, Default)]
 pub struct Inspector {
-    /// Something in it may write, lock, or differ between instances.
+    /// Whether any part of the statement may write, lock, or differ between instances.
     pub impure: bool,
-    /// Effects of what it calls.
+    /// Effects of the functions that the statement calls.
     pub effects: Vec<Effect>,
 }
 
 impl Inspector {
-    fn call(&mut self, name: &ObjectName, sets_locally: bool) {
+    fn call(&mut self, name: &ObjectName, is_local: bool) {
         let kind = function_kind(name);
         self.impure |= kind != FunctionKind::Safe;
         match kind {
             FunctionKind::Safe | FunctionKind::Primary => {}
-            FunctionKind::SetConfig if sets_locally => {}
+            FunctionKind::SetConfig if is_local => {}
             FunctionKind::SetConfig => self.effects.push(Effect::Refuse(Unsupported::SetConfig)),
             FunctionKind::OnlyInTransaction(reason) => {
                 self.effects.push(Effect::OnlyInTransaction(reason));
@@ -37,7 +37,7 @@
 }
 
 /// Whether the third argument is the literal `true`.
-fn third_is_true(arguments: &FunctionArguments) -> bool {
+fn third_argument_is_true(arguments: &FunctionArguments) -> bool {
     let FunctionArguments::List(list) = arguments else { return false };
     let Some(FunctionArg::Unnamed(FunctionArgExpr::Expr(Expr::Value(third)))) = list.args.get(2)
     else {
@@ -73,7 +73,7 @@
 
     fn pre_visit_expr(&mut self, expression: &Expr) -> ControlFlow<()> {
         if let Expr::Function(Function { name, args, .. }) = expression {
-            self.call(name, third_is_true(args));
+            self.call(name, third_argument_is_true(args));
         }
         ControlFlow::Continue(())
     }
--- a/crates/core/src/classify/mod.rs
+++ b/crates/core/src/classify/mod.rs
@@ -1,7 +1,8 @@
-//! Classification of SQL text: surely a read, or not, and what it leaves behind.
+//! Classifies SQL text: whether it is certainly a read, and which state it leaves on the
+//! connection.
 //!
-//! Whatever is not surely a read goes to the primary. A text that the parser does not understand
-//! may do anything: it goes to the primary, and its connection is reset afterwards.
+//! Everything that is not certainly a read goes to the primary. A text that the parser does not
+//! understand may have any effect: it goes to the primary, and its connection is reset afterwards.
 
 pub mod functions;
 mod inspector;
@@ -18,15 +19,15 @@
 
 use self::inspector::Inspector;
 
-/// Longer texts are not parsed, so that a text costs a shard a bounded time.
+/// Longer texts are not parsed, so that the time a shard spends on one text is bounded.
 pub const MAX_PARSED_BYTES: usize = 64 * 1024;
 
-/// What a statement does, as far as routing must know.
+/// The effect of a statement, as far as routing depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StatementClass {
-    /// Changes nothing and takes no locks: any instance may run it.
+    /// Changes nothing and takes no locks, so any instance may run it.
     Read,
-    /// Opens a transaction that promises to change nothing.
+    /// Opens a read-only transaction.
     BeginReadOnly,
     /// Opens a transaction that may write.
     Begin,
@@ -34,14 +35,14 @@
     Commit,
     /// Ends a transaction, discarding its changes.
     Rollback,
-    /// May change something, but neither opens nor ends a transaction.
+    /// May change data, but neither opens nor ends a transaction.
     Write,
-    /// May do anything: several statements, or text that is not known well enough.
+    /// May have any effect: several statements, or a text that the classifier does not know.
     Unknown,
 }
 
 impl StatementClass {
-    /// The class of a batch that does `self` and then `next`.
+    /// The class of a batch that runs `self` and then `next`.
     pub fn then(self, next: Self) -> Self {
         match (self, next) {
             (Self::Read, Self::Read) => Self::Read,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Whether it may commit something; `open` if it runs inside an open transaction.
+    /// Whether the statement may commit anything; `open` if it runs inside an open transaction.
     pub fn may_commit(self, open: bool) -> bool {
         match self {
             Self::Begin | Self::BeginReadOnly | Self::Rollback => false,
@@ -59,25 +60,26 @@
         }
     }
 
-    /// Whether a transaction that has written nothing still has not after this.
+    /// Whether a transaction that has written nothing has still written nothing after this
+    /// statement.
     pub fn keeps_read_only(self) -> bool {
         matches!(self, Self::Read | Self::Commit | Self::Rollback)
     }
 }
 
-/// What is known of a text, or of a batch of texts.
+/// Classification of a text, or of a batch of texts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TextFacts {
-    /// What it does as a whole.
+    /// Class of the whole text.
     pub class: StatementClass,
-    /// Whether a transaction is opened in it.
+    /// Whether it opens a transaction.
     pub begins: bool,
-    /// What it does to its connection, in order.
+    /// Effects on the connection, in order.
     pub effects: Vec<Effect>,
 }
 
 impl TextFacts {
-    /// Facts of one statement without effects.
+    /// Facts of one statement without effects on its connection.
     pub fn of(class: StatementClass) -> Self {
         let begins = matches!(class, StatementClass::Begin | StatementClass::BeginReadOnly);
         Self { class, begins, effects: Vec::new() }
@@ -92,35 +94,36 @@
         Self::with(StatementClass::Write, Effect::Refuse(reason))
     }
 
-    /// Facts of a text of which nothing is known.
+    /// Facts of a text that the classifier does not know.
     pub fn unknown() -> Self {
         Self::with(StatementClass::Unknown, Effect::Taint)
     }
 
-    /// Facts of a portal that an earlier batch has bound: its effects were known then.
+    /// Facts of executing a portal that an earlier batch bound. Its effects were taken from that
+    /// batch.
     pub fn earlier_portal() -> Self {
         Self::of(StatementClass::Unknown)
     }
 
-    /// Facts of what does nothing.
+    /// Facts of an empty text.
     pub fn nothing() -> Self {
         Self::of(StatementClass::Read)
     }
 
-    /// Adds what comes after it in the same request.
+    /// Appends a text that follows in the same request.
     pub fn then(&mut self, next: &Self) {
         self.class = self.class.then(next.class);
         self.effects.extend_from_slice(&next.effects);
         self.begins |= next.begins;
     }
 
-    /// Whether its connection must be reset before another caller uses it.
+    /// Whether the connection must be reset before another client uses it.
     pub fn taints(&self) -> bool {
         self.effects.iter().any(Effect::taints)
     }
 }
 
-/// Classifies a text, which may hold several statements.
+/// Classifies a text, which may contain several statements.
 pub fn classify(sql: &str) -> TextFacts {
     if sql.len() > MAX_PARSED_BYTES {
         return TextFacts::unknown();
@@ -148,7 +151,8 @@
     facts
 }
 
-/// Judges a statement by its kind alone; what it calls and reads is judged elsewhere.
+/// Classifies a statement by its kind alone. The inspector checks the functions and relations it
+/// uses.
 fn classify_kind(statement: &Statement) -> TextFacts {
     use StatementClass::{Commit, Read, Rollback, Unknown, Write};
     match statement {
@@ -192,7 +196,7 @@
     }
 }
 
-/// Statements that write, but leave nothing on the connection beyond their transaction.
+/// Statements that write, but leave no state on the connection after their transaction.
 fn is_stateless_write(statement: &Statement) -> bool {
     matches!(
         statement,
@@ -222,7 +226,8 @@
     )
 }
 
-/// A replica offers no serializable transactions, so those go to the primary whatever they promise.
+/// Replicas do not support serializable transactions, so those go to the primary even if they are
+/// read-only.
 fn begin_class(modes: &[TransactionMode]) -> StatementClass {
     let read_only = modes.contains(&TransactionMode::AccessMode(TransactionAccessMode::ReadOnly));
     let serializable =
--- a/crates/core/src/classify/settings.rs
+++ b/crates/core/src/classify/settings.rs
@@ -1,4 +1,4 @@
-//! What `SET`, `RESET` and `SHOW` mean for a session on shared connections.
+//! The effect of `SET`, `RESET` and `SHOW` on a session that shares connections.
 
 use sqlparser::ast::{ContextModifier, Ident, ObjectName, ObjectNamePart, Set};
 
@@ -6,7 +6,8 @@
 use super::{StatementClass, TextFacts};
 use crate::session_state::{Effect, Unsupported};
 
-/// `SHOW`: several settings tell about one instance, so only known ones are reads.
+/// Classifies `SHOW`. The values of some settings differ between instances, so only known settings
+/// are reads.
 pub fn show_class(variable: &[Ident]) -> StatementClass {
     let name: Vec<String> = variable.iter().map(normalized_identifier).collect();
     let common = match name.as_slice() {
@@ -17,16 +18,18 @@
     if common { StatementClass::Read } else { StatementClass::Write }
 }
 
-/// `SET` in its forms.
+/// Classifies `SET` in all its forms.
 pub fn classify_set(set: &Set) -> TextFacts {
     match set {
         Set::SingleAssignment { scope: Some(ContextModifier::Local), variable, .. } => {
-            local(setting_name(variable))
+            local_setting(setting_name(variable))
         }
-        Set::SingleAssignment { variable, .. } => session(setting_name(variable), set),
+        Set::SingleAssignment { variable, .. } => session_setting(setting_name(variable), set),
         Set::SetTimeZone { local: true, .. } => TextFacts::of(StatementClass::Read),
-        Set::SetTimeZone { .. } => session("timezone".into(), set),
-        Set::SetNames { .. } | Set::SetNamesDefault {} => session("client_encoding".into(), set),
+        Set::SetTimeZone { .. } => session_setting("timezone".into(), set),
+        Set::SetNames { .. } | Set::SetNamesDefault {} => {
+            session_setting("client_encoding".into(), set)
+        }
         Set::SetTransaction { session: true, .. } => {
             TextFacts::refused(Unsupported::SessionCharacteristics)
         }
@@ -38,7 +41,7 @@
     }
 }
 
-/// `RESET` of one setting.
+/// Classifies `RESET` of one setting.
 pub fn classify_reset(name: &ObjectName) -> TextFacts {
     let name = setting_name(name);
     match refusal(&name) {
@@ -63,16 +66,16 @@
     }
 }
 
-fn local(name: String) -> TextFacts {
+fn local_setting(name: String) -> TextFacts {
     match refusal(&name) {
         Some(reason) => TextFacts::refused(reason),
-        // It may turn a read-only transaction into another one.
+        // The statement may turn a read-only transaction into a read-write one.
         None if name.starts_with("transaction_") => TextFacts::of(StatementClass::Write),
         None => TextFacts::of(StatementClass::Read),
     }
 }
 
-fn session(name: String, set: &Set) -> TextFacts {
+fn session_setting(name: String, set: &Set) -> TextFacts {
     match refusal(&name) {
         Some(reason) => TextFacts::refused(reason),
         None if name.starts_with("transaction_") => TextFacts::of(StatementClass::Write),
--- a/crates/core/src/current_position.rs
+++ b/crates/core/src/current_position.rs
@@ -1,10 +1,10 @@
-//! The position that a session without a token must read from: one that covers every write
-//! acknowledged before it connected.
+//! Determines the position that a session without a token must read from. It covers every write
+//! that was acknowledged before the session connected.
 //!
-//! A majority that after the question still follows one term proves that no write of a higher term
-//! had been confirmed before the question: one of its members would have followed that term. The
-//! primary of the term holds every write confirmed under it or an earlier one, so the offset that
-//! it has flushed covers them all.
+//! If a majority still follows one term after the query started, then no write of a higher term was
+//! confirmed before the query: otherwise a member of this majority would follow the higher term.
+//! The primary of the term holds every write confirmed under this or an earlier term, so the offset
+//! that the primary has flushed covers all of them.
 
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
     flushed: Position,
 }
 
-/// A question for a group's current position, and what has been learnt since it was asked.
+/// A query for a group's current position, with the answers received since it started.
 #[derive(Clone, Debug)]
 pub struct CurrentPositionQuery {
     first_probe: ProbeNumber,
@@ -27,7 +27,7 @@
 }
 
 impl CurrentPositionQuery {
-    /// A question; probes with numbers from `first_probe` on are sent after it.
+    /// Starts a query. Probes with numbers from `first_probe` on are sent after the query started.
     pub fn new(first_probe: ProbeNumber) -> Self {
         Self { first_probe, answers: BTreeMap::new() }
     }
@@ -37,7 +37,7 @@
         self.first_probe
     }
 
-    /// Takes in what an instance answered; the position once it is certain.
+    /// Records an instance's answer. Returns the position once a majority has answered.
     pub fn on_evidence(
         &mut self,
         evidence: Evidence,
--- a/crates/core/src/exchange_state.rs
+++ b/crates/core/src/exchange_state.rs
@@ -1,36 +1,39 @@
-//! What a caller is told when an exchange cannot be finished, for each point it may have reached.
+//! The result code that a client gets when an exchange cannot be finished, for each point that the
+//! exchange may have reached.
 //!
-//! The table is the whole contract: "not run" is said only where no commit can follow, and a
-//! write that may have left is in doubt, whoever held it last and whatever became of the holder.
+//! The code tables below are the complete contract. "Not run" is answered only if no commit can
+//! follow. A write that may have been sent is in doubt, whichever node processed it last and
+//! whatever happened to that node.
 
 use crate::outcome::ResultCode;
 
-/// The worst an exchange can do once it reaches a back end.
+/// The strongest effect an exchange can have once it reaches an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     /// Changes nothing.
     Read,
-    /// Changes things inside a transaction that it cannot commit. Once its caller has been told
-    /// that the transaction is lost, nothing more is sent on its lease, so no commit can follow.
+    /// Changes data inside a transaction that it cannot commit. Once the client has been told that
+    /// the transaction is lost, nothing more is sent on its server lease, so no commit can follow.
     InsideTransaction,
     /// May commit.
     MayCommit,
 }
 
-/// How far an exchange had come when it failed, as far as its present holder knows.
+/// How far the exchange had come when it failed, as far as the component that reports the failure
+/// knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Progress {
-    /// Held by the front; no byte has left the node.
+    /// Waiting at the front; no byte has left the node.
     AtFront,
-    /// Handed to a gateway that has not answered; it may be anywhere beyond.
+    /// Forwarded to a gateway that has not answered; it may have come any distance from there.
     Forwarded,
     /// Queued at the gateway, or in its socket buffer with no byte taken by the kernel.
     Queued,
-    /// Some bytes may have reached the back end.
+    /// Some bytes may have reached the instance.
     Sent,
-    /// The back end has answered that the commit succeeded; its position is not known yet.
+    /// The instance has answered that the commit succeeded; the commit position is not known yet.
     Answered,
-    /// Committed at a known position that a majority has yet to confirm.
+    /// Committed at a known position that a majority has not confirmed yet.
     Unconfirmed,
 }
 
@@ -39,32 +42,33 @@
 pub enum Fault {
     /// Its deadline has passed.
     Deadline,
-    /// The connection to the back end broke.
+    /// The connection to the instance broke.
     InstanceConnectionLost,
-    /// A higher term has been seen: the primary it ran on has been replaced.
+    /// A higher term was reported, so the primary that ran the exchange has been replaced.
     Superseded,
-    /// The gateway's node died, or the connection to it broke.
+    /// The gateway's node died, or the link to it broke.
     GatewayLost,
-    /// The gateway has not answered within the deadline; it may be paused and resume.
+    /// The gateway has not answered within the deadline. It may be paused and resume later.
     GatewaySilent,
-    /// Part of the gateway's answer was lost on the way.
+    /// Part of the gateway's answer was lost in transit.
     AnswerLost,
 }
 
-/// An exchange's place in its transaction and its worst effect.
+/// What a failure of the exchange affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ExchangeImpact {
-    /// Its worst effect.
+    /// The strongest effect of the exchange.
     pub effect: Effect,
-    /// Whether earlier exchanges of the same lease opened a transaction that is lost with it.
+    /// Whether earlier exchanges on the same server lease opened a transaction that is lost with
+    /// this one.
     pub continues_transaction: bool,
 }
 
-/// What the caller is told.
-pub fn failure_code(stake: ExchangeImpact, progress: Progress, fault: Fault) -> ResultCode {
+/// The result code for the client.
+pub fn failure_code(impact: ExchangeImpact, progress: Progress, fault: Fault) -> ResultCode {
     match progress {
-        Progress::AtFront | Progress::Queued => unsent_code(stake, progress, fault),
-        Progress::Forwarded | Progress::Sent => sent_code(stake.effect, fault),
+        Progress::AtFront | Progress::Queued => unsent_code(impact, progress, fault),
+        Progress::Forwarded | Progress::Sent => sent_code(impact.effect, fault),
         Progress::Answered | Progress::Unconfirmed => match fault {
             Fault::Superseded => ResultCode::SupersededInDoubt,
             Fault::GatewayLost => ResultCode::GatewayLostInDoubt,
@@ -73,8 +77,8 @@
     }
 }
 
-fn unsent_code(stake: ExchangeImpact, progress: Progress, fault: Fault) -> ResultCode {
-    if stake.continues_transaction {
+fn unsent_code(impact: ExchangeImpact, progress: Progress, fault: Fault) -> ResultCode {
+    if impact.continues_transaction {
         return ResultCode::TransactionLost;
     }
     match (progress, fault) {
@@ -100,10 +104,10 @@
     }
 }
 
-/// Whether a refusal leaves the exchange free to go out again on a new lease: it has surely not
-/// run, no transaction was lost with it, and another instance or gateway may do better.
-pub fn may_retry(stake: ExchangeImpact, code: ResultCode) -> bool {
-    let elsewhere = matches!(
+/// Whether the exchange may be retried on a new server lease after this refusal: it certainly has
+/// not run, no transaction was lost with it, and another instance or gateway may succeed.
+pub fn may_retry(impact: ExchangeImpact, code: ResultCode) -> bool {
+    let is_transient = matches!(
         code,
         ResultCode::NotSent
             | ResultCode::NotPrimary
@@ -113,5 +117,5 @@
             | ResultCode::BackendBusy
             | ResultCode::WrongInstance
     );
-    elsewhere && !stake.continues_transaction
+    is_transient && !impact.continues_transaction
 }
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -1,8 +1,9 @@
-//! How old the data may be that an instance serves.
+//! Computes how old the data that an instance serves may be.
 //!
-//! Age counts from when a majority last confirmed the primary: nobody can tell what an unconfirmed
-//! primary has missed, not even itself. A replica is as fresh as the newest moment at which the
-//! confirmed primary was no further than the replica is now.
+//! The age counts from the time at which a majority last confirmed the primary, because no
+//! instance, including the primary itself, can know which commits an unconfirmed primary has
+//! missed. A replica is as fresh as the latest time at which the confirmed primary had not passed
+//! the replica's current position.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,22 +12,23 @@
 use crate::position::{Position, Term};
 use crate::routing::Role;
 
-/// Positions of the primary that are remembered.
+/// Number of primary positions to keep.
 const MAX_SAMPLES: usize = 1024;
-/// Shortest time between two of them, so that frequent probes do not shorten the memory.
+/// Shortest time between two kept positions, so that frequent probes do not shorten the period they
+/// cover.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time since some fixed moment.
+/// Time since a fixed origin.
 pub type Moment = Duration;
 
-/// What an instance said of itself.
+/// A report from an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
     /// Its role.
     pub role: Role,
-    /// Term it follows and offset that its readers see.
+    /// The term it follows and the offset that its readers see.
     pub applied: Position,
-    /// When it was asked; what it said was true then or later.
+    /// When the report was requested. The report was true at that time or later.
     pub requested_at: Moment,
 }
 
@@ -45,7 +47,7 @@
 }
 
 impl Freshness {
-    /// Takes in what an instance said.
+    /// Records a report from an instance.
     pub fn on_observation(&mut self, instance: &InstanceName, observation: Observation) {
         self.newest.insert(instance.clone(), observation);
         let term = observation.applied.term;
@@ -60,7 +62,8 @@
 
     fn sample(&mut self, sample: Sample) {
         match self.samples.back_mut() {
-            // The primary has stood still: whoever had reached it then has reached it now.
+            // The primary has not advanced, so a replica that had reached its position then has
+            // reached it now.
             Some(last) if last.position == sample.position => {
                 last.asked = last.asked.max(sample.asked);
             }
@@ -72,7 +75,7 @@
         }
     }
 
-    /// When a majority last confirmed the primary of the highest term seen.
+    /// When a majority last confirmed the primary of the highest reported term.
     pub fn confirmed_at(&self, majority: usize) -> Option<Moment> {
         let mut followers: Vec<Moment> = self
             .newest
@@ -85,7 +88,7 @@
         followers.get(index).copied()
     }
 
-    /// The moment up to which an instance's data is complete; `None` if that is not known.
+    /// The time up to which an instance's data is complete; `None` if unknown.
     pub fn fresh_as_of(&self, instance: &InstanceName, majority: usize) -> Option<Moment> {
         let observation = self.newest.get(instance)?;
         let confirmed = self.confirmed_at(majority)?;
@@ -101,7 +104,7 @@
         }
     }
 
-    /// How far an instance's data may trail at `now`.
+    /// Upper bound of how far an instance's data lags at `now`.
     pub fn age(&self, instance: &InstanceName, majority: usize, now: Moment) -> Option<Duration> {
         let moment = self.fresh_as_of(instance, majority)?;
         Some(now.saturating_sub(moment))
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes: what a caller is told when the proxy itself answers.
+//! Numbered result codes, which clients get when the proxy itself answers.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::ids::InstanceName;
 
-/// Whether the statement took effect, as far as the proxy can vouch for it.
+/// Whether the statement took effect, as far as the proxy can guarantee it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Execution {
     /// It took effect.
@@ -20,21 +20,21 @@
 
 macro_rules! result_codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $state:literal, $execution:ident;)*) => {
-        /// A numbered result. The number stands at the head of the message as `KLnnnn`.
+        /// A numbered result. Messages begin with the number as `KLnnnn`.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
         pub enum ResultCode { $($(#[$doc])* $name,)* }
 
         impl ResultCode {
-            /// Every code, in order of its number.
+            /// All codes, ordered by number.
             pub const ALL: &'static [ResultCode] = &[$(ResultCode::$name,)*];
 
-            /// The number, unique for good.
+            /// The number. It is never reused.
             pub fn number(self) -> u16 { match self { $(Self::$name => $number,)* } }
 
-            /// The SQLSTATE that goes to a PostgreSQL caller.
+            /// The SQLSTATE that a PostgreSQL client gets.
             pub fn sqlstate(self) -> &'static str { match self { $(Self::$name => $state,)* } }
 
-            /// What the code says of the statement.
+            /// Whether the statement took effect.
             pub fn execution(self) -> Execution {
                 match self { $(Self::$name => Execution::$execution,)* }
             }
@@ -42,57 +42,57 @@
     };
 }
 
-/// Codes of what passes by itself within about the time that a primary takes to be replaced.
+/// Codes of transient conditions, which end within about the time that a primary replacement takes.
 const TRANSIENT_CODES: RangeInclusive<u16> = 1501..=1599;
-/// When to come back after them: about half of that time.
+/// Retry hint for transient conditions: about half of the time that a primary replacement takes.
 pub const DEFAULT_RETRY_HINT: Duration = Duration::from_millis(250);
 
 result_codes! {
-    /// The first message is not a PostgreSQL 3.x start-up.
+    /// The first message is not a PostgreSQL 3.x startup message.
     ProtocolViolation = 1001, "08P01", NotRun;
     /// A message is larger than the node accepts.
     MessageTooLarge = 1002, "54000", NotRun;
-    /// The node has as many callers as it accepts.
+    /// The node has reached its limit of client connections.
     TooManyCallers = 1003, "53300", NotRun;
-    /// The start-up did not finish in time.
+    /// The startup did not finish in time.
     StartupTimeout = 1004, "08P01", NotRun;
     /// The login is unknown or its proof is wrong.
     LoginRefused = 1101, "28P01", NotRun;
     /// The tenant may not use that database.
     DatabaseNotAllowed = 1102, "3D000", NotRun;
-    /// The session token is malformed or of another group.
+    /// The session token is malformed or belongs to another group.
     SessionTokenRefused = 1103, "22023", NotRun;
-    /// The caller has shown no credential, or one that stands for nobody.
+    /// The client presented no credential, or one that belongs to no account.
     CredentialUnknown = 1104, "28000", NotRun;
-    /// The credential of the session stands for nobody any more.
+    /// The session's credential no longer belongs to any account.
     CredentialRevoked = 1105, "28000", NotRun;
-    /// The node cannot show that the credential still stands; another node may.
+    /// The node cannot confirm that the credential is still valid; another node may.
     CredentialUnconfirmed = 1106, "57P03", NotRun;
-    /// The statement uses something that a shared connection cannot offer.
+    /// The statement uses a feature that shared connections do not support.
     NotSupported = 1201, "0A000", NotRun;
-    /// The caller names a prepared statement that it has not prepared.
+    /// The client refers to a prepared statement that it has not prepared.
     UnknownStatement = 1202, "26000", NotRun;
-    /// The session has as many prepared statements as it may.
+    /// The session has reached its limit of prepared statements.
     TooManyStatements = 1203, "54000", NotRun;
-    /// No configuration has arrived yet.
+    /// The node has not received a configuration yet.
     NoConfiguration = 1301, "57P03", NotRun;
     /// No primary is known and none appeared before the deadline.
     NoPrimary = 1302, "57P03", NotRun;
-    /// No instance satisfied session bound and staleness before the deadline.
+    /// No instance satisfied the session bound and the staleness limit before the deadline.
     NoFreshInstance = 1303, "57P03", NotRun;
-    /// The queue of the instance cannot make the deadline; retry later.
+    /// The wait in the instance's queue would exceed the deadline; retry later.
     Overloaded = 1401, "53400", NotRun;
-    /// The tenant's share is used up; retry later.
+    /// The tenant's capacity is used up; retry later.
     TenantOverCapacity = 1402, "53400", NotRun;
-    /// The deadline passed before the statement was sent to a back end.
+    /// The deadline passed before the statement was sent to an instance.
     DeadlineBeforeSend = 1403, "57014", NotRun;
-    /// The node is stopping and takes no new work.
+    /// The node is stopping and accepts no new work.
     Stopping = 1404, "57P01", NotRun;
-    /// The account has asked for as much as it may; retry later.
+    /// The account has reached its quota; retry later.
     QuotaUsedUp = 1405, "53400", NotRun;
-    /// Nobody could say in time whether the account may ask for more; retry later.
+    /// No allocator answered in time whether the account's quota allows the operation; retry later.
     QuotaUnanswered = 1406, "53400", NotRun;
-    /// The connection to the back end was lost before the statement was sent.
+    /// The connection to the instance was lost before the statement was sent.
     NotSent = 1501, "08006", NotRun;
     /// The instance refused the statement because it is not, or no longer, the primary.
     NotPrimary = 1502, "25006", NotRun;
@@ -100,11 +100,11 @@
     TransactionLost = 1503, "40001", NotRun;
     /// The gateway no longer owns the instance; try another.
     NotOwner = 1504, "08006", NotRun;
-    /// The back end refuses another connection.
+    /// The instance refused another connection.
     BackendConnectionRefused = 1505, "53300", NotRun;
     /// The read did not finish; reads change nothing.
     ReadInterrupted = 1506, "08006", NotRun;
-    /// The instance has no room for another statement now.
+    /// The instance cannot accept another statement now.
     BackendBusy = 1507, "53300", NotRun;
     /// Another instance answers at the instance's address.
     WrongInstance = 1508, "08006", NotRun;
@@ -112,15 +112,15 @@
     ConnectionLostInDoubt = 1601, "08007", InDoubt;
     /// A majority did not confirm the commit before the deadline.
     UnconfirmedInDoubt = 1602, "08007", InDoubt;
-    /// The gateway that held the write fell silent.
+    /// The gateway that processed the write stopped answering.
     GatewaySilentInDoubt = 1603, "08007", InDoubt;
-    /// The gateway that held the write died, or the connection to it broke.
+    /// The gateway that processed the write died, or the link to it broke.
     GatewayLostInDoubt = 1604, "08007", InDoubt;
     /// The primary was replaced before the commit was confirmed.
     SupersededInDoubt = 1605, "08007", InDoubt;
     /// The request key was used with another statement.
     RequestKeyReused = 1701, "23505", NotRun;
-    /// The request key already holds a recorded outcome; the statement did not run again.
+    /// The request key has a recorded outcome; the statement did not run again.
     AlreadyRan = 1702, "23505", Ran;
     /// The request key was abandoned: it never ran and never will.
     Abandoned = 1703, "40001", NotRun;
@@ -142,27 +142,28 @@
     SettingsContradiction = 2006, "F0000", NotRun;
     /// A secret's file or environment variable cannot be read, or is empty.
     SecretUnavailable = 2007, "F0000", NotRun;
-    /// The administration token is missing or wrong.
+    /// The admin token is missing or wrong.
     AdminTokenRefused = 2101, "28000", NotRun;
-    /// The administration request is malformed or names an unknown page.
+    /// The admin request is malformed or names an unknown page.
     AdminRequestRefused = 2102, "08P01", NotRun;
     /// A value of the configuration is malformed or out of range; nothing changed.
     ConfigurationInvalid = 3001, "22023", NotRun;
     /// The configuration changed since it was read; nothing changed.
     ConfigurationConflict = 3002, "40001", NotRun;
-    /// The store did not take the change; nothing changed.
+    /// The store did not accept the change; nothing changed.
     StoreUnavailable = 3003, "57P03", NotRun;
-    /// The store's answer was lost and reading back did not settle whether the change was made.
+    /// The store's answer was lost, and reading back did not show whether the change was made.
     StoreInDoubt = 3004, "08007", InDoubt;
     /// The configuration has no such entry.
     NoSuchEntry = 3005, "42704", NotRun;
-    /// The change was made, but some live nodes do not have it in force yet.
+    /// The change was made, but is not active on some live nodes yet.
     NotInForceEverywhere = 3006, "01000", Ran;
-    /// An entry of the store cannot be read; it names nothing, and the others hold.
+    /// An entry of the store cannot be read. It is ignored; the other entries apply.
     EntryUnreadable = 3007, "22023", NotRun;
-    /// An entry or an instance of the configuration cannot be used; it is left out, and the others hold.
+    /// An entry or an instance of the configuration cannot be used. It is left out; the other
+    /// entries apply.
     EntryLeftOut = 3008, "22023", NotRun;
-    /// The store has come back from an older copy.
+    /// The store was restored from an older copy.
     StoreCameBack = 3009, "01000", Ran;
 }
 
@@ -172,27 +173,27 @@
     }
 }
 
-/// A result the proxy itself gives in place of a back end's answer.
+/// A result that the proxy itself returns instead of an instance's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What happened.
+    /// The result code.
     pub code: ResultCode,
     /// Detail in plain words, without secrets.
     pub detail: String,
-    /// When to come back, where waiting helps.
+    /// Delay after which to retry, where waiting helps.
     pub retry_after: Option<Duration>,
     /// The instance that could not run the request, if one was chosen.
     pub instance: Option<InstanceName>,
 }
 
 impl Refusal {
-    /// A refusal with no retry hint.
+    /// Creates a refusal without a retry hint.
     pub fn new(code: ResultCode, detail: impl Into<String>) -> Self {
         Self { code, detail: detail.into(), retry_after: None, instance: None }
     }
 
-    /// The same refusal, with the usual hint if it has none and what was in the way passes by itself:
-    /// an instance or connection that was lost, or a primary that is being replaced.
+    /// Adds [`DEFAULT_RETRY_HINT`] if the refusal has no hint and its cause is transient: a lost
+    /// instance or connection, or a primary that is being replaced.
     pub fn with_default_retry_hint(self) -> Self {
         let passes = TRANSIENT_CODES.contains(&self.code.number());
         match self.retry_after {
@@ -203,19 +204,19 @@
         }
     }
 
-    /// The same refusal with a hint when to come back.
+    /// Sets the retry hint.
     pub fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// The same refusal with the instance that could not run the request.
+    /// Sets the instance that could not run the request.
     pub fn at(mut self, instance: &InstanceName) -> Self {
         self.instance = Some(instance.clone());
         self
     }
 
-    /// The text that a caller reads, beginning with the number.
+    /// The message text for the client, which begins with the number.
     pub fn message(&self) -> String {
         let execution = match self.code.execution() {
             Execution::Ran => "ran",
--- a/crates/core/src/placement_deadline.rs
+++ b/crates/core/src/placement_deadline.rs
@@ -1,15 +1,17 @@
-//! How long a request is held that no instance can take yet.
+//! Limits how long a request waits while no instance can serve it.
 
 use std::time::{Duration, Instant};
 
-/// Part of its time after which a request is given back to a caller that repeats it: less than half,
-/// so that there is time left for another attempt as long as this one.
-const GIVEN_BACK_AFTER: f64 = 0.45;
+/// Fraction of its time budget after which a request of a retrying client is refused. It is less
+/// than half, so that the time left suffices for another attempt of the same length.
+const RETRYING_CLIENT_FRACTION: f64 = 0.45;
 
-/// Until when a request is held. A caller that repeats what was refused is told early, while it has
-/// time to come back, perhaps through another node; for any other one the wait is the only attempt.
-pub fn placement_deadline(arrived: Instant, deadline: Instant, callers_repeat: bool) -> Instant {
+/// Until when a request waits for an instance. A client that retries refused requests is answered
+/// early, while it has time to retry, possibly through another node. For other clients the wait is
+/// the only attempt and lasts until the deadline.
+pub fn placement_deadline(arrived: Instant, deadline: Instant, clients_retry: bool) -> Instant {
     let total = deadline.saturating_duration_since(arrived);
-    let held: Duration = if callers_repeat { total.mul_f64(GIVEN_BACK_AFTER) } else { total };
-    arrived + held
+    let wait: Duration =
+        if clients_retry { total.mul_f64(RETRYING_CLIENT_FRACTION) } else { total };
+    arrived + wait
 }
--- a/crates/core/src/position.rs
+++ b/crates/core/src/position.rs
@@ -1,4 +1,4 @@
-//! Positions in a database group's log.
+//! Positions in a database group's write-ahead log.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The term of a primary: PostgreSQL's timeline number. Grows at every promotion.
+/// The term of a primary: PostgreSQL's timeline number. Increases with each promotion.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -20,7 +20,7 @@
 #[serde(transparent)]
 pub struct LogOffset(pub u64);
 
-/// Why a position could not be read from text.
+/// Why a position could not be parsed.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum PositionError {
     /// The offset is not two hexadecimal numbers with a slash between them.
@@ -52,7 +52,7 @@
 const TIMELINE_DIGITS: usize = 8;
 
 impl Term {
-    /// Reads the timeline out of a write-ahead-log file name, as `pg_walfile_name` returns it.
+    /// Parses the timeline from a write-ahead-log file name, as `pg_walfile_name` returns it.
     pub fn from_log_file_name(name: &str) -> Result<Self, PositionError> {
         let malformed = || PositionError::FileName(name.to_owned());
         let digits = name.get(..TIMELINE_DIGITS).ok_or_else(malformed)?;
@@ -65,27 +65,27 @@
 pub struct Position {
     /// Term of the primary that wrote up to here.
     pub term: Term,
-    /// Offset reached.
+    /// The offset.
     pub offset: LogOffset,
 }
 
 impl fmt::Display for Position {
-    /// Term and offset as decimal numbers, with a point between them.
+    /// Formats term and offset as decimal numbers separated by a dot.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}.{}", self.term.0, self.offset.0)
     }
 }
 
 impl Position {
-    /// Whether an instance that is at `self` has everything up to `bound`.
+    /// Whether an instance at position `self` has everything up to `bound`.
     ///
-    /// Both parts must be reached: an old primary that ran ahead under an old term does not hold
-    /// what its successor confirmed.
+    /// Both parts must be reached: an old primary that has a larger offset under an old term does
+    /// not have the commits that the new primary confirmed.
     pub fn satisfies(&self, bound: &Position) -> bool {
         self.term >= bound.term && self.offset >= bound.offset
     }
 
-    /// The smallest position that satisfies both.
+    /// The smallest position that satisfies both positions.
     pub fn join(self, other: Position) -> Position {
         Position { term: self.term.max(other.term), offset: self.offset.max(other.offset) }
     }
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/bucket.rs
@@ -58,7 +58,7 @@
 impl Bucket {
     /// A bucket of an account whose earlier grants are unknown. It starts with a reduced fill and
     /// refills at [`CAUTIOUS_RATE_FRACTION`] of the rate for [`CAUTIOUS_PERIOD`]. `share` is the
-    /// fraction of the nodes that this node reaches.
+    /// fraction of the limit that this node may grant.
     pub fn unknown_history(quota: &Quota, share: f64, now: Instant) -> Self {
         let first = cautious_capacity(quota) * share;
         Self { cautious_until: Some(now + CAUTIOUS_PERIOD), ..Self::with_tokens(first, quota, now) }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,95 +1,95 @@
 //! Retries that do not multiply load: exponential backoff with jitter, and retry budgets.
 //!
-//! Randomness is an argument: a number drawn evenly from all of `u64`.
+//! Randomness is an argument: a number distributed uniformly over `u64`.
 
 use std::time::{Duration, Instant};
 
-/// Doubling waits with jitter between attempts that fail.
+/// Exponential backoff with jitter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    first: Duration,
-    last: Duration,
+    min: Duration,
+    max: Duration,
     failures: u32,
 }
 
 impl Backoff {
-    /// Waits around `first` after the first failure, and at most `last` after many.
-    pub const fn new(first: Duration, last: Duration) -> Self {
-        Self { first, last, failures: 0 }
+    /// Waits about `min` after the first failure and at most `max` after many.
+    pub const fn new(min: Duration, max: Duration) -> Self {
+        Self { min, max, failures: 0 }
     }
 
-    /// Counts a failure, and says how long to wait: between half and all of the doubled wait.
+    /// Counts a failure and returns how long to wait: between half and all of the doubled delay.
     pub fn on_failure(&mut self, random: u64) -> Duration {
         let doubled = 1_u32.checked_shl(self.failures).unwrap_or(u32::MAX);
-        let wait = self.first.saturating_mul(doubled).min(self.last);
+        let wait = self.min.saturating_mul(doubled).min(self.max);
         self.failures = self.failures.saturating_add(1);
         let half = wait / 2;
         half + half.mul_f64(random as f64 / u64::MAX as f64)
     }
 
-    /// An attempt succeeded: the next failure counts as the first.
+    /// Resets the backoff after a successful attempt.
     pub fn on_success(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures since the last success.
+    /// Number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 }
 
-/// Paces questions that are asked again because their answers did not help.
+/// Paces requests that are repeated because earlier answers did not help.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestPacer {
-    first: Backoff,
+    initial: Backoff,
     backoff: Backoff,
-    /// A question that comes so long after the last one is no repetition.
+    /// A request that follows the previous one after at least this time restarts the backoff.
     reset_after: Duration,
-    last: Option<Instant>,
+    last_request: Option<Instant>,
 }
 
 impl RequestPacer {
-    /// Waits as `backoff` says, from its first wait on after `afresh` without a question.
-    pub const fn new(backoff: Backoff, afresh: Duration) -> Self {
-        Self { first: backoff, backoff, reset_after: afresh, last: None }
+    /// Waits as `backoff` determines, and restarts it when there was no request for `reset_after`.
+    pub const fn new(backoff: Backoff, reset_after: Duration) -> Self {
+        Self { initial: backoff, backoff, reset_after, last_request: None }
     }
 
-    /// A question is asked. Returns how long to wait before the next one.
+    /// Records that a request is sent. Returns how long to wait before the next one.
     pub fn on_request(&mut self, now: Instant, random: u64) -> Duration {
-        if self.last.is_none_or(|last| now >= last + self.reset_after) {
-            self.backoff = self.first;
+        if self.last_request.is_none_or(|last| now >= last + self.reset_after) {
+            self.backoff = self.initial;
         }
-        self.last = Some(now);
+        self.last_request = Some(now);
         self.backoff.on_failure(random)
     }
 }
 
-/// Parts of a token, so that shares need no fractions.
+/// Parts of a token, so that a share of a retry is a whole number.
 const TOKEN_PARTS: u32 = 100;
 
-/// A budget that lets retries be at most a share of first attempts, with a small reserve for
-/// quiet times. Every layer that retries has its own.
+/// A budget that limits retries to a share of first attempts, with a small reserve for idle
+/// periods. Each layer that retries has its own budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
     percent: u32,
-    largest: u32,
+    max_parts: u32,
     parts: u32,
 }
 
 impl RetryBudget {
-    /// Allows `percent` retries for 100 first attempts, saved up to `reserve` retries. Begins
-    /// with the reserve full.
+    /// Allows `percent` retries per 100 first attempts, and up to `reserve` unused retries. Starts
+    /// with a full reserve.
     pub const fn new(percent: u32, reserve: u32) -> Self {
-        let largest = reserve.saturating_mul(TOKEN_PARTS);
-        Self { percent, largest, parts: largest }
+        let max_parts = reserve.saturating_mul(TOKEN_PARTS);
+        Self { percent, max_parts, parts: max_parts }
     }
 
     /// Counts a first attempt.
     pub fn on_first_attempt(&mut self) {
-        self.parts = self.parts.saturating_add(self.percent).min(self.largest);
+        self.parts = self.parts.saturating_add(self.percent).min(self.max_parts);
     }
 
-    /// Whether a retry is allowed now; if so it is counted.
+    /// Whether a retry is allowed now. If so, it is counted.
     pub fn try_retry(&mut self) -> bool {
         let allowed = self.parts >= TOKEN_PARTS;
         if allowed {
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,4 +1,8 @@
-//! Which instance of a group serves a statement.
+//! Chooses the instance of a group that serves a statement.
+//!
+//! Inputs are the required access, with its session bound and staleness limit, and the last known
+//! status of each instance. The choice keeps a session from reading data older than what it has
+//! already seen or written.
 
 use std::time::Duration;
 
@@ -7,20 +11,21 @@
 use crate::ids::{InstanceName, ZoneName};
 use crate::position::Position;
 
-/// A primary counts as confirmed for at least this long after a majority confirmed it: more than
-/// the time between two probes, so that a smaller staleness does not shut out the primary itself.
+/// A primary counts as confirmed for at least this long after a majority confirmed it. This is more
+/// than the time between two probes, so that a smaller staleness limit does not exclude the primary
+/// itself.
 pub const CONFIRMATION_PERIOD: Duration = Duration::from_secs(1);
 
-/// What an instance says it is.
+/// The role that an instance reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// Accepts writes, or believes it may.
+    /// Accepts writes, or believes that it may.
     Primary,
     /// Follows a primary.
     Replica,
 }
 
-/// What was last learnt of an instance, by asking it.
+/// The last known status of an instance, from its own report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceStatus {
     /// The instance.
@@ -31,24 +36,24 @@
     pub applied: Position,
     /// Term and offset flushed to its log, which elections count.
     pub flushed: Position,
-    /// Whether the last probe was answered.
+    /// Whether it answered the last probe.
     pub reachable: bool,
     /// Expected wait for a slot; `None` from a node that does not own the instance.
     pub queue_wait: Option<Duration>,
-    /// For a replica: how far its data trails the confirmed primary.
+    /// For a replica: how far its data lags behind the confirmed primary.
     pub lag: Duration,
     /// For a primary: time since a majority last confirmed its term.
     pub unconfirmed_for: Option<Duration>,
 }
 
-/// What a statement needs.
+/// What a statement requires of the instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Access {
-    /// Any instance that has reached `bound` and trails by at most `max_staleness`.
+    /// Any instance that has reached `bound` and lags by at most `max_staleness`.
     Read {
         /// Session bound, if the session has one.
         bound: Option<Position>,
-        /// Largest lag accepted.
+        /// Maximum lag.
         max_staleness: Duration,
     },
     /// The primary, because the read must see every commit acknowledged before it.
@@ -56,17 +61,17 @@
         /// Session bound, if the session has one.
         bound: Option<Position>,
     },
-    /// The primary, because the statement may change something.
+    /// The primary, because the statement may change data.
     Write {
-        /// Session bound: the statement may read, too.
+        /// Session bound, since the statement may also read.
         bound: Option<Position>,
     },
 }
 
-/// An instance of the group, as far as it is known to the node that routes.
+/// An instance of the group, as known to the node that routes.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// What is known of it.
+    /// Its last known status.
     pub status: &'a InstanceStatus,
     /// Zone it runs in.
     pub zone: &'a ZoneName,
@@ -79,14 +84,14 @@
 pub enum Choice<'a> {
     /// To this instance, now.
     Serve(&'a InstanceName),
-    /// To this replica, which is expected to reach the bound within `wait`.
+    /// To this replica, which is expected to reach the bound within the given time.
     ServeAfter(&'a InstanceName, Duration),
-    /// Nowhere yet: no instance qualifies.
+    /// No instance qualifies yet.
     NoInstance,
 }
 
-/// Picks the reachable instance that claims to be primary under the highest term that any instance
-/// has shown. A primary under a lower one has been replaced, even while its successor is unknown.
+/// Finds the reachable instance that reports to be primary under the highest term that any instance
+/// has reported. A primary under a lower term has been replaced, even while the new one is unknown.
 pub fn primary<'a>(candidates: &[Candidate<'a>]) -> Option<&'a InstanceStatus> {
     let statuses = candidates.iter().map(|candidate| candidate.status);
     let newest = statuses.clone().map(|status| status.flushed.term).max()?;
@@ -95,7 +100,7 @@
         .find(|status| status.applied.term >= newest)
 }
 
-/// Whether `status` may serve a read with this bound and staleness.
+/// Whether an instance may serve a read with this bound and staleness limit.
 fn qualifies(candidate: &Candidate, bound: Option<&Position>, max_staleness: Duration) -> bool {
     let status = candidate.status;
     let age = match status.role {
@@ -108,7 +113,7 @@
 }
 
 impl Access {
-    /// Whether the statement may change something.
+    /// Whether the statement may change data.
     pub fn is_write(&self) -> bool {
         matches!(self, Self::Write { .. })
     }
@@ -123,19 +128,20 @@
     }
 }
 
-/// Whether an instance that last reported `status` over a connection that still stands may run a
-/// statement with this bound. What a front knows of it may be older.
+/// Whether an instance may run a statement with this bound. The instance reported `status` over a
+/// connection that is still open; a front may know an older status.
 pub fn has_reached(status: &InstanceStatus, access: &Access) -> bool {
     let reached = |bound: &Position| match access {
         Access::Read { .. } | Access::PrimaryRead { .. } => status.applied.satisfies(bound),
-        // A primary applies what it writes; only its term can fall behind.
+        // A primary has applied everything it wrote, so only its term can be too low.
         Access::Write { .. } => status.applied.term >= bound.term,
     };
     access.bound().is_none_or(reached)
 }
 
-/// Chooses the instance for `access`: for a read the nearest qualifying replica, the shortest
-/// queue among equals, the primary when no replica qualifies; for a write the primary.
+/// Chooses the instance for `access`. For a read: the nearest qualifying replica, among equally
+/// near ones the one with the shortest queue, and the primary if no replica qualifies. For a write:
+/// the primary.
 pub fn choose<'a>(
     access: &Access,
     candidates: &[Candidate<'a>],
@@ -167,8 +173,8 @@
     }
 }
 
-/// Whether a primary may run a statement: one that a majority has not confirmed for too long may
-/// have been replaced, and its data is as old as that.
+/// Whether a primary may run a statement. A primary that no majority has confirmed for too long may
+/// have been replaced, so its data counts as that old.
 fn may_run(primary: &Candidate, access: &Access) -> bool {
     if !has_reached(primary.status, access) {
         return false;
--- a/crates/core/src/scram.rs
+++ b/crates/core/src/scram.rs
@@ -1,7 +1,7 @@
-//! SCRAM-SHA-256 (RFC 5802, RFC 7677) from the server's side, and the verifiers it works with.
+//! Server side of SCRAM-SHA-256 (RFC 5802, RFC 7677), and the verifiers it uses.
 //!
-//! A verifier proves a password without holding it. Checking a login costs a few hashes; only
-//! making a verifier costs thousands, and that is never done where callers wait.
+//! A verifier allows checking a password without storing it. Checking a login takes a few hashes.
+//! Creating a verifier takes thousands and is never done on a thread that serves clients.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,13 +13,13 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// Name of the mechanism, as PostgreSQL offers it and as verifiers begin.
+/// Name of the mechanism in PostgreSQL's authentication request, and prefix of verifiers.
 pub const MECHANISM: &str = "SCRAM-SHA-256";
-/// Iterations of a verifier that is made here: PostgreSQL's default.
+/// Iterations of verifiers created here: PostgreSQL's default.
 pub const DEFAULT_ITERATIONS: u32 = 4096;
-/// Bytes of randomness in a salt.
+/// Random bytes in a salt.
 pub const SALT_BYTES: usize = 16;
-/// Bytes of randomness in a server's nonce.
+/// Random bytes in a server nonce.
 pub const NONCE_BYTES: usize = 18;
 
 const KEY_BYTES: usize = 32;
@@ -28,7 +28,7 @@
 
 type Key = [u8; KEY_BYTES];
 
-/// What the server keeps of a password.
+/// What the server stores of a password.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Verifier {
     iterations: u32,
@@ -37,7 +37,7 @@
     server_key: Key,
 }
 
-/// A verifier's text is not of the form `SCRAM-SHA-256$iterations:salt$StoredKey:ServerKey`.
+/// The text of a verifier is not of the form `SCRAM-SHA-256$iterations:salt$StoredKey:ServerKey`.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("not a SCRAM-SHA-256 verifier")]
 pub struct MalformedVerifier;
@@ -83,10 +83,10 @@
 }
 
 impl Verifier {
-    /// Makes the verifier of a password. Costs `iterations` hashes: not for a thread that serves
-    /// callers.
+    /// Creates the verifier of a password. Takes `iterations` hashes, so it must not run on a
+    /// thread that serves clients.
     pub fn from_password(password: &str, salt: [u8; SALT_BYTES], iterations: u32) -> Self {
-        // As in PostgreSQL, a password that cannot be normalized is taken as it is.
+        // Like PostgreSQL, use a password that cannot be normalized as it is.
         let normalized = stringprep::saslprep(password).unwrap_or(password.into());
         let mut salted: Key = [0; KEY_BYTES];
         pbkdf2::pbkdf2_hmac::<Sha256>(normalized.as_bytes(), &salt, iterations, &mut salted);
@@ -98,8 +98,9 @@
         }
     }
 
-    /// A verifier that no password satisfies, for a login that does not exist. It is the same at
-    /// every attempt and looks like `model`, a real one, so that an outsider cannot tell.
+    /// Creates a verifier that no password satisfies, for a login that does not exist. It is the
+    /// same at each attempt and has the parameters of `model`, a real verifier, so that a client
+    /// cannot tell whether the login exists.
     pub fn mock(login: &str, model: &Verifier) -> Self {
         let salt = hmac(&model.stored_key, login.as_bytes());
         Self {
@@ -120,7 +121,7 @@
 /// Why a login failed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ScramError {
-    /// A message does not follow the mechanism, or asks for what is not offered.
+    /// A message violates the mechanism or requests an unsupported feature.
     #[error("malformed SCRAM message")]
     Malformed,
     /// The proof is wrong.
@@ -128,7 +129,7 @@
     WrongProof,
 }
 
-/// A login that has been answered once and awaits its proof.
+/// A login that awaits the client's proof.
 #[derive(Clone, Debug)]
 pub struct ServerExchange {
     verifier: Verifier,
@@ -136,12 +137,12 @@
     nonce: String,
     /// `client-first-message-bare,server-first-message`.
     transcript: String,
-    /// The message that answers the client's first one.
+    /// The answer to the client's first message.
     pub server_first: String,
 }
 
 impl ServerExchange {
-    /// Takes in the client's first message; `nonce` is fresh randomness.
+    /// Handles the client's first message; `nonce` must be fresh random bytes.
     pub fn begin(
         client_first: &str,
         verifier: Verifier,
@@ -150,7 +151,7 @@
         let mut fields = client_first.splitn(3, ',');
         let mut next = || fields.next().ok_or(ScramError::Malformed);
         let (binding, authorization, bare) = (next()?, next()?, next()?);
-        // Channel binding needs TLS; another identity than the one that logs in is not offered.
+        // Channel binding needs TLS. Authorization as another identity is not supported.
         if !matches!(binding, "n" | "y") || !authorization.is_empty() {
             return Err(ScramError::Malformed);
         }
@@ -175,7 +176,8 @@
         })
     }
 
-    /// Checks the client's proof; returns the message that proves the server in turn.
+    /// Checks the client's proof and returns the server's final message, which proves the server's
+    /// identity.
     pub fn finish(&self, client_final: &str) -> Result<String, ScramError> {
         let (without_proof, proof) =
             client_final.rsplit_once(",p=").ok_or(ScramError::Malformed)?;
--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -1,19 +1,20 @@
-//! The session bound that a caller carries, and its text form.
+//! The session bound that a client carries, and its text form, the session token.
 //!
-//! A node sends the token as the parameter status `kestrellock.session`; a caller that reconnects
-//! hands it back as the start-up option of the same name. Only confirmed writes raise it.
+//! A node sends the token as the parameter status `kestrellock.session`. A client that reconnects
+//! sends it back as the startup option of the same name. Only confirmed writes raise the bound.
 
 use thiserror::Error;
 
 use crate::ids::GroupName;
 use crate::position::{LogOffset, Position, Term};
 
-/// Name of the parameter status and of the start-up option that carry the token.
+/// Name of the parameter status and of the startup option that carry the token.
 pub const SESSION_PARAMETER: &str = "kestrellock.session";
-/// Version at the head of every token.
+/// Version prefix of each token.
 const TOKEN_VERSION: &str = "1";
 
-/// The position in one group that every later read of the session must have reached.
+/// The position in one group that an instance must have reached to serve later reads of the
+/// session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionBound {
     /// Group the position belongs to.
@@ -25,22 +26,22 @@
 /// Why a token was refused.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum TokenError {
-    /// Not four fields with colons between them, or a number that is not hexadecimal.
+    /// Not four fields separated by colons, or a number that is not hexadecimal.
     #[error("session token is malformed")]
     Malformed,
-    /// Written by an unknown version.
+    /// The version is unknown.
     #[error("session token has unknown version {0:?}")]
     Version(String),
 }
 
 impl SessionBound {
-    /// Text form: `1:GROUP:TERM:OFFSET`, numbers in hexadecimal.
+    /// Formats the token as `1:GROUP:TERM:OFFSET`, with numbers in hexadecimal.
     pub fn to_token(&self) -> String {
         let Position { term, offset } = self.position;
         format!("{TOKEN_VERSION}:{}:{:x}:{:x}", self.group, term.0, offset.0)
     }
 
-    /// Reads a token back.
+    /// Parses a token.
     pub fn from_token(token: &str) -> Result<Self, TokenError> {
         let mut fields = token.split(':');
         let mut next = || fields.next().ok_or(TokenError::Malformed);
--- a/crates/core/src/session_state.rs
+++ b/crates/core/src/session_state.rs
@@ -1,8 +1,9 @@
-//! What a caller's statements leave behind on a connection, and what becomes of it.
+//! Tracks the state that a client's statements leave on a server connection.
 //!
-//! Callers share connections, so state must not outlive the caller's use of one. Settings are
-//! replayed on the next connection; what may be left behind is removed before another caller gets
-//! the connection; what can neither be replayed nor removed is refused.
+//! Clients share server connections, so state must not outlive a client's use of a connection.
+//! Settings are replayed on the next connection that the client uses. A connection that may have
+//! other state is reset before another client gets it. Statements whose state can be neither
+//! replayed nor removed are refused.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +12,13 @@
 
 use crate::classify::TextFacts;
 
-/// Something that a shared connection cannot offer.
+/// A feature that shared connections do not support.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, Hash)]
 pub enum Unsupported {
     /// `LISTEN` or `UNLISTEN`.
     #[error("LISTEN needs a connection of its own")]
     Listen,
-    /// `COPY` from or to the caller.
+    /// `COPY` from or to the client.
     #[error("COPY is not supported; use INSERT or SELECT")]
     Copy,
     /// `PREPARE`, `EXECUTE` or `DEALLOCATE` as SQL.
@@ -32,86 +33,86 @@
     /// An advisory lock that outlives its transaction.
     #[error("session advisory locks are not supported; use pg_advisory_xact_lock")]
     AdvisoryLock,
-    /// Another identity than the one that logged in.
+    /// Changing to another identity than the one that logged in.
     #[error("role and session authorization cannot be changed")]
     Authorization,
-    /// Characteristics of the session's later transactions.
+    /// Characteristics for the session's later transactions.
     #[error("SET SESSION CHARACTERISTICS is not supported; give the modes at BEGIN")]
     SessionCharacteristics,
     /// `set_config` for the session.
     #[error("set_config is supported for the transaction only; use SET")]
     SetConfig,
-    /// A setting that would weaken what the proxy promises.
+    /// A setting that would weaken the proxy's durability guarantee.
     #[error("durability cannot be changed")]
     Durability,
-    /// `SET` behind a savepoint, which a rollback to it would undo.
+    /// `SET` after a savepoint, which a rollback to the savepoint would undo.
     #[error("SET after SAVEPOINT is not supported; use SET LOCAL")]
     SetAfterSavepoint,
-    /// The last value of a sequence outside the transaction that drew it.
+    /// The last value of a sequence, outside the transaction that fetched it.
     #[error("currval and lastval need a transaction; use RETURNING")]
     SequenceValue,
 }
 
-/// Something that a statement does to its connection.
+/// The effect of a statement on its connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
-    /// A setting of the session.
+    /// Changes a setting of the session.
     Set {
-        /// Its name in lower case.
+        /// Name in lower case.
         name: String,
-        /// The statement that makes it.
+        /// The statement that changes it.
         statement: String,
     },
-    /// A setting goes back to its default.
+    /// Resets a setting to its default.
     Reset {
-        /// Its name in lower case.
+        /// Name in lower case.
         name: String,
     },
-    /// Every setting goes back to its default.
+    /// Resets all settings to their defaults.
     ResetAll,
-    /// Everything of the session is dropped.
+    /// Drops all state of the session.
     Discard,
-    /// It may leave something unknown behind.
+    /// May leave unknown state on the connection.
     Taint,
-    /// A savepoint.
+    /// Sets a savepoint.
     Savepoint,
-    /// Only inside an explicit transaction.
+    /// Supported only inside an explicit transaction.
     OnlyInTransaction(Unsupported),
-    /// Not at all.
+    /// Not supported.
     Refuse(Unsupported),
 }
 
 impl Effect {
-    /// Whether the connection must be reset before another caller uses it.
+    /// Whether the connection must be reset before another client uses it.
     pub fn taints(&self) -> bool {
         !matches!(self, Self::Savepoint | Self::OnlyInTransaction(_))
     }
 }
 
-/// A setting that a session has made.
+/// A setting that a session has changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionSetting {
-    /// Its name in lower case.
+    /// Name in lower case.
     pub name: String,
-    /// The statement that makes it.
+    /// The statement that changes it.
     pub statement: String,
 }
 
 type Settings = BTreeMap<String, String>;
 
-/// What a caller's session has set, inside and outside the open transaction.
+/// Settings of a client's session, inside and outside the open transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionState {
     current: Settings,
-    /// What a rollback goes back to, while it differs.
+    /// The settings that a rollback restores, if they differ.
     committed: Option<Settings>,
     has_savepoint: bool,
 }
 
-/// How an exchange ended, as far as the session's state is concerned.
+/// How an exchange ended, as far as session state depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExchangeEnd {
-    /// The back end reported an error.
+    /// The instance reported an error.
     pub failed: bool,
     /// A transaction is open afterwards.
     pub in_transaction: bool,
@@ -120,12 +121,12 @@
 }
 
 impl SessionState {
-    /// Settings that a caller brings along at start-up.
+    /// Creates a session with the settings from the client's startup message.
     pub fn with_settings(settings: impl IntoIterator<Item = (String, String)>) -> Self {
         Self { current: settings.into_iter().collect(), ..Self::default() }
     }
 
-    /// Whether a text may run, given whether an explicit transaction is open.
+    /// Whether a text is supported, given whether an explicit transaction is open.
     pub fn check(&self, facts: &TextFacts, in_transaction: bool) -> Result<(), Unsupported> {
         let in_transaction = in_transaction || facts.begins;
         for effect in &facts.effects {
@@ -143,12 +144,12 @@
         Ok(())
     }
 
-    /// Whether [`Self::on_end`] must be told how the next exchange ends.
+    /// Whether [`Self::on_exchange_end`] must be called after the next exchange.
     pub fn needs_exchange_end(&self, effects: &[Effect]) -> bool {
         !effects.is_empty() || self.committed.is_some() || self.has_savepoint
     }
 
-    /// Takes in the end of an exchange.
+    /// Records the end of an exchange.
     pub fn on_exchange_end(&mut self, effects: &[Effect], end: ExchangeEnd) {
         if !end.failed {
             for effect in effects {
@@ -170,15 +171,15 @@
     fn apply(&mut self, effect: &Effect) {
         match effect {
             Effect::Set { name, statement } => {
-                self.keep_committed();
+                self.snapshot_committed();
                 self.current.insert(name.clone(), statement.clone());
             }
             Effect::Reset { name } => {
-                self.keep_committed();
+                self.snapshot_committed();
                 self.current.remove(name);
             }
             Effect::ResetAll => {
-                self.keep_committed();
+                self.snapshot_committed();
                 self.current.clear();
             }
             Effect::Discard => *self = Self::default(),
@@ -187,13 +188,13 @@
         }
     }
 
-    fn keep_committed(&mut self) {
+    fn snapshot_committed(&mut self) {
         if self.committed.is_none() {
             self.committed = Some(self.current.clone());
         }
     }
 
-    /// The settings to put in force on a connection without any, by name.
+    /// The settings to apply to a connection in its initial state, ordered by name.
     pub fn settings(&self) -> Vec<SessionSetting> {
         let settings = self.current.iter();
         let setting = |(name, statement): (&String, &String)| SessionSetting {
