--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of the decisions taken for every statement: choosing an instance, and admitting to it.
+//! Cost of the decisions made for each statement: choosing an instance, and admission to it.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -48,7 +48,7 @@
     });
 }
 
-/// One request on its way through a scheduler with a few tenants at work.
+/// Admits and finishes one request, with a few tenants running.
 fn admit(criterion: &mut Criterion) {
     let now = Instant::now();
     let mut scheduler: Scheduler<u64> = Scheduler::new(Limits { slots: 5, queue_length: 1_000 });
--- a/crates/core/src/admin/configuration.rs
+++ b/crates/core/src/admin/configuration.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// Number of an apply request, chosen by the client. Requests with the same number are applied
+/// Identifies an apply request, chosen by the client. Requests with the same identifier are applied
 /// once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
@@ -121,7 +121,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// Number of the request.
+    /// Identifier of the request.
     pub request: RequestId,
     /// Who requests the change.
     pub author: String,
@@ -145,7 +145,7 @@
 pub struct Authorship {
     /// Version number of the entry; zero if it was not written through a node.
     pub version: u64,
-    /// Number of the request that wrote it.
+    /// Identifier of the request that wrote it.
     pub request: String,
     /// Who requested the change.
     pub author: String,
--- a/crates/core/tests/admission/main.rs
+++ b/crates/core/tests/admission/main.rs
@@ -1,4 +1,4 @@
-//! The scheduler of one instance: its limits, its order, and what it refuses.
+//! Tests of the admission scheduler: its limits, its order and its refusals.
 
 mod overload;
 mod rules;
--- a/crates/core/tests/admission/rules.rs
+++ b/crates/core/tests/admission/rules.rs
@@ -1,4 +1,4 @@
-//! Limits, order and refusals, one rule a test.
+//! Limits, order and refusals, with one rule per test.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,11 +9,11 @@
 use kestrellock_core::outcome::ResultCode;
 use proptest::prelude::*;
 
-use crate::simulation::{Arrival, Fate, Simulation};
+use crate::simulation::{Arrival, Outcome, Simulation};
 
 const QUEUE_LENGTH: usize = 1000;
 const SERVICE: Duration = Duration::from_millis(10);
-/// Requests after which the estimates have settled on a constant service time.
+/// Number of requests after which the estimates have converged to a constant service time.
 const WARM_UP: usize = 200;
 
 fn tenant(number: u8) -> TenantName {
@@ -31,7 +31,7 @@
 fn run(dispatch: Option<Dispatch<u64>>) -> Option<(Ticket, u64)> {
     match dispatch {
         Some(Dispatch::Run { ticket, work }) => Some((ticket, work)),
-        Some(Dispatch::Expired(refused)) => panic!("gave up {}", refused.work),
+        Some(Dispatch::Expired(refused)) => panic!("request {} expired", refused.work),
         None => None,
     }
 }
@@ -44,7 +44,7 @@
     Finish { which: prop::sample::Index },
     Pause { which: prop::sample::Index },
     Resume { which: prop::sample::Index },
-    Forget { which: prop::sample::Index },
+    Remove { which: prop::sample::Index },
     Wait { time: u64 },
 }
 
@@ -57,12 +57,12 @@
         2 => index().prop_map(|which| Step::Finish { which }),
         1 => index().prop_map(|which| Step::Pause { which }),
         1 => index().prop_map(|which| Step::Resume { which }),
-        1 => index().prop_map(|which| Step::Forget { which }),
+        1 => index().prop_map(|which| Step::Remove { which }),
         1 => (1..50_u64).prop_map(|time| Step::Wait { time }),
     ]
 }
 
-/// The test's own account of one request under way.
+/// The model's record of one started request.
 #[derive(Debug)]
 struct Started {
     ticket: Ticket,
@@ -72,12 +72,12 @@
 }
 
 #[derive(Default)]
-struct Account {
+struct Model {
     waiting: HashMap<u64, u8>,
     started: Vec<Started>,
 }
 
-impl Account {
+impl Model {
     fn running(&self, tenant: Option<u8>) -> u32 {
         let counts = |started: &&Started| {
             !started.paused && tenant.is_none_or(|number| number == started.tenant)
@@ -94,14 +94,14 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn limits_hold_and_no_slot_stays_free_needlessly(
+    fn limits_hold_and_slots_are_not_left_idle(
         slots in 1..6_u32,
         capacity in 1..5_u32,
         steps in prop::collection::vec(step(), 1..200),
     ) {
         let mut now = Instant::now();
         let mut scheduler = Scheduler::new(Limits { slots, queue_length: 20 });
-        let mut account = Account::default();
+        let mut model = Model::default();
         for (work, step) in steps.into_iter().enumerate() {
             let work = work as u64;
             match step {
@@ -109,7 +109,7 @@
                     let deadline = now + Duration::from_millis(allowed);
                     let offered = request(tenant, capacity, priority(level), deadline);
                     match scheduler.offer(&offered, work, now) {
-                        Ok(()) => { account.waiting.insert(work, tenant); }
+                        Ok(()) => { model.waiting.insert(work, tenant); }
                         Err(refused) => {
                             prop_assert_eq!(refused.work, work);
                             prop_assert!(refused.overload.retry_after > Duration::ZERO);
@@ -118,57 +118,57 @@
                 }
                 Step::Start => match scheduler.take_next(now) {
                     Some(Dispatch::Run { ticket, work }) => {
-                        let tenant = account.waiting.remove(&work).expect("it waited");
-                        account.started.push(Started { ticket, tenant, paused: false, resumed: false });
-                        if !account.has_resumed() {
-                            prop_assert!(account.running(None) <= slots);
-                            prop_assert!(account.running(Some(tenant)) <= capacity);
+                        let tenant = model.waiting.remove(&work).expect("the request was waiting");
+                        model.started.push(Started { ticket, tenant, paused: false, resumed: false });
+                        if !model.has_resumed() {
+                            prop_assert!(model.running(None) <= slots);
+                            prop_assert!(model.running(Some(tenant)) <= capacity);
                         }
                     }
                     Some(Dispatch::Expired(refused)) => {
-                        prop_assert!(account.waiting.remove(&refused.work).is_some());
+                        prop_assert!(model.waiting.remove(&refused.work).is_some());
                     }
-                    None if account.running(None) < slots => {
-                        for tenant in account.waiting.values() {
-                            prop_assert!(account.running(Some(*tenant)) >= capacity);
+                    None if model.running(None) < slots => {
+                        for tenant in model.waiting.values() {
+                            prop_assert!(model.running(Some(*tenant)) >= capacity);
                         }
                     }
                     None => {}
                 },
-                Step::Finish { which } if !account.started.is_empty() => {
-                    let index = which.index(account.started.len());
-                    scheduler.finish(account.started.swap_remove(index).ticket, now);
+                Step::Finish { which } if !model.started.is_empty() => {
+                    let index = which.index(model.started.len());
+                    scheduler.finish(model.started.swap_remove(index).ticket, now);
                 }
-                Step::Pause { which } if !account.started.is_empty() => {
-                    let index = which.index(account.started.len());
-                    scheduler.pause(&mut account.started[index].ticket, now);
-                    account.started[index].paused = true;
+                Step::Pause { which } if !model.started.is_empty() => {
+                    let index = which.index(model.started.len());
+                    scheduler.pause(&mut model.started[index].ticket, now);
+                    model.started[index].paused = true;
                 }
-                Step::Resume { which } if !account.started.is_empty() => {
-                    let index = which.index(account.started.len());
-                    scheduler.resume(&mut account.started[index].ticket, now);
-                    account.started[index].resumed |= account.started[index].paused;
-                    account.started[index].paused = false;
+                Step::Resume { which } if !model.started.is_empty() => {
+                    let index = which.index(model.started.len());
+                    scheduler.resume(&mut model.started[index].ticket, now);
+                    model.started[index].resumed |= model.started[index].paused;
+                    model.started[index].paused = false;
                 }
-                Step::Forget { which } if !account.waiting.is_empty() => {
-                    let mut keys: Vec<u64> = account.waiting.keys().copied().collect();
+                Step::Remove { which } if !model.waiting.is_empty() => {
+                    let mut keys: Vec<u64> = model.waiting.keys().copied().collect();
                     keys.sort_unstable();
                     let key = keys[which.index(keys.len())];
                     prop_assert_eq!(scheduler.remove(|work| *work == key), Some(key));
-                    account.waiting.remove(&key);
+                    model.waiting.remove(&key);
                 }
                 Step::Wait { time } => now += Duration::from_millis(time),
                 _ => {}
             }
-            prop_assert_eq!(scheduler.running(), account.running(None));
-            prop_assert_eq!(scheduler.waiting(), account.waiting.len());
+            prop_assert_eq!(scheduler.running(), model.running(None));
+            prop_assert_eq!(scheduler.waiting(), model.waiting.len());
         }
     }
 
-    /// With one tenant and a constant service time the estimate is an upper bound, so whatever
-    /// is accepted is on time, whoever arrives later.
+    /// With one tenant and a constant service time the estimate is an upper bound, so every
+    /// accepted request finishes in time, whichever requests arrive later.
     #[test]
-    fn what_is_accepted_meets_its_deadline(
+    fn accepted_requests_meet_their_deadlines(
         slots in 1..6_u32,
         capacity in 1..6_u32,
         random in prop::collection::vec((0..10_000_u64, 21..400_u64), 1..300),
@@ -191,17 +191,17 @@
             .collect();
         let mut simulation = Simulation::new(Limits { slots, queue_length: QUEUE_LENGTH });
         simulation.run(&arrivals);
-        for (arrival, fate) in arrivals.iter().zip(&simulation.fates) {
-            match fate {
-                Fate::Refused(_) => {}
-                Fate::Ran { finished, .. } => prop_assert!(*finished <= arrival.request.deadline),
+        for (arrival, outcome) in arrivals.iter().zip(&simulation.outcomes) {
+            match outcome {
+                Outcome::Refused(_) => {}
+                Outcome::Ran { finished, .. } => prop_assert!(*finished <= arrival.request.deadline),
                 other => prop_assert!(false, "accepted, then {other:?}"),
             }
         }
     }
 }
 
-/// A scheduler with one slot, taken, whose estimates say that a service takes [`SERVICE`].
+/// A scheduler whose only slot is taken and whose estimated service time is [`SERVICE`].
 fn busy(queue_length: usize, now: &mut Instant) -> (Scheduler<u64>, Ticket) {
     let mut scheduler = Scheduler::new(Limits { slots: 1, queue_length });
     for level in [Priority::Order, Priority::Normal, Priority::Browse] {
@@ -213,7 +213,8 @@
             scheduler.finish(ticket, *now);
         }
     }
-    // Of a priority above which nothing has started lately, so that nothing is expected there.
+    // The running request has a priority above which nothing started recently, so the estimate
+    // expects no arrivals above it.
     let first = request(0, 1, Priority::Normal, *now + Duration::from_secs(1));
     scheduler.offer(&first, 0, *now).expect("the scheduler is idle");
     let (ticket, _) = run(scheduler.take_next(*now)).expect("a slot is free");
@@ -221,20 +222,21 @@
 }
 
 #[test]
-fn a_request_that_cannot_make_its_deadline_is_refused_on_arrival() {
+fn requests_that_cannot_meet_their_deadline_are_refused_on_arrival() {
     let mut now = Instant::now();
     let (mut scheduler, _ticket) = busy(QUEUE_LENGTH, &mut now);
     let table = [
-        // Time allowed in services, accepted. One service is under way and one waits.
+        // Time allowed in multiples of the service time, and whether the request is accepted. One
+        // request is running and one is waiting.
         (2, false),
         (3, true),
         (3, false),
         (4, true),
     ];
     let first = request(1, 1, Priority::Normal, now + SERVICE * 3);
-    scheduler.offer(&first, 0, now).expect("an empty queue makes it");
+    scheduler.offer(&first, 0, now).expect("an empty queue meets the deadline");
     for (work, (allowed, accepted)) in table.into_iter().enumerate() {
-        // The expectation of requests above fades, and is not quite zero.
+        // The expected load of higher priorities decays and is not quite zero yet.
         let margin = Duration::from_micros(50);
         let offered = request(1, 1, Priority::Normal, now + SERVICE * allowed + margin);
         let result = scheduler.offer(&offered, work as u64, now);
@@ -243,7 +245,7 @@
 }
 
 #[test]
-fn the_refusal_names_the_limit_and_when_to_come_back() {
+fn refusals_carry_the_limiting_cause_and_a_retry_hint() {
     let mut now = Instant::now();
     let mut scheduler = Scheduler::new(Limits { slots: 4, queue_length: QUEUE_LENGTH });
     for _ in 0..WARM_UP {
@@ -262,28 +264,32 @@
         }
         while run(scheduler.take_next(now)).is_some() {}
     }
-    let overload = refused.expect("a tenant of capacity 1 is refused at last").overload;
+    let overload = refused.expect("a tenant of capacity 1 is refused eventually").overload;
     assert_eq!(overload.code, ResultCode::TenantOverCapacity);
     assert!(overload.retry_after > Duration::ZERO);
-    // Three slots are free: another tenant is not touched by that.
+    // Three slots are free, so the refusal does not affect other tenants.
     let other = request(2, 1, Priority::Normal, now + SERVICE * 2);
-    scheduler.offer(&other, 0, now).expect("the other tenant's share is free");
+    scheduler.offer(&other, 0, now).expect("the other tenant's capacity is free");
     assert!(run(scheduler.take_next(now)).is_some());
 }
 
 #[test]
-fn higher_priorities_go_first_and_lower_ones_are_not_starved() {
+fn higher_priorities_go_first_without_starving_lower_priorities() {
     let mut now = Instant::now();
     let (mut scheduler, mut ticket) = busy(QUEUE_LENGTH, &mut now);
     let far = now + Duration::from_secs(1000);
     let (browse, order) = (1, 2);
-    scheduler.offer(&request(1, 1, Priority::Browse, far), browse, now).expect("it fits");
+    scheduler
+        .offer(&request(1, 1, Priority::Browse, far), browse, now)
+        .expect("the request meets its deadline");
     let mut orders_ahead = 0;
     loop {
-        scheduler.offer(&request(2, 1, Priority::Order, far), order, now).expect("it fits");
+        scheduler
+            .offer(&request(2, 1, Priority::Order, far), order, now)
+            .expect("the request meets its deadline");
         now += SERVICE;
         scheduler.finish(ticket, now);
-        let (next, work) = run(scheduler.take_next(now)).expect("something waits");
+        let (next, work) = run(scheduler.take_next(now)).expect("a request is waiting");
         ticket = next;
         if work == browse {
             break;
@@ -294,7 +300,7 @@
 }
 
 #[test]
-fn no_tenant_and_no_priority_fills_the_queue() {
+fn no_tenant_or_priority_can_fill_the_queue() {
     let mut now = Instant::now();
     let (mut scheduler, _ticket) = busy(8, &mut now);
     let far = now + Duration::from_secs(1000);
@@ -308,16 +314,20 @@
 }
 
 #[test]
-fn a_paused_transaction_frees_its_slot_and_resumes_without_waiting() {
+fn paused_transaction_frees_its_slot_and_resumes_without_waiting() {
     let mut now = Instant::now();
     let (mut scheduler, mut ticket) = busy(QUEUE_LENGTH, &mut now);
     let far = now + Duration::from_secs(1000);
-    scheduler.offer(&request(1, 1, Priority::Normal, far), 1, now).expect("it fits");
+    scheduler
+        .offer(&request(1, 1, Priority::Normal, far), 1, now)
+        .expect("the request meets its deadline");
     assert!(run(scheduler.take_next(now)).is_none());
     scheduler.pause(&mut ticket, now);
     let (other, _) = run(scheduler.take_next(now)).expect("the slot is free");
     scheduler.resume(&mut ticket, now);
-    scheduler.offer(&request(2, 1, Priority::Normal, far), 2, now).expect("it fits");
+    scheduler
+        .offer(&request(2, 1, Priority::Normal, far), 2, now)
+        .expect("the request meets its deadline");
     scheduler.finish(other, now);
     assert!(run(scheduler.take_next(now)).is_none(), "the resumed transaction holds the slot");
     scheduler.finish(ticket, now);
@@ -325,16 +335,18 @@
 }
 
 #[test]
-fn a_request_given_up_is_answered_as_soon_as_it_is_hopeless() {
+fn waiting_requests_expire_once_they_cannot_meet_their_deadline() {
     let mut now = Instant::now();
     let (mut scheduler, _ticket) = busy(QUEUE_LENGTH, &mut now);
     let deadline = now + SERVICE * 3;
-    scheduler.offer(&request(1, 1, Priority::Normal, deadline), 7, now).expect("it fits");
-    // The one in the slot takes longer than any before.
+    scheduler
+        .offer(&request(1, 1, Priority::Normal, deadline), 7, now)
+        .expect("the request meets its deadline");
+    // The running request takes longer than any request before it.
     let before = now + SERVICE * 2 - Duration::from_micros(10);
     assert!(scheduler.take_expired(before).is_empty());
     let late = scheduler.take_expired(now + SERVICE * 2 + Duration::from_micros(10));
-    let given_up: Vec<u64> = late.into_iter().map(|refused| refused.work).collect();
-    assert_eq!(given_up, [7]);
+    let expired: Vec<u64> = late.into_iter().map(|refused| refused.work).collect();
+    assert_eq!(expired, [7]);
     assert_eq!(scheduler.waiting(), 0);
 }
--- a/crates/core/tests/admission/simulation.rs
+++ b/crates/core/tests/admission/simulation.rs
@@ -1,5 +1,5 @@
-//! A queue simulated in virtual time: arrivals are offered, started requests end after their
-//! service time, and the fate of each is recorded.
+//! A scheduler simulated in virtual time: offers arriving requests, ends started requests after
+//! their service time, and records the outcome of each.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,7 +7,7 @@
 
 use kestrellock_core::admission::{Dispatch, Limits, Overload, Request, Scheduler, Ticket};
 
-/// One request to come.
+/// A request and its arrival time.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
@@ -15,14 +15,14 @@
     pub service: Duration,
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Outcome {
     Pending,
-    /// Refused when it arrived.
+    /// Refused on arrival.
     Refused(Overload),
-    /// Given up after waiting.
-    GivenUp {
+    /// Expired after waiting.
+    Expired {
         at: Instant,
     },
     /// Ran from `started` to `finished`.
@@ -34,27 +34,27 @@
 
 pub struct Simulation {
     pub scheduler: Scheduler<usize>,
-    pub fates: Vec<Fate>,
+    pub outcomes: Vec<Outcome>,
     ends: BinaryHeap<Reverse<(Instant, usize)>>,
     tickets: Vec<Option<Ticket>>,
 }
 
 impl Simulation {
     pub fn new(limits: Limits) -> Self {
-        let (fates, tickets) = (Vec::new(), Vec::new());
+        let (outcomes, tickets) = (Vec::new(), Vec::new());
         let scheduler = Scheduler::new(limits);
-        Self { scheduler, fates, ends: BinaryHeap::new(), tickets }
+        Self { scheduler, outcomes, ends: BinaryHeap::new(), tickets }
     }
 
-    /// Runs `arrivals`, which are in order of time, and then whatever is left.
+    /// Runs `arrivals`, which are ordered by time, and then all requests that are left.
     pub fn run(&mut self, arrivals: &[Arrival]) {
-        self.fates = vec![Fate::Pending; arrivals.len()];
+        self.outcomes = vec![Outcome::Pending; arrivals.len()];
         self.tickets = arrivals.iter().map(|_| None).collect();
         for (index, arrival) in arrivals.iter().enumerate() {
             self.run_until(arrival.at, arrivals);
             match self.scheduler.offer(&arrival.request, index, arrival.at) {
                 Ok(()) => self.start(arrival.at, arrivals),
-                Err(refused) => self.fates[index] = Fate::Refused(refused.overload),
+                Err(refused) => self.outcomes[index] = Outcome::Refused(refused.overload),
             }
         }
         while let Some(Reverse((end, _))) = self.ends.peek().copied() {
@@ -75,17 +75,19 @@
 
     fn start(&mut self, now: Instant, arrivals: &[Arrival]) {
         for late in self.scheduler.take_expired(now) {
-            self.fates[late.work] = Fate::GivenUp { at: now };
+            self.outcomes[late.work] = Outcome::Expired { at: now };
         }
         while let Some(dispatch) = self.scheduler.take_next(now) {
             match dispatch {
                 Dispatch::Run { ticket, work } => {
                     let finished = now + arrivals[work].service;
                     self.tickets[work] = Some(ticket);
-                    self.fates[work] = Fate::Ran { started: now, finished };
+                    self.outcomes[work] = Outcome::Ran { started: now, finished };
                     self.ends.push(Reverse((finished, work)));
                 }
-                Dispatch::Expired(refused) => self.fates[refused.work] = Fate::GivenUp { at: now },
+                Dispatch::Expired(refused) => {
+                    self.outcomes[refused.work] = Outcome::Expired { at: now }
+                }
             }
         }
     }
--- a/crates/core/tests/classify.rs
+++ b/crates/core/tests/classify.rs
@@ -1,4 +1,5 @@
-//! Classification: what counts as a read, and what a statement leaves behind.
+//! Tests of the classification: which texts are reads, and which state a statement leaves on its
+//! connection.
 
 use kestrellock_core::classify::StatementClass::{
     Begin, BeginReadOnly, Commit, Read, Rollback, Unknown, Write,
@@ -77,14 +78,14 @@
 ];
 
 #[test]
-fn classes_of_texts() {
+fn texts_have_the_expected_class() {
     for (text, class) in CLASSES {
         assert_eq!(classify(text).class, *class, "{text}");
     }
 }
 
 #[test]
-fn what_a_shared_connection_cannot_offer_is_refused() {
+fn unsupported_features_are_refused() {
     use Unsupported::{
         AdvisoryLock, Authorization, Copy, Durability, HoldableCursor, Listen, SequenceValue,
         SessionCharacteristics, SetConfig, SqlPrepare, TemporaryObject,
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn what_dies_with_its_transaction_is_offered() {
+fn transaction_scoped_features_are_supported() {
     for text in [
         "SET LOCAL search_path = 'a'",
         "SELECT set_config('a.b', 'c', true)",
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn what_may_leave_anything_behind_has_its_connection_reset() {
+fn texts_that_may_leave_state_taint_the_connection() {
     for text in [
         "SELECT my_function()",
         "DO $$ BEGIN PERFORM 1; END $$",
@@ -159,7 +160,7 @@
 const DONE: ExchangeEnd = ExchangeEnd { failed: false, in_transaction: false, rolled_back: false };
 const OPEN: ExchangeEnd = ExchangeEnd { in_transaction: true, ..DONE };
 const FAILED: ExchangeEnd = ExchangeEnd { failed: true, ..DONE };
-const UNDONE: ExchangeEnd = ExchangeEnd { rolled_back: true, ..DONE };
+const ROLLED_BACK: ExchangeEnd = ExchangeEnd { rolled_back: true, ..DONE };
 
 #[test]
 fn settings_follow_the_session_and_its_transactions() {
@@ -171,20 +172,20 @@
         (&[("SET a.x = '1'", DONE), ("SET a.y = '2'", DONE), ("RESET ALL", DONE)], ""),
         (&[("SET a.x = '1'", DONE), ("DISCARD ALL", DONE)], ""),
         (&[("BEGIN", OPEN), ("SET a.x = '1'", OPEN), ("COMMIT", DONE)], "SET a.x = '1'"),
-        (&[("BEGIN", OPEN), ("SET a.x = '1'", OPEN), ("ROLLBACK", UNDONE)], ""),
-        (&[("BEGIN", OPEN), ("SET a.x = '1'", OPEN), ("COMMIT", UNDONE)], ""),
+        (&[("BEGIN", OPEN), ("SET a.x = '1'", OPEN), ("ROLLBACK", ROLLED_BACK)], ""),
+        (&[("BEGIN", OPEN), ("SET a.x = '1'", OPEN), ("COMMIT", ROLLED_BACK)], ""),
         (&[("SET a.x = '1'; SET a.y = '2'", DONE)], "SET a.x = '1'; SET a.y = '2'"),
         (
             &[
                 ("SET a.x = '1'", DONE),
                 ("BEGIN", OPEN),
                 ("SET a.x = '2'", OPEN),
-                ("ROLLBACK", UNDONE),
+                ("ROLLBACK", ROLLED_BACK),
             ],
             "SET a.x = '1'",
         ),
     ];
-    for (steps, preamble) in table {
+    for (steps, expected) in table {
         let mut state = SessionState::default();
         for (text, end) in *steps {
             let facts = classify(text);
@@ -193,28 +194,28 @@
         }
         let statements: Vec<String> =
             state.settings().into_iter().map(|setting| setting.statement).collect();
-        assert_eq!(statements.join("; "), *preamble, "{steps:?}");
+        assert_eq!(statements.join("; "), *expected, "{steps:?}");
     }
 }
 
 #[test]
-fn a_setting_behind_a_savepoint_is_refused() {
+fn set_after_savepoint_is_refused() {
     let mut state = SessionState::default();
     state.on_exchange_end(&classify("SAVEPOINT a").effects, OPEN);
     let set = classify("SET a.x = '1'");
     assert_eq!(state.check(&set, true), Err(Unsupported::SetAfterSavepoint));
-    state.on_exchange_end(&[], UNDONE);
+    state.on_exchange_end(&[], ROLLED_BACK);
     assert_eq!(state.check(&set, false), Ok(()));
 }
 
 proptest! {
     #[test]
-    fn any_text_is_classified(text in ".{0,200}") {
+    fn classification_never_panics(text in ".{0,200}") {
         classify(&text);
     }
 
     #[test]
-    fn texts_of_sql_words_are_reads_only_without_any_word_that_writes(
+    fn texts_with_writing_keywords_are_not_reads(
         words in proptest::collection::vec(prop::sample::select(vec![
             "SELECT", "FROM", "t", "(", ")", ",", "WITH", "AS", "INSERT INTO", "VALUES", "1",
             "'x'", ";", "BEGIN", "COMMIT", "FOR UPDATE", "DELETE FROM", "f(1)",
@@ -223,14 +224,14 @@
         let facts = classify(&words.join(" "));
         let writes = ["INSERT INTO", "BEGIN", "COMMIT", "FOR UPDATE", "DELETE FROM", "f(1)"];
         if words.iter().any(|word| writes.contains(word)) {
-            // A word may be an alias, as in `SELECT 1 AS BEGIN`, but never a statement.
+            // A keyword may be an alias, as in `SELECT 1 AS BEGIN`, but then it is not a statement.
             let aliased = words.windows(2).any(|pair| writes.contains(&pair[1]) && pair[0] != ";");
             prop_assert!(facts.class != Read || aliased);
         }
     }
 
     #[test]
-    fn a_write_anywhere_makes_the_text_a_write(
+    fn text_with_a_write_at_any_position_is_a_write(
         before in prop::sample::select(vec!["SELECT 1", "VALUES (1)", "SELECT * FROM t"]),
         write in prop::sample::select(vec![
             "INSERT INTO t VALUES (1)", "SELECT f()", "SELECT * FROM t FOR UPDATE", "DROP TABLE t",
@@ -248,7 +249,7 @@
     }
 
     #[test]
-    fn what_one_refuses_the_batch_refuses(prefix in prop::sample::select(vec![
+    fn batch_keeps_the_refusals_of_its_statements(prefix in prop::sample::select(vec![
         "SELECT 1", "INSERT INTO t VALUES (1)", "SET a.x = '1'",
     ])) {
         let mut facts = classify(prefix);
--- a/crates/core/tests/concurrency_limit.rs
+++ b/crates/core/tests/concurrency_limit.rs
@@ -1,5 +1,6 @@
-//! Several owners before one instance at the peak of its load: how many statements are answered in time,
-//! with the limit that follows the instance's refusals and with a limit of its slots for each owner.
+//! Several owners send to one instance at peak load. Compares the statements answered in time with
+//! a limit that follows the instance's refusals, and with a limit per owner that equals the
+//! instance's slots.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -12,27 +13,27 @@
 
 const SLOTS: u32 = 6;
 const OWNERS: usize = 3;
-const WORK_MS: f64 = 33.0;
+const MEAN_SERVICE_MS: f64 = 33.0;
 const DEADLINE: Duration = Duration::from_millis(1_200);
 const RUN: Duration = Duration::from_secs(20);
-/// One way between an owner and the instance.
-const WAY: Duration = Duration::from_millis(1);
-/// Waits before a refused statement goes out again, as fronts have them.
-const RESENDING: Backoff = Backoff::new(Duration::from_millis(5), Duration::from_millis(80));
+/// One-way delay between an owner and the instance.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
+/// Delay before a refused statement is sent again, as in the fronts.
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(5), Duration::from_millis(80));
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Statement {
     deadline: Instant,
     arrived: Instant,
-    tries: u32,
+    attempts: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    Again(usize, Statement),
-    AtInstance(usize, Statement),
-    Worked(usize, Statement),
+    Retry(usize, Statement),
+    ReachInstance(usize, Statement),
+    Completed(usize, Statement),
     Answer(usize, Statement, bool),
 }
 
@@ -45,7 +46,7 @@
     queues: Vec<VecDeque<Statement>>,
     running: Vec<u32>,
     limits: Vec<ConcurrencyLimit>,
-    follows: bool,
+    is_adaptive: bool,
     busy: u32,
     load: f64,
     answered: u32,
@@ -53,7 +54,7 @@
 }
 
 impl World {
-    fn new(seed: u64, load: f64, follows: bool) -> Self {
+    fn new(seed: u64, load: f64, is_adaptive: bool) -> Self {
         let start = Instant::now();
         let mut world = Self {
             random: StdRng::seed_from_u64(seed),
@@ -64,24 +65,24 @@
             queues: vec![VecDeque::new(); OWNERS],
             running: vec![0; OWNERS],
             limits: vec![ConcurrencyLimit::new(SLOTS); OWNERS],
-            follows,
+            is_adaptive,
             busy: 0,
             load,
             answered: 0,
             late: 0,
         };
-        world.at(Duration::ZERO, Event::Arrive);
+        world.schedule(Duration::ZERO, Event::Arrive);
         world
     }
 
-    fn at(&mut self, after: Duration, event: Event) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.serial += 1;
         self.events.push(Reverse((self.now + after, self.serial, event)));
     }
 
-    fn spread(&mut self, mean_ms: f64) -> Duration {
-        let even: f64 = self.random.random_range(1e-9..1.0);
-        Duration::from_secs_f64(-even.ln() * mean_ms / 1_000.0)
+    fn exponential(&mut self, mean_ms: f64) -> Duration {
+        let uniform: f64 = self.random.random_range(1e-9..1.0);
+        Duration::from_secs_f64(-uniform.ln() * mean_ms / 1_000.0)
     }
 
     fn run(mut self) -> (u32, u32) {
@@ -98,25 +99,25 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Arrive => {
-                let apart = WORK_MS / f64::from(SLOTS) / self.load;
-                let wait = self.spread(apart);
-                self.at(wait, Event::Arrive);
+                let gap = MEAN_SERVICE_MS / f64::from(SLOTS) / self.load;
+                let wait = self.exponential(gap);
+                self.schedule(wait, Event::Arrive);
                 let owner = self.random.random_range(0..OWNERS);
                 let (deadline, arrived) = (self.now + DEADLINE, self.now);
-                self.enter(owner, Statement { deadline, arrived, tries: 0 });
+                self.enter(owner, Statement { deadline, arrived, attempts: 0 });
             }
-            Event::Again(owner, statement) => self.enter(owner, statement),
-            Event::AtInstance(owner, statement) => {
+            Event::Retry(owner, statement) => self.enter(owner, statement),
+            Event::ReachInstance(owner, statement) => {
                 if self.busy >= SLOTS {
-                    return self.at(WAY, Event::Answer(owner, statement, false));
+                    return self.schedule(ONE_WAY_DELAY, Event::Answer(owner, statement, false));
                 }
                 self.busy += 1;
-                let work = self.spread(WORK_MS);
-                self.at(work, Event::Worked(owner, statement));
+                let work = self.exponential(MEAN_SERVICE_MS);
+                self.schedule(work, Event::Completed(owner, statement));
             }
-            Event::Worked(owner, statement) => {
+            Event::Completed(owner, statement) => {
                 self.busy -= 1;
-                self.at(WAY, Event::Answer(owner, statement, true));
+                self.schedule(ONE_WAY_DELAY, Event::Answer(owner, statement, true));
             }
             Event::Answer(owner, statement, ran) => self.on_answer(owner, statement, ran),
         }
@@ -130,7 +131,7 @@
     }
 
     fn send(&mut self, owner: usize) {
-        let limit = if self.follows { self.limits[owner].limit() } else { SLOTS };
+        let limit = if self.is_adaptive { self.limits[owner].limit() } else { SLOTS };
         while self.running[owner] < limit {
             let Some(statement) = self.queues[owner].pop_front() else { return };
             if self.now >= statement.deadline {
@@ -138,7 +139,7 @@
                 continue;
             }
             self.running[owner] += 1;
-            self.at(WAY, Event::AtInstance(owner, statement));
+            self.schedule(ONE_WAY_DELAY, Event::ReachInstance(owner, statement));
         }
     }
 
@@ -153,24 +154,24 @@
             }
             false => {
                 self.limits[owner].on_refused(self.now);
-                let mut backoff = RESENDING;
-                let wait = (0..=statement.tries)
+                let mut backoff = RETRY_BACKOFF;
+                let wait = (0..=statement.attempts)
                     .map(|_| backoff.on_failure(self.random.random()))
                     .last()
                     .unwrap_or_default();
-                let again = Statement { tries: statement.tries + 1, ..statement };
-                self.at(wait, Event::Again(owner, again));
+                let retried = Statement { attempts: statement.attempts + 1, ..statement };
+                self.schedule(wait, Event::Retry(owner, retried));
             }
         }
         self.send(owner);
     }
 }
 
-/// Statements that missed their deadlines, of those that ended, over a few seeds.
-fn missed(load: f64, follows: bool) -> f64 {
+/// Fraction of the ended statements that missed their deadlines, over several seeds.
+fn missed(load: f64, is_adaptive: bool) -> f64 {
     let (mut answered, mut late) = (0, 0);
     for seed in 0..8 {
-        let (in_time, missed) = World::new(seed, load, follows).run();
+        let (in_time, missed) = World::new(seed, load, is_adaptive).run();
         answered += in_time;
         late += missed;
     }
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn at_the_peak_fewer_statements_miss_their_deadlines_than_without_the_limit() {
+fn adaptive_limit_misses_no_more_deadlines_at_peak_load() {
     for load in [0.95, 1.0, 1.05] {
         let (with, without) = (missed(load, true), missed(load, false));
         println!(
@@ -189,17 +190,17 @@
 }
 
 #[test]
-fn a_limit_falls_by_refusals_and_comes_back_with_answers() {
+fn refusals_lower_the_limit_and_answers_raise_it() {
     let now = Instant::now();
     let mut limit = ConcurrencyLimit::new(SLOTS);
     assert_eq!(limit.limit(), SLOTS);
     limit.on_refused(now);
     limit.on_refused(now + Duration::from_millis(1));
-    assert_eq!(limit.limit(), 4, "refusals of one moment count once");
+    assert_eq!(limit.limit(), 4, "refusals within the coalescing period count once");
     for number in 2..20 {
         limit.on_refused(now + Duration::from_millis(50) * number);
     }
-    assert_eq!(limit.limit(), 1, "one goes out at the least");
+    assert_eq!(limit.limit(), 1, "the limit is at least one");
     for _ in 0..100 {
         limit.on_answered();
     }
@@ -207,5 +208,5 @@
     limit.set_slots(2);
     assert_eq!(limit.limit(), 2);
     limit.set_slots(8);
-    assert_eq!(limit.limit(), 8, "a limit that nothing held down follows the slots");
+    assert_eq!(limit.limit(), 8, "a limit that nothing held down is_adaptive the slots");
 }
--- a/crates/core/tests/connection_budget.rs
+++ b/crates/core/tests/connection_budget.rs
@@ -1,4 +1,4 @@
-//! How many connections a gateway may hold to one instance, and how refusals change that.
+//! How refusals change the number of connections that a gateway may open to one instance.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,8 @@
 const LIMIT: u32 = 5;
 const STEP: Duration = Duration::from_millis(10);
 
-/// Time from the last of `refusals`, each as soon as an attempt is allowed again, to the next attempt.
+/// Time from the last of `refusals` to the next allowed attempt, with each attempt made as soon as
+/// it is allowed.
 fn wait_after(refusals: u32, open: u32) -> Duration {
     let mut now = Instant::now();
     let mut budget = ConnectionBudget::new(LIMIT);
@@ -23,10 +24,11 @@
     waited
 }
 
-/// Swanreach, after all machines lost power: connections of the processes before filled the instances
-/// for 1.5 s; a node that was refused six times meanwhile held none for another 1.2 s.
+/// After a power loss of all machines, connections of the previous processes filled the instances
+/// for 1.5 s. A node that was refused six times during that time had no connection for another 1.2
+/// s.
 #[test]
-fn a_gateway_without_any_connection_tries_again_soon_however_often_it_was_refused() {
+fn gateway_without_connections_retries_soon_after_any_number_of_refusals() {
     for refusals in 1..20 {
         let waited = wait_after(refusals, 0);
         assert!(waited <= Duration::from_millis(150), "{waited:?} after {refusals}");
@@ -34,7 +36,7 @@
 }
 
 #[test]
-fn a_gateway_that_holds_some_waits_longer_with_each_refusal() {
+fn gateway_with_connections_backs_off_with_each_refusal() {
     assert!(wait_after(8, 2) > 3 * wait_after(3, 2));
     assert!(wait_after(1, 2) <= Duration::from_millis(110));
 }
--- a/crates/core/tests/exchange_state.rs
+++ b/crates/core/tests/exchange_state.rs
@@ -1,4 +1,4 @@
-//! The table of points at which an exchange can fail, and what its caller is told at each.
+//! The points at which an exchange can fail, and the result code that the client gets for each.
 
 use kestrellock_core::exchange_state::{
     Effect, ExchangeImpact, Fault, Progress, failure_code, may_retry,
@@ -16,7 +16,7 @@
     ExchangeImpact { effect: Effect::MayCommit, continues_transaction: true };
 
 #[test]
-fn each_point_of_failure_has_its_code() {
+fn failures_map_to_the_expected_codes() {
     use Fault::*;
     use Progress::*;
     let table = [
@@ -42,16 +42,16 @@
         (WRITE, Unconfirmed, Deadline, ResultCode::UnconfirmedInDoubt),
         (COMMIT, Unconfirmed, Superseded, ResultCode::SupersededInDoubt),
     ];
-    for (stake, progress, fault, expected) in table {
+    for (impact, progress, fault, expected) in table {
         assert_eq!(
-            failure_code(stake, progress, fault),
+            failure_code(impact, progress, fault),
             expected,
-            "{stake:?} {progress:?} {fault:?}"
+            "{impact:?} {progress:?} {fault:?}"
         );
     }
 }
 
-fn stakes() -> impl Strategy<Value = ExchangeImpact> {
+fn impacts() -> impl Strategy<Value = ExchangeImpact> {
     let effects =
         prop_oneof![Just(Effect::Read), Just(Effect::InsideTransaction), Just(Effect::MayCommit)];
     (effects, any::<bool>()).prop_map(|(effect, continues_transaction)| ExchangeImpact {
@@ -60,7 +60,7 @@
     })
 }
 
-fn progresses() -> impl Strategy<Value = Progress> {
+fn progress_values() -> impl Strategy<Value = Progress> {
     prop_oneof![
         Just(Progress::AtFront),
         Just(Progress::Forwarded),
@@ -85,22 +85,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(4), ..ProptestConfig::default() })]
 
-    /// "Not run" is never said of a commit that may have left, and nothing that may have left
-    /// goes out a second time.
+    /// "Not run" is never answered for a commit that may have been sent, and nothing that may have
+    /// been sent is retried.
     #[test]
-    fn a_commit_that_may_have_left_is_in_doubt(
-        stake in stakes(), progress in progresses(), fault in faults(),
+    fn commits_that_may_have_been_sent_are_in_doubt(
+        impact in impacts(), progress in progress_values(), fault in faults(),
     ) {
-        let code = failure_code(stake, progress, fault);
-        let may_have_left = !matches!(progress, Progress::AtFront | Progress::Queued);
-        let doubt = may_have_left && stake.effect == Effect::MayCommit;
-        if doubt {
+        let code = failure_code(impact, progress, fault);
+        let may_be_sent = !matches!(progress, Progress::AtFront | Progress::Queued);
+        let in_doubt = may_be_sent && impact.effect == Effect::MayCommit;
+        if in_doubt {
             prop_assert_eq!(code.execution(), Execution::InDoubt);
         }
-        if may_have_left {
-            prop_assert!(!may_retry(stake, code));
+        if may_be_sent {
+            prop_assert!(!may_retry(impact, code));
         }
-        if !may_have_left {
+        if !may_be_sent {
             prop_assert_eq!(code.execution(), Execution::NotRun);
         }
     }
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Ages of data by what instances said of themselves.
+//! Age of an instance's data, computed from the reports of the instances.
 
 use std::time::Duration;
 
@@ -22,10 +22,10 @@
 }
 
 #[test]
-fn ages_of_instances() {
-    type Said = (&'static str, Role, u32, u64, u64);
-    // (what was said: instance, role, term, offset, asked at; instance; age at 1000 ms)
-    let table: &[(&[Said], &str, Option<u64>)] = &[
+fn ages_match_the_reports() {
+    type Report = (&'static str, Role, u32, u64, u64);
+    // (reports: instance, role, term, offset, requested at; instance; age at 1000 ms)
+    let table: &[(&[Report], &str, Option<u64>)] = &[
         (&[], "a", None),
         (&[("a", Primary, 1, 5, 900)], "a", None),
         (&[("a", Primary, 1, 5, 900), ("b", Replica, 1, 5, 800)], "a", Some(200)),
@@ -36,19 +36,19 @@
             "b",
             Some(300),
         ),
-        // A primary that stands still: the replica that has reached it does not age.
+        // The primary does not advance, so a replica that has reached it does not age.
         (
             &[("a", Primary, 1, 5, 100), ("a", Primary, 1, 5, 980), ("b", Replica, 1, 5, 990)],
             "b",
             Some(20),
         ),
-        // Cut off: only the primary itself still speaks.
+        // Partitioned: only the primary itself still reports.
         (
             &[("a", Primary, 1, 5, 100), ("b", Replica, 1, 5, 100), ("a", Primary, 1, 6, 990)],
             "a",
             Some(900),
         ),
-        // Replaced: the old primary is not fresh at all, nor is a replica of it.
+        // Replaced: neither the old primary nor its replica is fresh.
         (
             &[("a", Primary, 1, 5, 990), ("c", Replica, 1, 5, 990), ("b", Primary, 2, 5, 980)],
             "a",
@@ -60,19 +60,19 @@
             Some(20),
         ),
     ];
-    for (said, instance, expected) in table {
+    for (reports, instance, expected) in table {
         let mut freshness = Freshness::default();
-        said.iter().for_each(|said| observe(&mut freshness, *said));
+        reports.iter().for_each(|reports| observe(&mut freshness, *reports));
         let age = freshness.age(&InstanceName::new(*instance), MAJORITY, at(1000));
-        assert_eq!(age, expected.map(at), "{instance} after {said:?}");
+        assert_eq!(age, expected.map(at), "{instance} after {reports:?}");
     }
 }
 
 proptest! {
-    /// A primary writes at known times; whatever age is claimed, the replica holds every write
-    /// that is older.
+    /// A primary writes at known times. Whatever age is computed, the replica holds all writes that
+    /// are older.
     #[test]
-    fn a_replica_holds_every_write_older_than_its_age(
+    fn replica_holds_every_write_older_than_its_age(
         writes in prop::collection::vec(1..40_u64, 1..60),
         applied in prop::collection::vec(0..60_usize, 1..10),
         step in 3..30_u64,
--- a/crates/core/tests/placement_deadline.rs
+++ b/crates/core/tests/placement_deadline.rs
@@ -1,24 +1,28 @@
-//! How long a request is held that no instance can take yet.
+//! How long a request waits while no instance can serve it.
 
 use std::time::{Duration, Instant};
 
 use kestrellock_core::placement_deadline::placement_deadline;
 
-/// Atlas: writes that could not be replicated were held until their callers gave up, who could have
-/// come back twice meanwhile.
+/// Writes that could not be replicated waited until their clients timed out. The clients could have
+/// retried twice in that time.
 #[test]
-fn a_caller_that_repeats_is_told_while_half_of_its_time_is_left() {
+fn retrying_client_is_answered_with_half_of_its_time_left() {
     let arrived = Instant::now();
     for total in [40, 800, 2_000].map(Duration::from_millis) {
-        let held = placement_deadline(arrived, arrived + total, true) - arrived;
-        assert!(held * 2 < total && held * 5 > total * 2, "{held:?} of {total:?}");
+        let wait = placement_deadline(arrived, arrived + total, true) - arrived;
+        assert!(wait * 2 < total && wait * 5 > total * 2, "{wait:?} of {total:?}");
     }
 }
 
 #[test]
-fn any_other_caller_waits_until_its_deadline() {
+fn other_clients_wait_until_their_deadline() {
     let arrived = Instant::now();
     let deadline = arrived + Duration::from_millis(800);
     assert_eq!(placement_deadline(arrived, deadline, false), deadline);
-    assert_eq!(placement_deadline(deadline, arrived, false), deadline, "one that comes too late");
+    assert_eq!(
+        placement_deadline(deadline, arrived, false),
+        deadline,
+        "a request that arrives after its deadline"
+    );
 }
--- a/crates/core/tests/position.rs
+++ b/crates/core/tests/position.rs
@@ -1,4 +1,4 @@
-//! Positions and session tokens.
+//! Tests of positions and session tokens.
 
 use kestrellock_core::ids::GroupName;
 use kestrellock_core::position::{LogOffset, Position, Term};
@@ -12,25 +12,25 @@
 
 proptest! {
     #[test]
-    fn a_join_satisfies_both(left in any_position(), right in any_position()) {
+    fn join_satisfies_both_positions(left in any_position(), right in any_position()) {
         let joined = left.join(right);
         prop_assert!(joined.satisfies(&left) && joined.satisfies(&right));
     }
 
     #[test]
-    fn an_older_term_never_satisfies(position in any_position()) {
+    fn older_term_never_satisfies_a_position(position in any_position()) {
         prop_assume!(position.term.0 > 0);
         let older = Position { term: Term(position.term.0 - 1), offset: LogOffset(u64::MAX) };
         prop_assert!(!older.satisfies(&position));
     }
 
     #[test]
-    fn offsets_survive_their_text(offset in any::<u64>()) {
+    fn offsets_round_trip_through_text(offset in any::<u64>()) {
         prop_assert_eq!(LogOffset(offset).to_string().parse(), Ok(LogOffset(offset)));
     }
 
     #[test]
-    fn tokens_survive_their_text(position in any_position()) {
+    fn tokens_round_trip_through_text(position in any_position()) {
         let bound = SessionBound { group: GroupName::new("yearbook-orders"), position };
         prop_assert_eq!(SessionBound::from_token(&bound.to_token()), Ok(bound));
     }
--- a/crates/core/tests/quota/limits.rs
+++ b/crates/core/tests/quota/limits.rs
@@ -1,4 +1,4 @@
-//! One node that grants to itself: limits that change, tokens that go back, and times to return.
+//! A node that is its own allocator: changed limits, returned tokens and retry hints.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use kestrellock_core::ids::{AccountName, NodeName};
 use kestrellock_core::quota::{Quotas, Take, Ticket, View};
 
-struct Single {
+struct SingleNode {
     quotas: Quotas,
     own: NodeName,
     name: AccountName,
@@ -19,7 +19,7 @@
     Quota { per_second: operations(per_second), burst: operations(burst) }
 }
 
-impl Single {
+impl SingleNode {
     fn new(per_second: f64, burst: f64) -> Self {
         let account = Account { quota: Some(quota(per_second, burst)), ..Account::default() };
         Self {
@@ -40,7 +40,7 @@
         self.quotas.take(&self.name, &mut Ticket::default(), &view)
     }
 
-    /// Operations that get a token in so much time, one asked each millisecond.
+    /// Number of operations that get a token within `time`, with one attempt per millisecond.
     fn taken_in(&mut self, time: Duration) -> usize {
         let steps = time.as_millis();
         let mut taken = 0;
@@ -53,61 +53,61 @@
 }
 
 #[test]
-fn a_limit_that_is_lowered_holds_on_for_a_window_and_one_that_is_raised_does_not() {
-    let mut single = Single::new(100.0, 10.0);
-    single.taken_in(Duration::from_secs(10));
-    single.account.quota = Some(quota(10.0, 10.0));
-    let soon = single.taken_in(Duration::from_secs(4));
-    assert!((380..=420).contains(&soon), "{soon} of 400 by the old limit");
-    single.taken_in(Duration::from_secs(2));
-    let later = single.taken_in(Duration::from_secs(5));
-    assert!((45..=60).contains(&later), "{later} of 50 by the new limit");
-    single.account.quota = Some(quota(100.0, 10.0));
-    let raised = single.taken_in(Duration::from_secs(4));
-    assert!((380..=420).contains(&raised), "{raised} of 400 at once");
+fn lowered_limit_applies_after_a_window_and_raised_limit_at_once() {
+    let mut node = SingleNode::new(100.0, 10.0);
+    node.taken_in(Duration::from_secs(10));
+    node.account.quota = Some(quota(10.0, 10.0));
+    let soon = node.taken_in(Duration::from_secs(4));
+    assert!((380..=420).contains(&soon), "{soon} of 400 under the old limit");
+    node.taken_in(Duration::from_secs(2));
+    let later = node.taken_in(Duration::from_secs(5));
+    assert!((45..=60).contains(&later), "{later} of 50 under the new limit");
+    node.account.quota = Some(quota(100.0, 10.0));
+    let raised = node.taken_in(Duration::from_secs(4));
+    assert!((380..=420).contains(&raised), "{raised} of 400 after the limit was raised");
 }
 
 #[test]
-fn a_token_that_was_given_back_is_granted_again() {
-    let mut single = Single::new(0.0, 5.0);
+fn returned_tokens_are_granted_again() {
+    let mut node = SingleNode::new(0.0, 5.0);
     let mut ran = 0;
-    // A burst and what a bucket holds beyond it; every second operation does not run.
+    // The bucket starts with a burst and the extra tokens. Every second operation does not run.
     for number in 0..200 {
-        single.now += Duration::from_millis(100);
-        if single.take() == Take::Taken {
+        node.now += Duration::from_millis(100);
+        if node.take() == Take::Taken {
             match number % 2 {
-                0 => single.quotas.give_back(&single.name),
+                0 => node.quotas.give_back(&node.name),
                 _ => ran += 1,
             }
         }
     }
     let all = {
-        let mut single = Single::new(0.0, 5.0);
-        single.taken_in(Duration::from_secs(1))
+        let mut node = SingleNode::new(0.0, 5.0);
+        node.taken_in(Duration::from_secs(1))
     };
-    assert!(ran + 1 >= all, "{ran} ran of {all} that may");
+    assert!(ran + 1 >= all, "{ran} ran of {all} allowed");
 }
 
 #[test]
-fn whoever_asks_beyond_the_limit_is_told_a_later_time_than_those_before() {
-    let mut single = Single::new(10.0, 1.0);
-    let mut told = Vec::new();
+fn retry_hints_grow_while_requests_exceed_the_limit() {
+    let mut node = SingleNode::new(10.0, 1.0);
+    let mut hints = Vec::new();
     for _ in 0..400 {
-        single.now += Duration::from_millis(5);
-        if let Take::Refused(wait) = single.take() {
-            told.push(wait);
+        node.now += Duration::from_millis(5);
+        if let Take::Refused(wait) = node.take() {
+            hints.push(wait);
         }
     }
-    let first = told.first().expect("it is refused");
-    let last = told.last().expect("it is refused");
+    let first = hints.first().expect("the account is refused");
+    let last = hints.last().expect("the account is refused");
     assert!(last > first, "{first:?} at first, {last:?} at last");
     assert!(*last <= Duration::from_secs(5), "{last:?}");
 }
 
 #[test]
-fn without_a_quota_nothing_is_asked() {
-    let mut single = Single::new(1.0, 1.0);
-    single.account.quota = None;
-    assert_eq!(single.taken_in(Duration::from_secs(1)), 1_000);
-    assert!(!single.quotas.has_pending_output());
+fn account_without_quota_sends_no_requests() {
+    let mut node = SingleNode::new(1.0, 1.0);
+    node.account.quota = None;
+    assert_eq!(node.taken_in(Duration::from_secs(1)), 1_000);
+    assert!(!node.quotas.has_pending_output());
 }
--- a/crates/core/tests/quota/world.rs
+++ b/crates/core/tests/quota/world.rs
@@ -1,5 +1,5 @@
-//! A cluster in virtual time: nodes with quotas, a network between them that delays, loses and cuts, and
-//! callers of accounts. Every choice follows from the seed.
+//! A simulated cluster in virtual time: nodes with quotas, clients of accounts, and a network with
+//! delays, message loss and partitions. All choices follow from the seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, VecDeque};
@@ -11,38 +11,39 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Longest wait of an operation for a token, as the fronts have it.
+/// Longest time that an operation waits for a token, as in the fronts.
 const TOKEN_WAIT: Duration = Duration::from_millis(3 * ANSWER_TIMEOUT.as_millis() as u64);
 const TICK: Duration = Duration::from_millis(10);
-/// Part of the operations that get a token and then do not run, where something befalls the nodes.
-const NOT_RUN: f64 = 0.05;
-/// One way between two nodes.
+/// Fraction of the operations that get a token and then do not run, in runs with faults.
+const NOT_RUN_FRACTION: f64 = 0.05;
+/// One-way delay between two nodes.
 const DELAY_MS: std::ops::Range<u64> = 1..4;
-/// Time after which a link that owes answers is silent, and between two reports of it.
-const SILENT_AFTER: Duration = Duration::from_millis(400);
-const SILENCE_REPORTED: Duration = Duration::from_millis(500);
-/// Time after which a node hears that another one came or went.
-const HEARS_AFTER_MS: std::ops::Range<u64> = 100..1_200;
+/// Time after which a link without answers counts as silent, and the interval at which that is
+/// reported again.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
+const SILENCE_REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Delay until a node learns that another node joined or left.
+const LIVENESS_DELAY_MS: std::ops::Range<u64> = 100..1_200;
 
-/// An account of the simulation.
+/// An account of the simulation and its load.
 #[derive(Clone, Copy, Debug)]
-pub struct Asking {
+pub struct Load {
     pub per_second: f64,
     pub burst: f64,
-    /// Operations that its callers ask in a second.
-    pub asks: f64,
+    /// Operations per second that its clients request.
+    pub demand: f64,
 }
 
-/// What befalls the nodes.
+/// Faults of nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Some are killed and come back empty.
+    /// Some nodes are killed and restart without state.
     Kill,
-    /// Some stand still; nobody hears of it if it is short.
+    /// Some nodes freeze. Other nodes do not learn of it if the freeze is short.
     Freeze,
-    /// Some are cut from all others; they still serve their callers.
-    Cut,
-    /// New ones are added.
+    /// Some nodes are partitioned from all others and still serve their clients.
+    Partition,
+    /// Nodes are added.
     Join,
 }
 
@@ -55,14 +56,14 @@
         from: usize,
         number: usize,
     },
-    Hear {
+    UpdateLiveness {
         node: usize,
         about: usize,
     },
     Fault(usize),
-    Return(usize, u64),
-    EndCut(usize),
-    /// Links of a node that is cut off, and of those that sent to it, turn out to be silent.
+    Restart(usize, u64),
+    EndPartition(usize),
+    /// The links between a partitioned node and all others turn out to be silent.
     Silence(usize),
 }
 
@@ -75,16 +76,16 @@
 struct Node {
     name: NodeName,
     quotas: Quotas,
-    /// Who lives, as far as it knows.
+    /// Live nodes, as far as this node knows.
     live: Vec<NodeName>,
-    runs: bool,
+    is_up: bool,
     frozen_until: Option<Instant>,
-    held: Vec<(usize, QuotaMessage)>,
+    buffered: Vec<(usize, QuotaMessage)>,
     waiting: VecDeque<Waiting>,
     incarnation: u64,
 }
 
-/// What became of the operations of one account.
+/// Outcomes of the operations of one account.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub ran: Vec<Duration>,
@@ -92,7 +93,7 @@
     pub unanswered: usize,
 }
 
-/// A run's account.
+/// Results of a run.
 pub struct Report {
     pub accounts: Vec<Outcome>,
     pub messages: u64,
@@ -107,8 +108,8 @@
     nodes: Vec<Node>,
     in_flight: HashMap<usize, QuotaMessage>,
     next_message: usize,
-    cut: BTreeSet<usize>,
-    accounts: Vec<(AccountName, Account, Asking)>,
+    partitioned: BTreeSet<usize>,
+    accounts: Vec<(AccountName, Account, Load)>,
     outcomes: Vec<Outcome>,
     faults: Vec<Fault>,
     loss: f64,
@@ -116,7 +117,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, nodes: usize, asking: &[Asking], faults: &[Fault], loss: f64) -> Self {
+    pub fn new(seed: u64, nodes: usize, load: &[Load], faults: &[Fault], loss: f64) -> Self {
         let start = Instant::now();
         let name = |number: usize| NodeName::new(format!("node-{number}"));
         let names: Vec<NodeName> = (0..nodes).map(name).collect();
@@ -125,22 +126,22 @@
                 name: name(number),
                 quotas: Quotas::default(),
                 live: names.clone(),
-                runs: true,
+                is_up: true,
                 frozen_until: None,
-                held: Vec::new(),
+                buffered: Vec::new(),
                 waiting: VecDeque::new(),
                 incarnation: 0,
             })
             .collect();
-        let account = |(number, asking): (usize, &Asking)| {
+        let account = |(number, load): (usize, &Load)| {
             let quota = Quota {
-                per_second: Operations::new(asking.per_second).expect("in range"),
-                burst: Operations::new(asking.burst).expect("in range"),
+                per_second: Operations::new(load.per_second).expect("in range"),
+                burst: Operations::new(load.burst).expect("in range"),
             };
             let account = Account { quota: Some(quota), ..Account::default() };
-            (AccountName::new(format!("account-{number}")), account, *asking)
+            (AccountName::new(format!("account-{number}")), account, *load)
         };
-        let accounts: Vec<_> = asking.iter().enumerate().map(account).collect();
+        let accounts: Vec<_> = load.iter().enumerate().map(account).collect();
         let mut world = Self {
             random: StdRng::seed_from_u64(seed),
             start,
@@ -150,7 +151,7 @@
             nodes,
             in_flight: HashMap::new(),
             next_message: 0,
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             outcomes: vec![Outcome::default(); accounts.len()],
             accounts,
             faults: faults.to_vec(),
@@ -159,33 +160,36 @@
         };
         for node in 0..world.nodes.len() {
             let after = Duration::from_millis(world.random.random_range(0..10));
-            world.at(after, Event::Tick(node));
+            world.schedule(after, Event::Tick(node));
         }
         for account in 0..world.accounts.len() {
-            world.plan_arrival(account);
+            world.schedule_arrival(account);
         }
         for fault in 0..world.faults.len() {
             let after = Duration::from_millis(world.random.random_range(1_000..9_000));
-            world.at(after, Event::Fault(fault));
+            world.schedule(after, Event::Fault(fault));
         }
         world
     }
 
-    fn at(&mut self, after: Duration, event: Event) {
+    fn schedule(&mut self, after: Duration, event: Event) {
         self.serial += 1;
         self.events.push(Reverse((self.now + after, self.serial, event)));
     }
 
-    fn plan_arrival(&mut self, account: usize) {
-        let asks = self.accounts[account].2.asks;
-        if asks > 0.0 {
-            let even: f64 = self.random.random_range(1e-9..1.0);
+    fn schedule_arrival(&mut self, account: usize) {
+        let demand = self.accounts[account].2.demand;
+        if demand > 0.0 {
+            let uniform: f64 = self.random.random_range(1e-9..1.0);
             let node = self.random.random_range(0..self.nodes.len());
-            self.at(Duration::from_secs_f64(-even.ln() / asks), Event::Arrive(node, account));
+            self.schedule(
+                Duration::from_secs_f64(-uniform.ln() / demand),
+                Event::Arrive(node, account),
+            );
         }
     }
 
-    /// Runs for so long.
+    /// Runs the simulation for `length`.
     pub fn run(mut self, length: Duration) -> Report {
         let end = self.start + length;
         while let Some(Reverse((at, _, event))) = self.events.pop() {
@@ -201,39 +205,39 @@
     fn on_event(&mut self, event: Event) {
         match event {
             Event::Tick(node) => {
-                self.at(TICK, Event::Tick(node));
+                self.schedule(TICK, Event::Tick(node));
                 if self.is_running(node) {
                     self.with_view(node, |quotas, view| quotas.on_tick(view));
-                    self.look_at_waiting(node);
+                    self.process_waiting(node);
                 }
             }
             Event::Arrive(node, account) => {
-                self.plan_arrival(account);
-                if self.nodes[node].runs {
+                self.schedule_arrival(account);
+                if self.nodes[node].is_up {
                     let since = self.now;
                     let waiting = Waiting { account, ticket: Ticket::default(), since };
                     self.nodes[node].waiting.push_back(waiting);
                     if self.is_running(node) {
-                        self.look_at_waiting(node);
+                        self.process_waiting(node);
                     }
                 }
             }
             Event::Deliver { to, from, number } => self.deliver(to, from, number),
-            Event::Hear { node, about } => self.hear(node, about),
-            Event::Fault(fault) => self.befall(self.faults[fault]),
-            Event::Return(node, incarnation) => self.return_of(node, incarnation),
-            Event::Silence(node) => self.notice_silence(node),
-            Event::EndCut(node) => {
-                self.cut.remove(&node);
-                self.tell_all(node);
-                self.hear_all(node);
+            Event::UpdateLiveness { node, about } => self.update_liveness(node, about),
+            Event::Fault(fault) => self.inject_fault(self.faults[fault]),
+            Event::Restart(node, incarnation) => self.restart(node, incarnation),
+            Event::Silence(node) => self.report_silence(node),
+            Event::EndPartition(node) => {
+                self.partitioned.remove(&node);
+                self.schedule_updates_about(node);
+                self.schedule_updates_on(node);
             }
         }
     }
 
     fn is_running(&self, node: usize) -> bool {
         let node = &self.nodes[node];
-        node.runs && node.frozen_until.is_none_or(|until| self.now >= until)
+        node.is_up && node.frozen_until.is_none_or(|until| self.now >= until)
     }
 
     fn with_view<T>(&mut self, node: usize, work: impl FnOnce(&mut Quotas, &View) -> T) -> T {
@@ -253,40 +257,40 @@
         for outgoing in self.nodes[node].quotas.take_outgoing() {
             let to = self.nodes.iter().position(|other| other.name == outgoing.to);
             let Some(to) = to else { continue };
-            if !self.nodes[to].runs {
+            if !self.nodes[to].is_up {
                 // The connection is refused.
                 let name = self.nodes[to].name.clone();
                 self.nodes[node].quotas.on_unreachable(&name, self.now);
                 continue;
             }
             self.messages += 1;
-            let is_cut = self.cut.contains(&node) || self.cut.contains(&to);
-            if is_cut || self.random.random_bool(self.loss) {
+            let is_partitioned = self.partitioned.contains(&node) || self.partitioned.contains(&to);
+            if is_partitioned || self.random.random_bool(self.loss) {
                 continue;
             }
             let number = self.next_message;
             self.next_message += 1;
             self.in_flight.insert(number, outgoing.message);
             let delay = Duration::from_millis(self.random.random_range(DELAY_MS));
-            self.at(delay, Event::Deliver { to, from: node, number });
+            self.schedule(delay, Event::Deliver { to, from: node, number });
         }
     }
 
     fn deliver(&mut self, to: usize, from: usize, number: usize) {
         let Some(message) = self.in_flight.remove(&number) else { return };
-        if !self.nodes[to].runs {
+        if !self.nodes[to].is_up {
             return;
         }
         if !self.is_running(to) {
-            return self.nodes[to].held.push((from, message));
+            return self.nodes[to].buffered.push((from, message));
         }
         let from = self.nodes[from].name.clone();
         self.with_view(to, |quotas, view| quotas.on_message(&from, message, view));
-        self.look_at_waiting(to);
+        self.process_waiting(to);
     }
 
-    fn look_at_waiting(&mut self, node: usize) {
-        for (from, message) in std::mem::take(&mut self.nodes[node].held) {
+    fn process_waiting(&mut self, node: usize) {
+        for (from, message) in std::mem::take(&mut self.nodes[node].buffered) {
             let from = self.nodes[from].name.clone();
             self.with_view(node, |quotas, view| quotas.on_message(&from, message, view));
         }
@@ -298,7 +302,7 @@
             let late = self.now >= waiting.since + TOKEN_WAIT;
             let account = &mut self.outcomes[waiting.account];
             match outcome {
-                Take::Taken if self.loss > 0.0 && self.random.random_bool(NOT_RUN) => {
+                Take::Taken if self.loss > 0.0 && self.random.random_bool(NOT_RUN_FRACTION) => {
                     self.nodes[node].quotas.give_back(&name);
                 }
                 Take::Taken => account.ran.push(self.now - self.start),
@@ -309,10 +313,10 @@
         }
     }
 
-    /// A node learns how another one is now.
-    fn hear(&mut self, node: usize, about: usize) {
-        let is_cut = self.cut.contains(&node) || self.cut.contains(&about);
-        let lives = self.nodes[about].runs && !is_cut;
+    /// A node learns the current state of another node.
+    fn update_liveness(&mut self, node: usize, about: usize) {
+        let is_partitioned = self.partitioned.contains(&node) || self.partitioned.contains(&about);
+        let lives = self.nodes[about].is_up && !is_partitioned;
         let name = self.nodes[about].name.clone();
         let known = &mut self.nodes[node].live;
         known.retain(|other| *other != name);
@@ -322,41 +326,41 @@
         }
     }
 
-    fn tell(&mut self, node: usize, about: usize) {
-        let after = self.random.random_range(HEARS_AFTER_MS);
-        self.at(Duration::from_millis(after), Event::Hear { node, about });
+    fn schedule_update(&mut self, node: usize, about: usize) {
+        let after = self.random.random_range(LIVENESS_DELAY_MS);
+        self.schedule(Duration::from_millis(after), Event::UpdateLiveness { node, about });
     }
 
-    fn tell_all(&mut self, about: usize) {
+    fn schedule_updates_about(&mut self, about: usize) {
         for node in 0..self.nodes.len() {
             if node != about {
-                self.tell(node, about);
+                self.schedule_update(node, about);
             }
         }
     }
 
-    /// A node learns how all others are.
-    fn hear_all(&mut self, node: usize) {
+    /// Schedules a node to learn the state of all others.
+    fn schedule_updates_on(&mut self, node: usize) {
         for other in (0..self.nodes.len()).filter(|other| *other != node) {
-            self.tell(node, other);
+            self.schedule_update(node, other);
         }
     }
 
-    fn befall(&mut self, fault: Fault) {
+    fn inject_fault(&mut self, fault: Fault) {
         let most = (self.nodes.len() / 4).max(1);
         let count = self.random.random_range(1..=most);
-        let lasts = Duration::from_millis(self.random.random_range(300..4_000));
+        let duration = Duration::from_millis(self.random.random_range(300..4_000));
         for _ in 0..count {
             let node = self.random.random_range(0..self.nodes.len());
             match fault {
-                Fault::Kill if self.nodes[node].runs => self.kill(node, lasts),
-                Fault::Freeze => self.nodes[node].frozen_until = Some(self.now + lasts),
-                Fault::Cut if !self.cut.contains(&node) => {
-                    self.cut.insert(node);
-                    self.tell_all(node);
-                    self.hear_all(node);
-                    self.at(lasts, Event::EndCut(node));
-                    self.at(SILENT_AFTER, Event::Silence(node));
+                Fault::Kill if self.nodes[node].is_up => self.kill(node, duration),
+                Fault::Freeze => self.nodes[node].frozen_until = Some(self.now + duration),
+                Fault::Partition if !self.partitioned.contains(&node) => {
+                    self.partitioned.insert(node);
+                    self.schedule_updates_about(node);
+                    self.schedule_updates_on(node);
+                    self.schedule(duration, Event::EndPartition(node));
+                    self.schedule(SILENCE_TIMEOUT, Event::Silence(node));
                 }
                 Fault::Join => self.join(),
                 _ => {}
@@ -364,9 +368,9 @@
         }
     }
 
-    /// Statements travel between all nodes all the time, so those of a cut go without answers.
-    fn notice_silence(&mut self, node: usize) {
-        if !self.cut.contains(&node) {
+    /// All nodes exchange statements continuously, so the links of a partitioned node lack answers.
+    fn report_silence(&mut self, node: usize) {
+        if !self.partitioned.contains(&node) {
             return;
         }
         for other in (0..self.nodes.len()).filter(|other| *other != node) {
@@ -374,30 +378,30 @@
             self.nodes[node].quotas.on_unreachable(&far, self.now);
             self.nodes[other].quotas.on_unreachable(&near, self.now);
         }
-        self.at(SILENCE_REPORTED, Event::Silence(node));
+        self.schedule(SILENCE_REPORT_INTERVAL, Event::Silence(node));
     }
 
-    fn kill(&mut self, node: usize, lasts: Duration) {
+    fn kill(&mut self, node: usize, duration: Duration) {
         let killed = &mut self.nodes[node];
-        killed.runs = false;
+        killed.is_up = false;
         killed.quotas = Quotas::default();
-        killed.held.clear();
+        killed.buffered.clear();
         killed.waiting.clear();
         killed.incarnation += 1;
         let incarnation = killed.incarnation;
-        self.tell_all(node);
-        self.at(lasts, Event::Return(node, incarnation));
+        self.schedule_updates_about(node);
+        self.schedule(duration, Event::Restart(node, incarnation));
     }
 
-    fn return_of(&mut self, node: usize, incarnation: u64) {
+    fn restart(&mut self, node: usize, incarnation: u64) {
         if self.nodes[node].incarnation != incarnation {
             return;
         }
-        self.nodes[node].runs = true;
+        self.nodes[node].is_up = true;
         self.nodes[node].live =
-            self.nodes.iter().filter(|other| other.runs).map(|other| other.name.clone()).collect();
-        self.tell_all(node);
-        self.hear_all(node);
+            self.nodes.iter().filter(|other| other.is_up).map(|other| other.name.clone()).collect();
+        self.schedule_updates_about(node);
+        self.schedule_updates_on(node);
     }
 
     fn join(&mut self) {
@@ -410,14 +414,14 @@
             name,
             quotas: Quotas::default(),
             live,
-            runs: true,
+            is_up: true,
             frozen_until: None,
-            held: Vec::new(),
+            buffered: Vec::new(),
             waiting: VecDeque::new(),
             incarnation: 0,
         });
-        self.tell_all(number);
-        self.hear_all(number);
-        self.at(TICK, Event::Tick(number));
+        self.schedule_updates_about(number);
+        self.schedule_updates_on(number);
+        self.schedule(TICK, Event::Tick(number));
     }
 }
--- a/crates/core/tests/read_your_writes.rs
+++ b/crates/core/tests/read_your_writes.rs
@@ -1,8 +1,9 @@
-//! Read-your-writes over interleavings of writes, replication, elections, cuts and probes.
+//! Read-your-writes over interleavings of writes, replication, elections, partitions and probes.
 //!
-//! A model of a group of three instances replicates a log, elects by majority, and keeps a deposed
-//! primary that has not heard of its successor. Sessions write, read with the bound they carry, and
-//! connect without one; whatever instance the bound admits must hold what the session must see.
+//! A model of a group of three instances replicates a log, elects by majority, and keeps an old
+//! primary that does not know of its replacement. Sessions write, read with the bound they carry,
+//! and connect without a bound. Every instance that satisfies a session's bound must hold the
+//! writes that the session must see.
 
 use std::collections::BTreeSet;
 
@@ -28,9 +29,9 @@
 struct Instance {
     name: InstanceName,
     is_primary: bool,
-    /// Timeline it follows, which it reports.
+    /// Timeline that it follows and reports.
     term: u32,
-    /// Highest term it has voted for; it takes nothing from an older one.
+    /// Highest term it has voted for. It accepts no records of a lower term.
     promised: u32,
     log: Vec<Record>,
     applied: usize,
@@ -80,9 +81,9 @@
     confirmation: Confirmation,
 }
 
-struct PendingSession {
+struct ConnectingSession {
     must_see: BTreeSet<usize>,
-    question: CurrentPositionQuery,
+    query: CurrentPositionQuery,
 }
 
 struct Session {
@@ -95,9 +96,9 @@
     last_probe: ProbeNumber,
     writes: usize,
     pending: Vec<PendingWrite>,
-    connecting: Vec<PendingSession>,
+    connecting: Vec<ConnectingSession>,
     acknowledged: BTreeSet<usize>,
-    /// The session that does every write and carries its token.
+    /// The session that does all writes and carries its token.
     writer: Session,
     sessions: Vec<Session>,
 }
@@ -136,9 +137,9 @@
             }
             Step::Elect { candidate, voter } => self.elect(candidate, voter),
             Step::Probe { instance } => self.probe(instance),
-            Step::Connect => self.connecting.push(PendingSession {
+            Step::Connect => self.connecting.push(ConnectingSession {
                 must_see: self.acknowledged.clone(),
-                question: CurrentPositionQuery::new(self.last_probe.next()),
+                query: CurrentPositionQuery::new(self.last_probe.next()),
             }),
         }
     }
@@ -174,7 +175,8 @@
         target.log.extend(source.log.iter().skip(common).take(records));
     }
 
-    /// The candidate and one voter make a majority; the third instance hears nothing of it.
+    /// The candidate and one voter form a majority; the third instance does not learn of the
+    /// election.
     fn elect(&mut self, candidate: usize, voter: usize) {
         let up_to_date = |instance: &Instance| {
             (instance.log.last().map_or(0, |record| record.term), instance.log.len())
@@ -216,7 +218,7 @@
         }
         let role = instance.role();
         for mut session in std::mem::take(&mut self.connecting) {
-            match session.question.on_evidence(evidence, role, MAJORITY) {
+            match session.query.on_evidence(evidence, role, MAJORITY) {
                 None => self.connecting.push(session),
                 Some(bound) => {
                     self.sessions.push(Session { must_see: session.must_see, bound });
@@ -250,7 +252,7 @@
     #![proptest_config(ProptestConfig::with_cases(1000))]
 
     #[test]
-    fn every_instance_that_a_bound_admits_holds_what_the_session_must_see(
+    fn instances_that_satisfy_a_bound_hold_the_writes_the_session_must_see(
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let mut world = World::new();
@@ -262,7 +264,7 @@
 }
 
 #[test]
-fn the_model_acknowledges_writes_and_admits_sessions() {
+fn model_acknowledges_writes_and_connects_sessions() {
     let mut world = World::new();
     let steps = [
         Step::Write { instance: 0 },
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Backoff, retry budgets and connection budgets.
+//! Tests of backoff, retry budgets and connection budgets.
 
 use std::time::{Duration, Instant};
 
@@ -6,20 +6,20 @@
 use kestrellock_core::retry::{Backoff, RequestPacer, RetryBudget};
 use proptest::prelude::*;
 
-const FIRST: Duration = Duration::from_millis(10);
-const LAST: Duration = Duration::from_millis(500);
+const MIN: Duration = Duration::from_millis(10);
+const MAX: Duration = Duration::from_millis(500);
 
 proptest! {
     #[test]
-    fn waits_double_within_bounds(random in prop::collection::vec(any::<u64>(), 1..80)) {
-        let mut backoff = Backoff::new(FIRST, LAST);
+    fn backoff_doubles_within_bounds(random in prop::collection::vec(any::<u64>(), 1..80)) {
+        let mut backoff = Backoff::new(MIN, MAX);
         for (failures, random) in random.into_iter().enumerate() {
-            let full = FIRST.saturating_mul(2_u32.saturating_pow(failures as u32)).min(LAST);
+            let full = MIN.saturating_mul(2_u32.saturating_pow(failures as u32)).min(MAX);
             let wait = backoff.on_failure(random);
             prop_assert!(wait >= full / 2 && wait <= full, "{wait:?} of {full:?}");
         }
         backoff.on_success();
-        prop_assert!(backoff.on_failure(u64::MAX) <= FIRST);
+        prop_assert!(backoff.on_failure(u64::MAX) <= MIN);
     }
 
     #[test]
@@ -42,14 +42,14 @@
     }
 
     #[test]
-    fn a_connection_budget_never_exceeds_what_is_configured(
+    fn connection_budget_never_exceeds_the_configured_limit(
         configured in 1..60_u32,
         events in prop::collection::vec((0..60_u32, 0..2000_u64, any::<bool>(), any::<u64>()), 0..100),
     ) {
         let mut now = Instant::now();
         let mut budget = ConnectionBudget::new(configured);
-        for (open, pause, refused, random) in events {
-            now += Duration::from_millis(pause);
+        for (open, gap, refused, random) in events {
+            now += Duration::from_millis(gap);
             let before = budget.allowed(now);
             prop_assert!(before <= configured);
             if refused {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_retry_is_refused_once_the_budget_is_spent() {
+fn retries_are_refused_once_the_budget_is_spent() {
     let mut budget = RetryBudget::new(10, 2);
     assert!(budget.try_retry());
     assert!(budget.try_retry());
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_owner_leaves_room_for_probes_standby_and_operators() {
+fn owner_limit_reserves_connections_for_probes_standby_and_operators() {
     // Connections and probing gateways, then the owner's limit.
     let table = [(35, 3, 27), (60, 3, 52), (8, 3, 4), (1, 3, 1)];
     for (connections, probes, limit) in table {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn repeated_refusals_wait_longer() {
+fn repeated_refusals_increase_the_backoff() {
     let now = Instant::now();
     let mut budget = ConnectionBudget::new(30);
     budget.on_refused(10, now, 0);
@@ -99,19 +99,19 @@
     assert_eq!(later, Some(400));
 }
 
-/// Both sites: while the only replica was deaf or stopped, each node asked it again every 8 ms.
+/// While the only replica was stopped or did not answer, each node repeated its request every 8 ms.
 #[test]
-fn questions_that_do_not_help_come_less_and_less_often() {
+fn repeated_requests_are_spaced_out() {
     let start = std::time::Instant::now();
     let (first, last) = (Duration::from_millis(8), Duration::from_millis(60));
-    let afresh = Duration::from_millis(500);
-    let mut repetition = RequestPacer::new(Backoff::new(first, last), afresh);
+    let reset_after = Duration::from_millis(500);
+    let mut pacer = RequestPacer::new(Backoff::new(first, last), reset_after);
     let mut now = start;
-    let mut asked = 0;
+    let mut sent = 0;
     while now < start + Duration::from_secs(1) {
-        now += repetition.on_request(now, u64::MAX);
-        asked += 1;
+        now += pacer.on_request(now, u64::MAX);
+        sent += 1;
     }
-    assert!((16..25).contains(&asked), "{asked} questions in a second");
-    assert_eq!(repetition.on_request(now + afresh, u64::MAX), first, "that is another one");
+    assert!((16..25).contains(&sent), "{sent} requests in a second");
+    assert_eq!(pacer.on_request(now + reset_after, u64::MAX), first, "the backoff restarts");
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Where statements go, by what is known of the instances.
+//! Where statements go, depending on the reported status of the instances.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     Access::Write { bound }
 }
 
-/// The instance chosen when every status was received `age` ago.
+/// The chosen instance, if all statuses were received `age` ago.
 fn chosen(access: &Access, statuses: &[(InstanceStatus, &str)], age: Duration) -> Option<String> {
     let zones: Vec<ZoneName> = statuses.iter().map(|(_, zone)| ZoneName::new(*zone)).collect();
     let candidates: Vec<Candidate> = statuses
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_statement_goes_to_an_instance_that_has_what_the_session_must_see() {
+fn statements_go_to_instances_that_satisfy_the_session_bound() {
     let (old, new, next_term) = (position(1, 5), position(1, 9), position(2, 9));
     let primary = || (status("p", Primary, new, 10), "there");
     let lagging = || (status("r", Replica, old, 100), "here");
@@ -63,9 +63,9 @@
         // The session has seen a later primary than this node knows.
         (read(Some(next_term)), vec![primary(), lagging()], None),
         (write(Some(next_term)), vec![primary(), lagging()], None),
-        // Two claim to lead: the higher term does.
+        // Two instances report to be primary: the one with the higher term is chosen.
         (write(None), vec![primary(), (status("q", Primary, next_term, 10), "there")], Some("q")),
-        // Too old: the replica, and a primary that nobody has confirmed.
+        // Too stale: the replica, and a primary that no majority has confirmed.
         (read(None), vec![primary(), (status("r", Replica, new, 2001), "here")], Some("p")),
         (read(None), vec![(status("p", Primary, new, 2001), "here")], None),
         (write(None), vec![(status("p", Primary, new, 2001), "here")], Some("p")),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_was_heard_grows_old() {
+fn status_age_counts_towards_staleness() {
     let statuses = [(status("r", Replica, position(1, 5), 100), "here")];
     let access = read(None);
     assert_eq!(chosen(&access, &statuses, Duration::from_millis(1900)).as_deref(), Some("r"));
@@ -86,10 +86,10 @@
 }
 
 #[test]
-fn an_instance_that_does_not_answer_is_not_chosen() {
-    let mut silent = status("p", Primary, position(1, 5), 0);
-    silent.reachable = false;
+fn unreachable_instances_are_not_chosen() {
+    let mut unreachable = status("p", Primary, position(1, 5), 0);
+    unreachable.reachable = false;
     for access in [read(None), write(None)] {
-        assert_eq!(chosen(&access, &[(silent.clone(), "here")], Duration::ZERO), None);
+        assert_eq!(chosen(&access, &[(unreachable.clone(), "here")], Duration::ZERO), None);
     }
 }
--- a/crates/core/tests/scram.rs
+++ b/crates/core/tests/scram.rs
@@ -1,4 +1,4 @@
-//! SCRAM-SHA-256 against a client library's side of it.
+//! Tests SCRAM-SHA-256 against the implementation of a client library.
 
 use kestrellock_core::scram::{
     DEFAULT_ITERATIONS, NONCE_BYTES, SALT_BYTES, ScramError, ServerExchange, Verifier,
@@ -11,7 +11,7 @@
     Verifier::from_password(password, [7; SALT_BYTES], 16)
 }
 
-/// Logs in as a client library does; the server's proof is checked too.
+/// Logs in like a client library, which also checks the server's proof.
 fn log_in(password: &str, verifier: Verifier) -> Result<(), ScramError> {
     let mut client = ScramSha256::new(password.as_bytes(), ChannelBinding::unsupported());
     let first = String::from_utf8(client.message().to_vec()).expect("text");
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_password_satisfies_its_verifier_and_no_other() {
+fn password_satisfies_only_its_own_verifier() {
     for password in ["secret", "", "pässwörd", "a\u{00A0}b"] {
         assert_eq!(log_in(password, verifier(password)), Ok(()), "{password:?}");
         assert_eq!(log_in("other", verifier(password)), Err(ScramError::WrongProof));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn verifiers_made_by_a_client_library_are_understood() {
+fn verifiers_of_a_client_library_are_accepted() {
     let text = password::scram_sha_256(b"secret");
     let verifier: Verifier = text.parse().expect("verifier");
     assert_eq!(verifier.to_string(), text);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_mock_looks_real_and_admits_nobody() {
+fn mock_verifier_looks_real_and_accepts_no_password() {
     let model = Verifier::from_password("secret", [1; SALT_BYTES], DEFAULT_ITERATIONS);
     let mock = Verifier::mock("nobody", &model);
     assert_eq!(mock, Verifier::mock("nobody", &model), "the same at every attempt");
@@ -64,10 +64,10 @@
 }
 
 #[test]
-fn messages_that_break_the_mechanism_are_refused() {
+fn malformed_messages_are_refused() {
     for first in ["", "n", "n,,", "n,,n=", "n,,n=a,r=", "p=tls-unique,,n=,r=x", "n,a=b,n=,r=x"] {
-        let begun = ServerExchange::begin(first, verifier("a"), [0; NONCE_BYTES]);
-        assert_eq!(begun.err(), Some(ScramError::Malformed), "{first}");
+        let exchange = ServerExchange::begin(first, verifier("a"), [0; NONCE_BYTES]);
+        assert_eq!(exchange.err(), Some(ScramError::Malformed), "{first}");
     }
     let server = ServerExchange::begin("n,,n=,r=x", verifier("a"), [0; NONCE_BYTES]).expect("ok");
     for last in ["", "c=biws", "c=biws,r=x,p=AAAA", "c=eSws,r=x,p=", "p="] {
