--- a/crates/core/src/concurrency_limit.rs
+++ b/crates/core/src/concurrency_limit.rs
@@ -4,7 +4,7 @@
 //! Each owner of a group could fill an instance's slots on its own, and no owner sees what the
 //! others send. At peak load the instance then refuses the statements beyond its slots. Refused
 //! statements are sent again after random delays, behind statements that arrived later. Therefore a
-//! refusal multiplies the limit by [`DECREASE_FACTOR`], and a full limit's worth of answers raises
+//! refusal multiplies the limit by `DECREASE_FACTOR`, and a full limit's worth of answers raises
 //! it by one (AIMD). Statements above the limit wait in the owner's queue, in its order. Slow
 //! answers raise the limit slowly, so it follows the capacity that is left for this node.
 
--- a/crates/core/src/current_position.rs
+++ b/crates/core/src/current_position.rs
@@ -37,7 +37,8 @@
         self.first_probe
     }
 
-    /// Records an instance's answer. Returns the position once a majority has answered.
+    /// Records an instance's answer. Returns the position once a majority of the instances,
+    /// including a primary, has reported the same term.
     pub fn on_evidence(
         &mut self,
         evidence: Evidence,
--- a/crates/core/src/exchange_state.rs
+++ b/crates/core/src/exchange_state.rs
@@ -25,7 +25,7 @@
 pub enum Progress {
     /// Waiting at the front; no byte has left the node.
     AtFront,
-    /// Forwarded to a gateway that has not answered; it may have come any distance from there.
+    /// Forwarded to a gateway that has not answered, so it may have reached any later point.
     Forwarded,
     /// Queued at the gateway, or in its socket buffer with no byte taken by the kernel.
     Queued,
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -34,7 +34,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Sample {
-    asked: Moment,
+    requested_at: Moment,
     position: Position,
 }
 
@@ -56,7 +56,10 @@
             self.samples.clear();
         }
         if observation.role == Role::Primary && term == self.term {
-            self.sample(Sample { asked: observation.requested_at, position: observation.applied });
+            self.sample(Sample {
+                requested_at: observation.requested_at,
+                position: observation.applied,
+            });
         }
     }
 
@@ -65,9 +68,9 @@
             // The primary has not advanced, so a replica that had reached its position then has
             // reached it now.
             Some(last) if last.position == sample.position => {
-                last.asked = last.asked.max(sample.asked);
+                last.requested_at = last.requested_at.max(sample.requested_at);
             }
-            Some(last) if sample.asked < last.asked + SAMPLE_INTERVAL => {}
+            Some(last) if sample.requested_at < last.requested_at + SAMPLE_INTERVAL => {}
             _ => self.samples.push_back(sample),
         }
         if self.samples.len() > MAX_SAMPLES {
@@ -99,7 +102,7 @@
                 let sample = reached
                     .into_iter()
                     .find(|sample| observation.applied.satisfies(&sample.position))?;
-                Some(sample.asked.min(confirmed))
+                Some(sample.requested_at.min(confirmed))
             }
         }
     }
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/bucket.rs
@@ -46,8 +46,8 @@
 
 /// Capacity of a bucket: zero if the account has neither rate nor burst.
 fn capacity(quota: &Quota) -> f64 {
-    let asks = quota.per_second.count() > 0.0 || quota.burst.count() > 0.0;
-    if asks { quota.burst.count() + EXTRA_TOKENS } else { 0.0 }
+    let allows_any = quota.per_second.count() > 0.0 || quota.burst.count() > 0.0;
+    if allows_any { quota.burst.count() + EXTRA_TOKENS } else { 0.0 }
 }
 
 /// Capacity while the tokens granted by other nodes are unknown.
@@ -64,8 +64,8 @@
         Self { cautious_until: Some(now + CAUTIOUS_PERIOD), ..Self::with_tokens(first, quota, now) }
     }
 
-    /// A bucket of the first allocator in rendezvous order after the other candidates answered that
-    /// they have not granted, so that no other node grants.
+    /// A bucket for the first candidate in rendezvous order, after the other candidates answered
+    /// that they have not granted, so that no other node grants.
     pub fn sole_allocator(quota: &Quota, share: f64, now: Instant) -> Self {
         let first = SOLE_INITIAL_TOKENS + SOLE_INITIAL_BURST_FRACTION * quota.burst.count();
         Self::with_tokens(first * share, quota, now)
--- a/crates/core/src/quota/node.rs
+++ b/crates/core/src/quota/node.rs
@@ -148,8 +148,8 @@
             .iter()
             .filter(|node| !self.reachability.is_unreachable(node, view.now))
             .count();
-        let seen = reached as f64 / view.recent_nodes.max(1) as f64;
-        if seen >= MAJORITY { 1.0 } else { seen }
+        let fraction = reached as f64 / view.recent_nodes.max(1) as f64;
+        if fraction >= MAJORITY { 1.0 } else { fraction }
     }
 
     /// Records that a connection to a node broke or that a message could not be sent to it.
--- a/crates/core/src/quota/reachability.rs
+++ b/crates/core/src/quota/reachability.rs
@@ -46,7 +46,8 @@
 
     /// Whether another node allocates in this node's place.
     pub fn is_unreachable(&self, node: &NodeName, now: Instant) -> bool {
-        let gone = |missed: &Missed| now < missed.until && missed.requests >= UNREACHABLE_MISSES;
-        self.missed.get(node).is_some_and(gone)
+        let unreachable =
+            |missed: &Missed| now < missed.until && missed.requests >= UNREACHABLE_MISSES;
+        self.missed.get(node).is_some_and(unreachable)
     }
 }
--- a/crates/core/src/quota/token_cache.rs
+++ b/crates/core/src/quota/token_cache.rs
@@ -87,8 +87,8 @@
             self.count_operation(now);
             return Take::Taken;
         }
-        if let Some((_, back)) = self.refused.filter(|(until, _)| now < *until) {
-            return Take::Refused(back - now);
+        if let Some((_, retry_at)) = self.refused.filter(|(until, _)| now < *until) {
+            return Take::Refused(retry_at - now);
         }
         if ticket.0 != Some(self.round) {
             ticket.0 = Some(self.round);
@@ -149,8 +149,8 @@
 
     /// Whether a request should be sent now.
     pub fn needs_request(&self, now: Instant) -> bool {
-        let waits = self.ask_after.is_some_and(|at| now < at);
-        self.pending.is_none() && self.unrequested > 0 && !waits
+        let is_delayed = self.ask_after.is_some_and(|at| now < at);
+        self.pending.is_none() && self.unrequested > 0 && !is_delayed
     }
 
     /// Starts a request to `allocator` and returns the number of tokens to request.
--- a/crates/core/tests/connection_budget.rs
+++ b/crates/core/tests/connection_budget.rs
@@ -25,8 +25,7 @@
 }
 
 /// After a power loss of all machines, connections of the previous processes filled the instances
-/// for 1.5 s. A node that was refused six times during that time had no connection for another 1.2
-/// s.
+/// for 1.5 s. A node that was refused six times meanwhile had no connection for another 1.2 s.
 #[test]
 fn gateway_without_connections_retries_soon_after_any_number_of_refusals() {
     for refusals in 1..20 {
--- a/crates/core/tests/freshness.rs
+++ b/crates/core/tests/freshness.rs
@@ -14,10 +14,10 @@
     Duration::from_millis(milliseconds)
 }
 
-fn observe(freshness: &mut Freshness, said: (&str, Role, u32, u64, u64)) {
-    let (instance, role, term, offset, asked) = said;
+fn observe(freshness: &mut Freshness, report: (&str, Role, u32, u64, u64)) {
+    let (instance, role, term, offset, requested_at) = report;
     let applied = Position { term: Term(term), offset: LogOffset(offset) };
-    let observation = Observation { role, applied, requested_at: at(asked) };
+    let observation = Observation { role, applied, requested_at: at(requested_at) };
     freshness.on_observation(&InstanceName::new(instance), observation);
 }
 
@@ -62,7 +62,7 @@
     ];
     for (reports, instance, expected) in table {
         let mut freshness = Freshness::default();
-        reports.iter().for_each(|reports| observe(&mut freshness, *reports));
+        reports.iter().for_each(|report| observe(&mut freshness, *report));
         let age = freshness.age(&InstanceName::new(*instance), MAJORITY, at(1000));
         assert_eq!(age, expected.map(at), "{instance} after {reports:?}");
     }
@@ -86,16 +86,16 @@
         let written = |moment: u64| moments.iter().filter(|write| **write <= moment).count() as u64;
         let mut freshness = Freshness::default();
         let mut moment = 0;
-        let mut held = 0;
+        let mut replicated = 0;
         for count in applied {
             moment += step;
             observe(&mut freshness, ("a", Primary, 1, written(moment), moment));
-            held = (count as u64).max(held).min(written(moment));
-            observe(&mut freshness, ("b", Replica, 1, held, moment));
+            replicated = (count as u64).max(replicated).min(written(moment));
+            observe(&mut freshness, ("b", Replica, 1, replicated, moment));
             let age = freshness.age(&InstanceName::new("b"), MAJORITY, at(moment));
             if let Some(age) = age {
                 let complete = moment - age.as_millis() as u64;
-                prop_assert!(held >= written(complete), "{held} at {moment}, age {age:?}");
+                prop_assert!(replicated >= written(complete), "{replicated} at {moment}, age {age:?}");
             }
         }
     }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -103,9 +103,9 @@
 #[test]
 fn repeated_requests_are_spaced_out() {
     let start = std::time::Instant::now();
-    let (first, last) = (Duration::from_millis(8), Duration::from_millis(60));
+    let (min, max) = (Duration::from_millis(8), Duration::from_millis(60));
     let reset_after = Duration::from_millis(500);
-    let mut pacer = RequestPacer::new(Backoff::new(first, last), reset_after);
+    let mut pacer = RequestPacer::new(Backoff::new(min, max), reset_after);
     let mut now = start;
     let mut sent = 0;
     while now < start + Duration::from_secs(1) {
@@ -113,5 +113,5 @@
         sent += 1;
     }
     assert!((16..25).contains(&sent), "{sent} requests in a second");
-    assert_eq!(pacer.on_request(now + reset_after, u64::MAX), first, "the backoff restarts");
+    assert_eq!(pacer.on_request(now + reset_after, u64::MAX), min, "the backoff restarts");
 }
