--- a/crates/core/src/admin/configuration.rs
+++ b/crates/core/src/admin/configuration.rs
@@ -173,7 +173,8 @@
     /// The store, read for this request.
     Store,
     /// The node's active configuration, because the store did not answer.
-    InForce,
+    #[serde(rename = "in_force")]
+    Active,
 }
 
 /// Entries of the configuration.
--- a/crates/core/src/admin/mod.rs
+++ b/crates/core/src/admin/mod.rs
@@ -32,9 +32,11 @@
     /// Revision of the active configuration.
     pub revision: Revision,
     /// Number of connected clients.
-    pub callers: usize,
+    #[serde(rename = "callers")]
+    pub clients: usize,
     /// Number of open connections to instances.
-    pub backend_connections: usize,
+    #[serde(rename = "backend_connections")]
+    pub instance_connections: usize,
     /// Number of nodes that this node considers live, including itself.
     pub live_nodes: usize,
     /// Number of threads restarted after a panic.
--- a/crates/ctl/src/entries.rs
+++ b/crates/ctl/src/entries.rs
@@ -49,7 +49,7 @@
 fn tell_source(listing: &Listing, output: &mut dyn Write) -> Result<()> {
     match listing.source {
         Source::Store => Ok(()),
-        Source::InForce => line(output, "# the store does not answer: this is what is in force"),
+        Source::Active => line(output, "# the store does not answer: this is what is in force"),
     }
 }
 
--- a/crates/daemon/src/admin/configuration.rs
+++ b/crates/daemon/src/admin/configuration.rs
@@ -55,7 +55,7 @@
         value: change.value,
     });
     let entries = entries.collect();
-    Listing { revision: catalog.revision, source: Source::InForce, entries }
+    Listing { revision: catalog.revision, source: Source::Active, entries }
 }
 
 /// Kept versions of an entry, newest first.
--- a/crates/daemon/src/admin/report.rs
+++ b/crates/daemon/src/admin/report.rs
@@ -39,15 +39,15 @@
         version: env!("CARGO_PKG_VERSION").to_owned(),
         incarnation: context.identity.incarnation,
         revision: context.catalog.load().revision,
-        callers: 0,
-        backend_connections: 0,
+        clients: 0,
+        instance_connections: 0,
         live_nodes: context.live.load().len(),
         restarts: context.metrics.restarts.get(),
     };
     for shard in &admin.shards {
         let shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
-        status.callers += shard.front.callers();
-        status.backend_connections += shard.gateway.connections();
+        status.clients += shard.front.callers();
+        status.instance_connections += shard.gateway.connections();
     }
     Answer::json(&status)
 }
