--- a/crates/core/src/quota/allocation.rs
+++ b/crates/core/src/quota/allocation.rs
@@ -170,7 +170,7 @@
         let share = self.share(view);
         let has_precedence = allocators(&account, [view.own, from], 1).first() == Some(&view.own);
         let quota = view.quota(&account);
-        let (tokens, elsewhere) = match (self.allocator_entries.get_mut(&account), quota) {
+        let (tokens, referral) = match (self.allocator_entries.get_mut(&account), quota) {
             // The sender does not know about this node yet, which precedes it in the rendezvous
             // order.
             (
@@ -193,7 +193,7 @@
         if !has_precedence {
             self.hand_over(&account, from, view);
         }
-        let message = QuotaMessage::Left { account, tokens, elsewhere };
+        let message = QuotaMessage::Left { account, tokens, referral };
         self.outgoing.push(Outgoing { to: from.clone(), message });
     }
 
@@ -223,7 +223,7 @@
         from: &NodeName,
         account: &AccountName,
         tokens: Option<f64>,
-        elsewhere: Option<NodeName>,
+        referral: Option<NodeName>,
         view: &View,
     ) {
         let Some(entry) = self.allocator_entries.get_mut(account) else { return };
@@ -234,7 +234,7 @@
         if !unanswered.contains(from) {
             return;
         }
-        if elsewhere.as_ref() == Some(from) {
+        if referral.as_ref() == Some(from) {
             return self.hand_over(account, from, view);
         }
         unanswered.retain(|node| node != from);
@@ -245,7 +245,7 @@
             (known, tokens) => known.or(tokens),
         };
         if let Some(other) =
-            elsewhere.filter(|other| other != view.own && !unanswered.contains(other))
+            referral.filter(|other| other != view.own && !unanswered.contains(other))
         {
             unanswered.push(other.clone());
             let message = QuotaMessage::TakeOver { account: account.clone() };
--- a/crates/core/src/quota/mod.rs
+++ b/crates/core/src/quota/mod.rs
@@ -118,7 +118,8 @@
         retry_ms: u32,
         /// The node that allocates the account instead of the sender.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        elsewhere: Option<NodeName>,
+        #[serde(rename = "elsewhere")]
+        referral: Option<NodeName>,
     },
     /// Requests a handover: the sender allocates the account from now on and needs the remaining
     /// tokens.
@@ -135,7 +136,8 @@
         /// The node that allocates the account according to the sender, if that is not the
         /// receiver.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        elsewhere: Option<NodeName>,
+        #[serde(rename = "elsewhere")]
+        referral: Option<NodeName>,
     },
 }
 
--- a/crates/core/src/quota/node.rs
+++ b/crates/core/src/quota/node.rs
@@ -164,7 +164,7 @@
             QuotaMessage::Ask { number, account, count, unused } => {
                 self.on_ask(from, number, &account, count, unused, view);
             }
-            QuotaMessage::Grant { number, account, count, retry_ms, elsewhere } => {
+            QuotaMessage::Grant { number, account, count, retry_ms, referral } => {
                 if self.probes.remove(&number).is_some() {
                     return;
                 }
@@ -173,13 +173,13 @@
                     number,
                     &account,
                     Grant { count, retry_after: retry },
-                    elsewhere,
+                    referral,
                     view,
                 );
             }
             QuotaMessage::TakeOver { account } => self.on_take_over(from, account, view),
-            QuotaMessage::Left { account, tokens, elsewhere } => {
-                self.on_left(from, &account, tokens, elsewhere, view);
+            QuotaMessage::Left { account, tokens, referral } => {
+                self.on_left(from, &account, tokens, referral, view);
             }
         }
     }
@@ -189,15 +189,15 @@
         number: u32,
         account: &AccountName,
         grant: Grant,
-        elsewhere: Option<NodeName>,
+        referral: Option<NodeName>,
         view: &View,
     ) {
         let now = view.now;
         let reachable =
-            elsewhere.clone().filter(|node| !self.reachability.is_unreachable(node, now));
+            referral.clone().filter(|node| !self.reachability.is_unreachable(node, now));
         let Some(cache) = self.token_caches.get_mut(account) else { return };
         let was_pending = match reachable {
-            None if elsewhere.is_some() => cache.on_grant(number, 0, UNREACHABLE_RETRY_DELAY, now),
+            None if referral.is_some() => cache.on_grant(number, 0, UNREACHABLE_RETRY_DELAY, now),
             Some(node) => cache.on_referral(number, node, now + BYPASS_PERIOD),
             None => cache.on_grant(number, grant.count, grant.retry_after, now),
         };
@@ -212,15 +212,15 @@
         number: u32,
         account: &AccountName,
         grant: Grant,
-        elsewhere: Option<NodeName>,
+        referral: Option<NodeName>,
         view: &View,
     ) {
         if to == view.own {
-            return self.on_grant(number, account, grant, elsewhere, view);
+            return self.on_grant(number, account, grant, referral, view);
         }
         let retry_ms = grant.retry_after.as_millis().min(u32::MAX.into()) as u32;
         let (account, count) = (account.clone(), grant.count);
-        let message = QuotaMessage::Grant { number, account, count, retry_ms, elsewhere };
+        let message = QuotaMessage::Grant { number, account, count, retry_ms, referral };
         self.outgoing.push(Outgoing { to: to.clone(), message });
     }
 
