--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -1,8 +1,9 @@
-//! How old the data may be that an instance serves.
+//! Computes how old the data that an instance serves may be.
 //!
-//! Age counts from when a majority last confirmed the primary: nobody can tell what an unconfirmed
-//! primary has missed, not even itself. A replica is as fresh as the newest moment at which the
-//! confirmed primary was no further than the replica is now.
+//! The age counts from the time at which a majority last confirmed the primary, because no
+//! instance, including the primary itself, can know which commits an unconfirmed primary has
+//! missed. A replica is as fresh as the latest time at which the confirmed primary had not passed
+//! the replica's current position.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,28 +12,29 @@
 use crate::position::{Position, Term};
 use crate::routing::Role;
 
-/// Positions of the primary that are remembered.
+/// Number of primary positions to keep.
 const MAX_SAMPLES: usize = 1024;
-/// Shortest time between two of them, so that frequent probes do not shorten the memory.
+/// Shortest time between two kept positions, so that frequent probes do not shorten the period they
+/// cover.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time since some fixed moment.
+/// Time since a fixed origin.
 pub type Moment = Duration;
 
-/// What an instance said of itself.
+/// A report from an instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
     /// Its role.
     pub role: Role,
-    /// Term it follows and offset that its readers see.
+    /// The term it follows and the offset that its readers see.
     pub applied: Position,
-    /// When it was asked; what it said was true then or later.
-    pub asked: Moment,
+    /// When the report was requested. The report was true at that time or later.
+    pub requested_at: Moment,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Sample {
-    asked: Moment,
+    requested_at: Moment,
     position: Position,
 }
 
@@ -45,7 +47,7 @@
 }
 
 impl Freshness {
-    /// Takes in what an instance said.
+    /// Records a report from an instance.
     pub fn on_observation(&mut self, instance: &InstanceName, observation: Observation) {
         self.newest.insert(instance.clone(), observation);
         let term = observation.applied.term;
@@ -54,17 +56,21 @@
             self.samples.clear();
         }
         if observation.role == Role::Primary && term == self.term {
-            self.sample(Sample { asked: observation.asked, position: observation.applied });
+            self.sample(Sample {
+                requested_at: observation.requested_at,
+                position: observation.applied,
+            });
         }
     }
 
     fn sample(&mut self, sample: Sample) {
         match self.samples.back_mut() {
-            // The primary has stood still: whoever had reached it then has reached it now.
+            // The primary has not advanced, so a replica that had reached its position then has
+            // reached it now.
             Some(last) if last.position == sample.position => {
-                last.asked = last.asked.max(sample.asked);
+                last.requested_at = last.requested_at.max(sample.requested_at);
             }
-            Some(last) if sample.asked < last.asked + SAMPLE_INTERVAL => {}
+            Some(last) if sample.requested_at < last.requested_at + SAMPLE_INTERVAL => {}
             _ => self.samples.push_back(sample),
         }
         if self.samples.len() > MAX_SAMPLES {
@@ -72,20 +78,20 @@
         }
     }
 
-    /// When a majority last confirmed the primary of the highest term seen.
+    /// When a majority last confirmed the primary of the highest reported term.
     pub fn confirmed_at(&self, majority: usize) -> Option<Moment> {
         let mut followers: Vec<Moment> = self
             .newest
             .values()
             .filter(|observation| observation.applied.term == self.term)
-            .map(|observation| observation.asked)
+            .map(|observation| observation.requested_at)
             .collect();
         followers.sort_unstable();
         let index = followers.len().checked_sub(majority)?;
         followers.get(index).copied()
     }
 
-    /// The moment up to which an instance's data is complete; `None` if that is not known.
+    /// The time up to which an instance's data is complete; `None` if unknown.
     pub fn fresh_as_of(&self, instance: &InstanceName, majority: usize) -> Option<Moment> {
         let observation = self.newest.get(instance)?;
         let confirmed = self.confirmed_at(majority)?;
@@ -96,12 +102,12 @@
                 let sample = reached
                     .into_iter()
                     .find(|sample| observation.applied.satisfies(&sample.position))?;
-                Some(sample.asked.min(confirmed))
+                Some(sample.requested_at.min(confirmed))
             }
         }
     }
 
-    /// How far an instance's data may trail at `now`.
+    /// Upper bound of how far an instance's data lags at `now`.
     pub fn age(&self, instance: &InstanceName, majority: usize, now: Moment) -> Option<Duration> {
         let moment = self.fresh_as_of(instance, majority)?;
         Some(now.saturating_sub(moment))
--- a/crates/daemon/src/gateway/connection_loss.rs
+++ b/crates/daemon/src/gateway/connection_loss.rs
@@ -25,7 +25,7 @@
         match server.purpose {
             Purpose::Pooled => {
                 state.monitor.on_connection_lost(&server.instance, io.now);
-                if fault == Fault::BackendLost {
+                if fault == Fault::InstanceConnectionLost {
                     io.context.statuses.forget_evidence(&server.group);
                 }
                 if state.status_queries.on_connection_ready(&server.instance, key, io) {
@@ -52,7 +52,7 @@
     pub(super) fn close_idle(&mut self, key: usize, io: &mut Io) {
         let pooled = self.servers.get(key).is_some_and(|server| server.purpose == Purpose::Pooled);
         if !pooled {
-            return self.on_server_lost(key, Fault::BackendLost, io);
+            return self.on_server_lost(key, Fault::InstanceConnectionLost, io);
         }
         let mut server = self.servers.remove(key);
         io.context.metrics.backends.count(ConnectionEvent::Closed);
@@ -84,7 +84,7 @@
         return None;
     }
     match (server.is_instance_down(), fault) {
-        (true, Fault::BackendLost) => Some(ConnectionOutcome::Refused),
+        (true, Fault::InstanceConnectionLost) => Some(ConnectionOutcome::Refused),
         _ => Some(ConnectionOutcome::Broken),
     }
 }
--- a/crates/daemon/src/gateway/current_position.rs
+++ b/crates/daemon/src/gateway/current_position.rs
@@ -6,7 +6,7 @@
 
 use kestrellock_core::catalog::Group;
 use kestrellock_core::confirmation::{Evidence, ProbeNumber};
-use kestrellock_core::current_position::CurrentPosition;
+use kestrellock_core::current_position::CurrentPositionQuery;
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_peer::message::ToFront;
 
@@ -22,7 +22,7 @@
     shard: u16,
     number: u64,
     until: Instant,
-    query: CurrentPosition,
+    query: CurrentPositionQuery,
 }
 
 /// Pending requests for one group's current position.
@@ -47,11 +47,11 @@
         match self.pending.iter_mut().find(same) {
             Some(known) if known.number == number => known.until = until,
             Some(known) => {
-                let query = CurrentPosition::new(first_probe);
+                let query = CurrentPositionQuery::new(first_probe);
                 *known = PendingRequest { node, shard, number, until, query };
             }
             None => {
-                let query = CurrentPosition::new(first_probe);
+                let query = CurrentPositionQuery::new(first_probe);
                 self.pending.push(PendingRequest { node, shard, number, until, query });
             }
         }
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -7,7 +7,7 @@
 
 use kestrellock_core::catalog::{Group, Instance};
 use kestrellock_core::ids::{GroupName, InstanceName};
-use kestrellock_core::retry::{Backoff, Repetition};
+use kestrellock_core::retry::{Backoff, RequestPacer};
 use kestrellock_core::routing::Role;
 
 use crate::event::Io;
@@ -16,7 +16,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 /// Delays between rounds whose answers did not help. They start over after 500 ms without a round.
 /// After a round that helped, the evidence lasts much longer than any of these delays.
-const QUERY_REPETITION: Repetition = Repetition::new(
+const QUERY_REPETITION: RequestPacer = RequestPacer::new(
     Backoff::new(Duration::from_millis(8), Duration::from_millis(60)),
     Duration::from_millis(500),
 );
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct EvidenceQueries {
     latest: Option<QueryRound>,
-    repetition: Repetition,
+    repetition: RequestPacer,
 }
 
 impl Default for EvidenceQueries {
@@ -59,7 +59,7 @@
         }
         let chosen = instances_lacking_evidence(name, group, io);
         if !chosen.is_empty() {
-            let delay = self.repetition.on_asked(io.now, rand::random());
+            let delay = self.repetition.on_request(io.now, rand::random());
             self.latest = Some(QueryRound { asked: Instant::now(), answered: false, delay });
         }
         chosen
--- a/crates/daemon/src/gateway/instance_choice.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -177,14 +177,14 @@
             Reader {
                 instance: &instance.name,
                 is_local: instance.zone == io.context.identity.zone,
-                reached: record
+                reported_position: record
                     .last_position
                     .filter(|_| instance.announced_role == Some(Role::Replica)),
-                reached_for: record.last_position_at.map(|at| io.now.saturating_duration_since(at)),
-                service: record.mean_service_time,
+                report_age: record.last_position_at.map(|at| io.now.saturating_duration_since(at)),
+                service_time: record.mean_service_time,
                 running: record.in_flight() + queued(&instance.name),
                 slots: instance.slots,
-                in_doubt: record.in_doubt,
+                is_unresponsive: record.in_doubt,
             }
         })
         .collect();
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -250,7 +250,7 @@
 
     /// Removes queued exchanges that can no longer finish before their deadline.
     pub fn remove_late(&mut self, now: Instant) -> Vec<RefusedExchange> {
-        let late = self.scheduler.give_up_late(now);
+        let late = self.scheduler.take_expired(now);
         late.into_iter().map(|refused| self.on_left_queue(refused)).collect()
     }
 
@@ -266,7 +266,7 @@
         let reserved = self.reserved_connection(now);
         while let Some(dispatch) = self.next_dispatch(reserved, now) {
             match dispatch {
-                Dispatch::GiveUp(refused) => {
+                Dispatch::Expired(refused) => {
                     let refused = self.on_left_queue(refused);
                     assigned.refused.push(refused);
                 }
