--- a/crates/daemon/src/front/current_position.rs
+++ b/crates/daemon/src/front/current_position.rs
@@ -20,12 +20,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryNumber(pub u64);
 
+/// The latest query for the position of one group.
 #[derive(Debug)]
 struct GroupQuery {
     number: QueryNumber,
     sent_at: Instant,
     attempts: usize,
     is_pending: bool,
+    /// Highest query number that a session waits for.
     latest_needed: QueryNumber,
 }
 
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -115,8 +115,8 @@
         if self.sessions.len() < MAX_PENDING_LOGINS {
             return None;
         }
-        let half_open = self.sessions.iter().filter(|(_, session)| !session.is_logged_in());
-        (half_open.count() >= MAX_PENDING_LOGINS).then_some("too many callers are logging in")
+        let pending_logins = self.sessions.iter().filter(|(_, session)| !session.is_logged_in());
+        (pending_logins.count() >= MAX_PENDING_LOGINS).then_some("too many callers are logging in")
     }
 
     /// Handles readiness of a client connection.
@@ -179,13 +179,13 @@
         }
         let awaits = |(_, session): &(usize, &mut Session)| session.awaits_position(group, number);
         let sessions = self.sessions.iter_mut().filter(awaits);
-        let informed: Vec<usize> = sessions
+        let answered: Vec<usize> = sessions
             .map(|(key, session)| {
                 session.on_current_position(position);
                 key
             })
             .collect();
-        for key in informed {
+        for key in answered {
             self.advance(key, io);
         }
     }
@@ -241,14 +241,14 @@
     /// Retries statements that wait for an instance and ends those whose deadline has passed.
     pub fn on_tick(&mut self, io: &mut Io) {
         self.check_credentials(io);
-        let leaving = io.context.is_leaving();
-        if leaving {
+        let is_leaving = io.context.is_leaving();
+        if is_leaving {
             self.read_pending_input();
         }
         let due: Vec<usize> = self
             .sessions
             .iter()
-            .filter(|(_, session)| leaving || session.needs_tick(io.now))
+            .filter(|(_, session)| is_leaving || session.needs_tick(io.now))
             .map(|(key, _)| key)
             .collect();
         for key in due {
@@ -303,7 +303,7 @@
             shard: self.shard,
             serial,
         };
-        let end = session.advance(
+        let flow = session.advance(
             new_lease,
             &mut self.subscriptions,
             &mut self.position_queries,
@@ -317,7 +317,7 @@
         if let Some(lease) = session.lease_id() {
             self.leases.entry(lease.clone()).or_insert(key);
         }
-        if end == SessionFlow::Close {
+        if flow == SessionFlow::Close {
             return self.close(key, io);
         }
         // Reading had stopped at the limit and there is room again; no event announces that.
--- a/crates/daemon/src/front/session.rs
+++ b/crates/daemon/src/front/session.rs
@@ -199,8 +199,8 @@
     /// Whether the session soon acts on the passage of time rather than on a message: it holds a
     /// request, is logging in or is closing.
     pub fn needs_frequent_ticks(&self) -> bool {
-        let holds = self.request.as_ref().is_some_and(|request| !request.sent);
-        holds || self.closing_since.is_some() || !self.is_logged_in()
+        let holds_request = self.request.as_ref().is_some_and(|request| !request.sent);
+        holds_request || self.closing_since.is_some() || !self.is_logged_in()
     }
 
     /// Whether the session has something to do on a tick.
@@ -237,27 +237,27 @@
             self.last_active = io.now;
         }
         self.abort_overdue_transaction(io);
-        let end = if self.login.is_none() {
+        let flow = if self.login.is_none() {
             self.advance_startup(subscriptions, position_queries, io)
         } else {
             SessionFlow::Continue
         };
-        let end = if end == SessionFlow::Continue && self.login.is_some() {
+        let flow = if flow == SessionFlow::Continue && self.login.is_some() {
             self.advance_requests(new_lease, classes, io)
         } else {
-            end
+            flow
         };
         if std::mem::take(&mut self.group_changed)
             && let Some(login) = &self.login
         {
             subscriptions.ensure(&login.group, io);
         }
-        if end == SessionFlow::Continue && self.must_end() {
+        if flow == SessionFlow::Continue && self.must_end() {
             return self.end_revoked_session(io);
         }
         self.was_active = self.request.is_some();
-        let may_end = io.context.is_leaving() && self.may_close_for_shutdown(was_active, io);
-        if end == SessionFlow::Continue && may_end {
+        let may_close = io.context.is_leaving() && self.may_close_for_shutdown(was_active, io);
+        if flow == SessionFlow::Continue && may_close {
             return self.close_for_shutdown(None, io);
         }
         match self.connection.flush(io.registry) {
@@ -267,7 +267,7 @@
             }
             Ok(()) => {
                 self.connection.release_buffers();
-                end
+                flow
             }
             Err(_) => SessionFlow::Close,
         }
--- a/crates/daemon/src/front/session/closing.rs
+++ b/crates/daemon/src/front/session/closing.rs
@@ -46,11 +46,12 @@
         let is_between_requests =
             self.request.is_none() && self.transaction == TransactionState::Idle;
         let has_no_input = self.connection.input.is_empty() && self.protocol.is_between_requests();
-        let rested = io.now.saturating_duration_since(self.last_active) >= MIN_IDLE_BEFORE_CLOSE;
+        let has_been_idle =
+            io.now.saturating_duration_since(self.last_active) >= MIN_IDLE_BEFORE_CLOSE;
         let sends_farewell = io.context.protocol.traits().tells_farewell;
         // A client that has just logged in is about to send its first request.
         let follows_answer = has_just_answered && self.has_sent_request && !sends_farewell;
-        is_between_requests && has_no_input && (rested || follows_answer)
+        is_between_requests && has_no_input && (has_been_idle || follows_answer)
     }
 
     /// Tells the client to connect to another node, in answer to a request if there is one, and
@@ -79,14 +80,14 @@
     pub(super) fn continue_closing(&mut self, io: &mut Io) -> SessionFlow {
         self.connection.input.clear();
         let flushed = self.connection.flush(io.registry);
-        let Some(began) = self.closing_since else { return SessionFlow::Close };
+        let Some(since) = self.closing_since else { return SessionFlow::Close };
         let sends_farewell = io.context.protocol.traits().tells_farewell;
         let delay = if sends_farewell { END_OF_STREAM_DELAY } else { Duration::ZERO };
-        if self.connection.output.is_empty() && io.now >= began + delay {
+        if self.connection.output.is_empty() && io.now >= since + delay {
             self.connection.shut_down_sending();
         }
         let limit = if sends_farewell { CLOSE_TIMEOUT } else { SILENT_CLOSE_TIMEOUT };
-        match io.now < began + limit && flushed.is_ok() {
+        match io.now < since + limit && flushed.is_ok() {
             true => SessionFlow::Continue,
             false => SessionFlow::Close,
         }
@@ -106,11 +107,11 @@
     }
 
     fn is_overdue(&self, io: &Io) -> bool {
-        let until = *io.context.transactions_until.load();
-        let stopped = until.is_some_and(|until| io.now >= until);
+        let deadline = *io.context.transactions_until.load();
+        let is_stopped = deadline.is_some_and(|deadline| io.now >= deadline);
         let values = self.login.as_ref().map(|login| &login.parameters.values);
         let limit = values.and_then(|values| values.transaction_idle_ms).map(Duration::from);
-        let rested = io.now.saturating_duration_since(self.last_active);
-        stopped || limit.is_some_and(|limit| rested >= limit)
+        let idle_time = io.now.saturating_duration_since(self.last_active);
+        is_stopped || limit.is_some_and(|limit| idle_time >= limit)
     }
 }
--- a/crates/daemon/src/front/session/retrying.rs
+++ b/crates/daemon/src/front/session/retrying.rs
@@ -4,8 +4,8 @@
 //! A request is retried if it has certainly not run and no open transaction was lost with it, or if
 //! it is a read outside a transaction that an instance interrupted and the session's retry budget
 //! allows it. It is never retried once a part of its answer has been sent to the client or its
-//! deadline has passed. The policy [`Policy::ResendOnError`] is the exception: a baseline that also
-//! retries requests that may have run.
+//! deadline has passed. The baseline policy [`Policy::ResendOnError`] also retries requests that may
+//! have run. A request with a request key has further ways to be retried (`keys`).
 
 use std::time::Duration;
 
@@ -47,8 +47,8 @@
     /// Whether the current exchange may run a second time: it only reads, outside a transaction, and
     /// no part of its answer has been sent to the client.
     pub fn is_safe_to_retry(&self) -> bool {
-        let read = self.stake.effect == Effect::Read && !self.stake.continues_transaction;
-        read && !self.answer_begun
+        let reads_only = self.stake.effect == Effect::Read && !self.stake.continues_transaction;
+        reads_only && !self.answer_begun
     }
 
     /// The gateway of the current exchange does not respond.
@@ -80,7 +80,7 @@
     /// the owner that the gateway named without delay. If that owner refuses too, the request is
     /// retried after the usual delay, so that two nodes that name each other cause no tight loop.
     pub(super) fn on_not_owner(&mut self, owner: Option<NodeName>, io: &mut Io) {
-        let at_once = owner.is_some() && !self.followed_referral;
+        let is_immediate = owner.is_some() && !self.followed_referral;
         if let Some(lease) = &self.lease {
             let detours = &io.context.detours;
             match &lease.target.instance {
@@ -91,10 +91,10 @@
         }
         let refusal = Refusal::new(ResultCode::NotOwner, "the gateway does not own the instance");
         self.on_refused(refusal, io);
-        if at_once {
+        if is_immediate {
             self.retry_at = None;
         }
-        self.followed_referral = at_once;
+        self.followed_referral = is_immediate;
     }
 
     /// Retries the request with another instance or gateway where that is safe, or ends it.
@@ -114,8 +114,8 @@
             Some(request) if may_retry && !self.answer_begun && io.now < request.deadline => {
                 decision_log::retried(request, &refusal, io);
                 request.sent = false;
-                let wait = self.retry_backoff.on_failure(rand::random());
-                self.retry_at = Some(io.now + refusal.retry_after.unwrap_or(wait));
+                let delay = self.retry_backoff.on_failure(rand::random());
+                self.retry_at = Some(io.now + refusal.retry_after.unwrap_or(delay));
                 self.excluded_instance = refusal.instance;
                 self.drop_lease();
             }
--- a/crates/daemon/src/front/session/sending.rs
+++ b/crates/daemon/src/front/session/sending.rs
@@ -54,7 +54,7 @@
             self.settle_or_refuse(refusal, io);
             return;
         }
-        if self.retry_at.is_none_or(|until| io.now >= until) {
+        if self.retry_at.is_none_or(|at| io.now >= at) {
             self.send_request(new_lease, io);
         }
     }
--- a/crates/daemon/src/links/heartbeat.rs
+++ b/crates/daemon/src/links/heartbeat.rs
@@ -1,7 +1,7 @@
 //! Heartbeat of a link: detects that the node at the other end no longer responds.
 //!
-//! While a message that expects an answer is unanswered, the node is pinged. A node that sends
-//! nothing at all, not even a pong, is reported as silent.
+//! If nothing arrives for a while after a message that expects an answer, the node is pinged. If it
+//! still sends nothing, not even a pong, it is reported as silent.
 //!
 //! A machine that is frozen, partitioned or without power does not close its connections. Membership
 //! detects it within seconds, which is too slow for a client that waits for a statement.
@@ -22,7 +22,7 @@
 /// What the link must do after a tick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatAction {
-    /// Nothing.
+    /// No action is due.
     Nothing,
     /// Send a ping.
     Ping,
--- a/crates/daemon/src/links/mod.rs
+++ b/crates/daemon/src/links/mod.rs
@@ -85,8 +85,10 @@
     hello: Hello,
     keys: ClusterKeys,
     links: Slab<Link>,
+    /// The link on which messages for a node are sent.
     by_node: HashMap<NodeName, usize>,
     crossings: HashMap<NodeName, Crossing>,
+    /// Links with queued messages.
     unflushed: Vec<usize>,
     lost: Vec<NodeName>,
     unsent: Vec<PeerMessage>,
@@ -293,9 +295,9 @@
             return;
         }
         let restarted = old.peer().is_some_and(|known| known.incarnation != peer.incarnation);
-        let single = peer.shards == 1 && self.hello.shards == 1;
+        let both_single_shard = peer.shards == 1 && self.hello.shards == 1;
         // A node opens a second link to the same shard only if it cannot use the first.
-        match (restarted, single) {
+        match (restarted, both_single_shard) {
             (true, _) => self.close(other, io),
             (false, true) => self.resolve_duplicate_links(other, key, peer, io),
             (false, false) => {}
@@ -385,8 +387,9 @@
             return;
         }
         let live_now: HashSet<&NodeName> = live.iter().map(|peer| &peer.candidate.node).collect();
-        let gone: HashSet<&NodeName> = self.live.iter().map(|peer| &peer.candidate.node).collect();
-        let gone: HashSet<&NodeName> = gone.difference(&live_now).copied().collect();
+        let were_live: HashSet<&NodeName> =
+            self.live.iter().map(|peer| &peer.candidate.node).collect();
+        let gone: HashSet<&NodeName> = were_live.difference(&live_now).copied().collect();
         let gone = |link: &Link| link.node().is_some_and(|node| gone.contains(node));
         let dead: Vec<usize> =
             self.links.iter().filter(|(_, link)| gone(link)).map(|(key, _)| key).collect();
--- a/crates/daemon/src/links/replacing.rs
+++ b/crates/daemon/src/links/replacing.rs
@@ -80,7 +80,7 @@
             |link: &&Link| link.stage() == LinkStage::Retired && link.node() == Some(node);
         let retired = self.links.iter().map(|(_, link)| link).filter(is_retired);
         let newest = retired.max_by_key(|link| link.opened())?;
-        newest.info(&self.hello.node).map(|claim| claim.id)
+        newest.info(&self.hello.node).map(|info| info.id)
     }
 
     /// Reads what has arrived on a connection and ignores everything that arrives later.
@@ -173,17 +173,17 @@
     /// Removes links that were replaced longer ago than the timeout.
     pub(super) fn remove_expired_replaced(&mut self, io: &mut Io) {
         let now = io.now;
-        let is_over = |link: &Link| match link.stage() {
+        let is_obsolete = |link: &Link| match link.stage() {
             LinkStage::Replaced { since } => now > since + REPLACED_LINK_TIMEOUT,
             LinkStage::InUse | LinkStage::Retired => false,
         };
-        self.remove_where(is_over, io);
+        self.remove_where(is_obsolete, io);
     }
 
-    pub(super) fn remove_where(&mut self, is_over: impl Fn(&Link) -> bool, io: &mut Io) {
-        let over: Vec<usize> =
-            self.links.iter().filter(|(_, link)| is_over(link)).map(|(key, _)| key).collect();
-        over.into_iter().for_each(|key| self.remove(key, io));
+    pub(super) fn remove_where(&mut self, is_obsolete: impl Fn(&Link) -> bool, io: &mut Io) {
+        let expired: Vec<usize> =
+            self.links.iter().filter(|(_, link)| is_obsolete(link)).map(|(key, _)| key).collect();
+        expired.into_iter().for_each(|key| self.remove(key, io));
     }
 
     /// Removes a replaced link, on which no exchange is in progress.
--- a/crates/daemon/src/shard/mod.rs
+++ b/crates/daemon/src/shard/mod.rs
@@ -1,8 +1,8 @@
 //! A shard: one event-loop thread with its client connections (front), server connections (gateway)
 //! and links to other nodes.
 //!
-//! These parts do not call each other. They append messages to an outbox, which the shard delivers
-//! to the local part, to another shard's mailbox or over a link.
+//! The parts exchange messages through an outbox. The shard delivers each message to its own front or
+//! gateway, to another shard's mailbox, or over a link to another node.
 //!
 //! A lock protects the shard's state. The shard's thread holds it while it handles events; the admin
 //! thread takes it to read the state for its reports.
@@ -296,8 +296,8 @@
 
     fn deliver_to_gateway(&mut self, node: NodeName, message: ToGateway, io: &mut Io) {
         if node != io.context.identity.node {
-            let lost = self.links.send(&node, PeerMessage::ToGateway(message), io);
-            if let Some(PeerMessage::ToGateway(message)) = lost {
+            let unsent = self.links.send(&node, PeerMessage::ToGateway(message), io);
+            if let Some(PeerMessage::ToGateway(message)) = unsent {
                 self.on_undelivered(message, io);
             }
             return;
--- a/crates/daemon/src/shard/recent_answers.rs
+++ b/crates/daemon/src/shard/recent_answers.rs
@@ -71,10 +71,9 @@
 
     /// The events of `lease` from number `sequence` on, in order.
     pub fn since(&self, lease: &LeaseId, sequence: u32) -> Vec<(u32, LeaseEvent)> {
-        let wanted =
-            |sent_event: &&SentEvent| sent_event.lease == *lease && sent_event.sequence >= sequence;
-        let wanted = self.events.iter().filter(wanted);
-        wanted.map(|sent_event| (sent_event.sequence, sent_event.event.clone())).collect()
+        let matches = |sent: &&SentEvent| sent.lease == *lease && sent.sequence >= sequence;
+        let matches = self.events.iter().filter(matches);
+        matches.map(|sent| (sent.sequence, sent.event.clone())).collect()
     }
 
     /// Whether the answer to an exchange that its front sent at most `sent_ago` ago would certainly
