--- a/crates/daemon/src/links/link.rs
+++ b/crates/daemon/src/links/link.rs
@@ -21,6 +21,7 @@
     connection: Connection,
     channel: Channel,
     target: Option<NodeName>,
+    /// Messages to send once the link is established.
     waiting: Vec<PeerMessage>,
     opened: Instant,
     last_used: Instant,
@@ -103,8 +104,8 @@
 
     /// The authenticated node on the other side, or the node that this link was opened for.
     pub fn node(&self) -> Option<&NodeName> {
-        let proved = self.channel.peer().filter(|_| self.channel.is_established());
-        proved.map(|peer| &peer.node).or(self.target.as_ref())
+        let authenticated = self.channel.peer().filter(|_| self.channel.is_established());
+        authenticated.map(|peer| &peer.node).or(self.target.as_ref())
     }
 
     /// Whether both sides have authenticated.
