--- a/crates/core/src/confirmation.rs
+++ b/crates/core/src/confirmation.rs
@@ -42,7 +42,7 @@
 
 /// What one instance answered to one probe.
 #[derive(Clone, Copy, Debug)]
-pub struct Evidence<'a> {
+pub struct FlushReport<'a> {
     /// The instance.
     pub instance: &'a InstanceName,
     /// The probe it answered.
@@ -94,7 +94,7 @@
     }
 
     /// Takes in what an instance answered; `majority` is the group's.
-    pub fn on_evidence(&mut self, evidence: Evidence, majority: usize) -> Verdict {
+    pub fn on_flush_report(&mut self, evidence: FlushReport, majority: usize) -> Verdict {
         if self.counts(&evidence) {
             self.confirmed_by.insert(evidence.instance.clone());
         }
@@ -114,7 +114,7 @@
         if self.confirmed_by.len() >= needed { Verdict::Confirmed } else { Verdict::Waiting }
     }
 
-    fn counts(&self, evidence: &Evidence) -> bool {
+    fn counts(&self, evidence: &FlushReport) -> bool {
         let reached = match self.rule {
             ConfirmationRule::Flushed => evidence.flushed.offset >= self.position.offset,
             ConfirmationRule::Term | ConfirmationRule::Answered => true,
--- a/crates/core/src/current_position.rs
+++ b/crates/core/src/current_position.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::confirmation::{Evidence, ProbeNumber};
+use crate::confirmation::{FlushReport, ProbeNumber};
 use crate::ids::InstanceName;
 use crate::position::Position;
 use crate::routing::Role;
@@ -40,7 +40,7 @@
     /// Takes in what an instance answered; the position once it is certain.
     pub fn on_evidence(
         &mut self,
-        evidence: Evidence,
+        evidence: FlushReport,
         role: Role,
         majority: usize,
     ) -> Option<Position> {
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -10,7 +10,7 @@
 
 /// What one instance last said of its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sighting {
+pub struct TermReport {
     /// Term it follows or leads.
     pub term: Term,
     /// When it was asked.
@@ -20,7 +20,7 @@
 /// The latest moment at which a majority is known to have followed `term`; `None` if never.
 pub fn confirmed_at(
     term: Term,
-    sightings: impl IntoIterator<Item = Sighting>,
+    sightings: impl IntoIterator<Item = TermReport>,
     majority: usize,
 ) -> Option<Instant> {
     let mut asked: Vec<Instant> = sightings
@@ -90,18 +90,18 @@
 }
 
 /// Time a group stays watched closely after the last statement.
-pub const ACTIVE_FOR: Duration = Duration::from_secs(1);
+pub const ACTIVE_DURATION: Duration = Duration::from_secs(1);
 /// Longest time of a search: a group that elects nobody is not probed at that pace for ever.
-pub const SEARCH_LIMIT: Duration = Duration::from_secs(10);
+pub const SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Decides the pace from what has happened.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Watch {
+pub struct PaceTracker {
     active_at: Option<Instant>,
     searching_since: Option<Instant>,
 }
 
-impl Watch {
+impl PaceTracker {
     /// A statement for the group's primary arrived.
     pub fn on_statement(&mut self, now: Instant) {
         self.active_at = Some(now);
@@ -122,9 +122,9 @@
         let within = |since: Option<Instant>, limit| {
             since.is_some_and(|since| now.saturating_duration_since(since) <= limit)
         };
-        if within(self.searching_since, SEARCH_LIMIT) {
+        if within(self.searching_since, SEARCH_TIMEOUT) {
             Pace::Searching
-        } else if within(self.active_at, ACTIVE_FOR) {
+        } else if within(self.active_at, ACTIVE_DURATION) {
             Pace::Active
         } else {
             Pace::Idle
--- a/crates/core/src/primary_evidence.rs
+++ b/crates/core/src/primary_evidence.rs
@@ -3,7 +3,7 @@
 //! A primary that has been replaced does not know it and goes on reading, so a node needs more than
 //! its own belief. Whoever replaces a primary first stops the replicas, then waits until evidence
 //! has lapsed, then promotes (`promotion`). So whoever saw at T that the replicas had not been
-//! stopped knows that no other primary answers a commit before T + [`EVIDENCE_LIFE`], whatever
+//! stopped knows that no other primary answers a commit before T + [`EVIDENCE_LIFETIME`], whatever
 //! becomes of it meanwhile: frozen, cut off, or not told. T is when the question was sent.
 //!
 //! Three things show it:
@@ -12,7 +12,7 @@
 //! - all replicas, if each says that it follows no higher term and has not been stopped above the term:
 //!   a successor is one of them, and never says so again;
 //! - enough of them ([`Replication::replicas_needed`]) that say so, if the store said at about the same
-//!   time that nobody replaces the primary ([`PrimaryEvidence::on_unreplaced`]). A promotion releases
+//!   time that nobody replaces the primary ([`PrimaryEvidence::on_no_replacement`]). A promotion releases
 //!   replicas that do not hear of it, too. Such a replica says what it said before, and may answer the
 //!   successor's commits a moment later; its word alone would pass for evidence of the old primary at a
 //!   node that is out of reach of the store.
@@ -31,13 +31,13 @@
 /// How long evidence covers arrivals. Whoever promotes waits for that long after the replicas have
 /// been stopped, unless every node has said that it gives its evidence up; so a longer life costs
 /// time in a failover where a node is out of reach, a shorter one more questions all the time.
-pub const EVIDENCE_LIFE: Duration = Duration::from_millis(1_000);
+pub const EVIDENCE_LIFETIME: Duration = Duration::from_millis(1_000);
 /// The same for a node that the others do not know of yet, and so do not wait for. Whoever promotes
 /// waits for that long in any case.
-pub const UNLISTED_EVIDENCE_LIFE: Duration = Duration::from_millis(200);
+pub const UNLISTED_EVIDENCE_LIFETIME: Duration = Duration::from_millis(200);
 /// Least time that the platform takes to promote: 300 ms on the platforms of today, less a margin. No
 /// replica is released by a replacement sooner after that was recorded in the store.
-pub const QUICKEST_PROMOTION: Duration = Duration::from_millis(100);
+pub const MIN_PROMOTION_TIME: Duration = Duration::from_millis(100);
 
 /// What a node knows of one group's primary.
 #[derive(Clone, Debug, Default)]
@@ -67,19 +67,19 @@
 
 /// What a replica said of itself, as far as it is evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Following {
+pub struct ReplicaTerms {
     /// Term that it follows.
     pub term: Term,
     /// Term above which it receives nothing, if it has been stopped.
-    pub held: Term,
+    pub min_term: Term,
 }
 
-impl Following {
+impl ReplicaTerms {
     /// The lowest term whose primary it is evidence for: it has received no commit of a higher one,
     /// and nobody had stopped it to promote above that. Whether it has heard of that primary itself
     /// does not matter: promotions release replicas that do not hear of them, too.
-    pub fn shows(&self) -> Term {
-        self.term.max(self.held)
+    pub fn supported_term(&self) -> Term {
+        self.term.max(self.min_term)
     }
 }
 
@@ -105,20 +105,20 @@
 
     /// An instance has led `term`, by its own word or the store's: there is no evidence for primaries of lower
     /// terms any more. What replicas show stays, since they need not have heard of that instance.
-    pub fn on_led(&mut self, term: Term) {
+    pub fn on_term_led(&mut self, term: Term) {
         self.led = self.led.max(term);
     }
 
     /// A replica answered at `answered` a question sent at `asked`.
-    pub fn on_replica(
+    pub fn on_replica_report(
         &mut self,
         replica: &InstanceName,
-        following: Following,
+        following: ReplicaTerms,
         asked: Instant,
         answered: Instant,
     ) {
         self.enter(following.term);
-        let shown = Shown { term: following.shows(), asked, answered };
+        let shown = Shown { term: following.supported_term(), asked, answered };
         if shown.term < self.term {
             self.replicas.remove(replica);
             return;
@@ -131,12 +131,12 @@
 
     /// The store, asked at `asked`, had nobody replace the primary that this node takes for it, and
     /// nobody who had replaced it.
-    pub fn on_unreplaced(&mut self, asked: Instant) {
+    pub fn on_no_replacement(&mut self, asked: Instant) {
         self.unreplaced = self.unreplaced.max(Some(asked));
     }
 
     /// Whether the replica's last word counts for `term` and covers arrivals until `now`.
-    pub fn is_shown_by(
+    pub fn has_valid_report(
         &self,
         replica: &InstanceName,
         term: Term,
@@ -168,7 +168,7 @@
     /// The node gives its evidence up, and takes no other of this term, until the replacement that
     /// is under way is over. Evidence of the successor's term counts, unless the node knows no term
     /// yet: then nothing does.
-    pub fn give_up(&mut self, id: ReplacementId) {
+    pub fn revoke(&mut self, id: ReplacementId) {
         if self.given_up.is_none_or(|(known, _)| known != id) {
             self.given_up = Some((id, self.term));
             self.unreplaced = None;
@@ -178,16 +178,16 @@
     /// A connection to the group broke: the process that showed the evidence may be gone. A primary
     /// that died may return and read before a replacement has ended that did not wait for evidence,
     /// since the primary refused connections. What is seen from now on counts.
-    pub fn forget(&mut self) {
+    pub fn discard(&mut self) {
         self.commit = None;
         self.replicas.clear();
         self.unreplaced = None;
     }
 
     /// The replacement is over: what is seen from now on counts.
-    pub fn take_up(&mut self) {
+    pub fn end_revocation(&mut self) {
         if self.given_up.take().is_some() {
-            self.forget();
+            self.discard();
         }
     }
 
@@ -198,12 +198,12 @@
     }
 
     /// An instance has started again: what the process before showed says nothing of this one.
-    pub fn on_started_again(&mut self, instance: &InstanceName) {
+    pub fn on_restart(&mut self, instance: &InstanceName) {
         self.replicas.remove(instance);
     }
 
     /// The replacement for which evidence has been given up.
-    pub fn given_up(&self) -> Option<ReplacementId> {
+    pub fn revoked_for(&self) -> Option<ReplacementId> {
         self.given_up.map(|(id, _)| id)
     }
 
@@ -253,7 +253,7 @@
 
     /// Whether no replacement can have released the replica before it answered.
     fn is_confirmed(&self, shown: &Shown) -> bool {
-        self.unreplaced.is_some_and(|asked| shown.answered <= asked + QUICKEST_PROMOTION)
+        self.unreplaced.is_some_and(|asked| shown.answered <= asked + MIN_PROMOTION_TIME)
     }
 
     /// When the oldest was asked of the `count` replicas that were asked last, among those that count
--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -105,8 +105,14 @@
         highest: Term,
         timing: Timing,
     ) -> Self {
-        let Need { reason, former, begun: others_stopped, promoting, .. } = need.clone();
-        let last_primary_follows = need.last_primary_follows;
+        let Need {
+            reason,
+            old_primary: former,
+            has_begun: others_stopped,
+            may_have_promoted: promoting,
+            ..
+        } = need.clone();
+        let last_primary_follows = need.last_primary_is_replica;
         // Whoever leads may be the one that the earlier holder had promoted.
         let outdated = match promoting || reason == Reason::Unfinished {
             true => BTreeSet::new(),
@@ -149,7 +155,7 @@
     }
 
     /// What nodes are to be told: the intent as it stands in the store, while the attempt is under way.
-    pub fn under_way(&self) -> Option<&Intent> {
+    pub fn recorded_intent(&self) -> Option<&Intent> {
         self.recorded.as_ref().filter(|_| self.phase != Phase::Over)
     }
 
@@ -166,7 +172,7 @@
     }
 
     /// The old primary.
-    pub fn former(&self) -> Option<&InstanceName> {
+    pub fn old_primary(&self) -> Option<&InstanceName> {
         self.intent.former.as_ref()
     }
 
@@ -211,8 +217,8 @@
             // Whoever has been promoted, by this holder or an earlier one, leads from now on.
             _ if successor.is_some() => {
                 self.chosen = successor;
-                commands.extend(self.chosen.clone().map(Command::Install));
-                self.phase = Phase::Settling { until: now + self.timing.demotion };
+                commands.extend(self.chosen.clone().map(Command::RecordSuccessor));
+                self.phase = Phase::Settling { until: now + self.timing.demotion_timeout };
             }
             Phase::Promoting { again } => {
                 self.question_other_leaders(now, commands);
@@ -227,7 +233,7 @@
                 }
             }
             _ if !self.wanted && !self.may_have_promoted() => {
-                self.phase = Phase::Cancelling { until: now + self.timing.release };
+                self.phase = Phase::Cancelling { until: now + self.timing.release_timeout };
             }
             Phase::Draining { until } => {
                 if now >= until {
@@ -237,10 +243,10 @@
             Phase::Stopping { since } => self.stop(since, now, commands),
             Phase::Lapsing { since } => {
                 let life = match self.given_up {
-                    true => self.timing.unlisted_evidence_life,
-                    false => self.timing.evidence_life,
+                    true => self.timing.unlisted_evidence_lifetime,
+                    false => self.timing.evidence_lifetime,
                 };
-                let wait = life.saturating_sub(self.timing.quickest_promotion);
+                let wait = life.saturating_sub(self.timing.min_promotion_time);
                 if now >= since + wait || self.nobody_reads_there() {
                     self.phase = Phase::Checking;
                 }
@@ -259,14 +265,14 @@
     fn record(&mut self, commands: &mut Vec<Command>) {
         if self.given.as_ref() != Some(&self.intent) {
             self.given = Some(self.intent.clone());
-            commands.push(Command::Record(self.intent.clone()));
+            commands.push(Command::RecordIntent(self.intent.clone()));
         }
     }
 
     /// The replicas that may run, the old primary among them once it follows. One at whose address another
     /// member answers has ended: what it held is gone, or is held by that one.
     fn replicas(&self) -> Vec<Member> {
-        let leading = self.former().filter(|_| !self.former_word.follows);
+        let leading = self.old_primary().filter(|_| !self.former_word.follows);
         let replicas = self.members.replicas(leading);
         replicas.filter(|member| !self.has_ended(member)).cloned().collect()
     }
@@ -280,11 +286,11 @@
     /// their logs. An old primary that is gone for good, or has lost its log as well, is not waited for.
     fn needed(&self) -> usize {
         let replicas = self.replicas();
-        let beside_it = match self.former() {
+        let beside_it = match self.old_primary() {
             Some(former) => replicas.iter().filter(|member| member.name != *former).count(),
             None => replicas.len().saturating_sub(usize::from(self.last_primary_follows)),
         };
-        self.members.needed_of(beside_it).min(self.logs_left()).max(1)
+        self.members.required_stops(beside_it).min(self.logs_left()).max(1)
     }
 
     /// Sends a command to an instance unless it was sent a moment ago.
@@ -297,7 +303,8 @@
         command: impl FnOnce(InstanceName) -> Command,
     ) {
         let key = (instance.clone(), kind);
-        let due = self.last_sent.get(&key).is_none_or(|sent| now >= *sent + self.timing.retry);
+        let due =
+            self.last_sent.get(&key).is_none_or(|sent| now >= *sent + self.timing.retry_interval);
         if due {
             self.last_sent.insert(key, now);
             commands.push(command(instance.clone()));
--- a/crates/core/src/promotion/attempt/answers.rs
+++ b/crates/core/src/promotion/attempt/answers.rs
@@ -7,7 +7,7 @@
 use crate::incarnation::has_started_again;
 use crate::position::Term;
 use crate::promotion::{
-    Event, Members, Phase, PromotionAnswer, Reason, Standing, Successor, Witnesses,
+    Event, Members, Phase, PromotionAnswer, Reason, ReplicationStatus, RestartReports, Successor,
 };
 use crate::routing::Role;
 
@@ -15,16 +15,16 @@
     /// Takes an event in.
     pub fn on_event(&mut self, event: Event, now: Instant) {
         match event {
-            Event::Recorded(intent) => {
+            Event::IntentRecorded(intent) => {
                 self.recorded = Some(intent);
                 if self.phase == Phase::Recording {
                     self.on_recorded(now);
                 }
             }
-            Event::Stands { instance, standing, sent } => {
+            Event::StatusReported { instance, status: standing, sent } => {
                 self.on_standing(instance, standing, sent)
             }
-            Event::Unanswered(_) => {}
+            Event::NoAnswer(_) => {}
             Event::Refused { instance, sent } => self.on_not_running(instance, sent),
             Event::Displaced { instance, sent } => {
                 self.displaced.insert(instance.clone());
@@ -32,7 +32,7 @@
             }
             Event::Promoted { instance, answer } => self.on_promoted(&instance, answer, now),
             Event::Members(members) => {
-                let leading = leading(&members, self.former());
+                let leading = leading(&members, self.old_primary());
                 self.leaders.outdated.retain(|name| leading.contains(name));
                 self.forget_ended_processes(&members, now);
                 self.ended.retain(|name| members.get(name).is_some_and(|member| member.has_left));
@@ -47,36 +47,36 @@
                     false => self.releases.on_not_stopped(&instance),
                 }
             }
-            Event::Starts { told, asked } => self.starts.on_told(told, asked),
-            Event::StartsUnknown => self.starts.on_unknown(now),
+            Event::Incarnations { by_instance: told, asked } => self.starts.on_told(told, asked),
+            Event::IncarnationsUnavailable => self.starts.on_unknown(now),
             Event::Refilled(refilled) => self.starts.on_refilled(refilled),
-            Event::HeardByAll(heard) => self.starts.on_heard_by_all(heard),
-            Event::EvidenceGivenUp => self.given_up = true,
-            Event::Wanted(wanted) => self.wanted = wanted,
+            Event::ReportsCombined(heard) => self.starts.on_heard_by_all(heard),
+            Event::EvidenceRevoked => self.given_up = true,
+            Event::StillNeeded(wanted) => self.wanted = wanted,
         }
     }
 
     /// Takes in what `nodes`, those that may read at the old primary, have said so far. Before the intent has been
     /// recorded the holder does not know all of them: its own list may be old, and lack a node that has entered
     /// itself since and relies on being waited for.
-    pub fn hear(&mut self, witnesses: &Witnesses, nodes: &[NodeName], now: Instant) {
+    pub fn on_reports(&mut self, witnesses: &RestartReports, nodes: &[NodeName], now: Instant) {
         if self.phase == Phase::Recording {
             return;
         }
         for refilled in witnesses.refilled() {
             self.on_event(Event::Refilled(refilled), now);
         }
-        if let Some(heard) = witnesses.heard_by_all(nodes) {
-            self.on_event(Event::HeardByAll(heard), now);
+        if let Some(heard) = witnesses.combined(nodes) {
+            self.on_event(Event::ReportsCombined(heard), now);
         }
-        if !nodes.is_empty() && witnesses.have_all_spoken(nodes) {
-            self.on_event(Event::EvidenceGivenUp, now);
+        if !nodes.is_empty() && witnesses.includes_all(nodes) {
+            self.on_event(Event::EvidenceRevoked, now);
         }
     }
 
     fn on_recorded(&mut self, now: Instant) {
         self.phase = match self.intent.reason {
-            Reason::Leaving => Phase::Draining { until: now + self.timing.drain },
+            Reason::Leaving => Phase::Draining { until: now + self.timing.drain_time },
             Reason::Suspected | Reason::Missing | Reason::Unfinished => {
                 Phase::Stopping { since: now }
             }
@@ -106,7 +106,7 @@
     }
 
     fn on_not_running(&mut self, instance: InstanceName, sent: Instant) {
-        if self.former() == Some(&instance) {
+        if self.old_primary() == Some(&instance) {
             self.former_word.refused = Some(sent);
         }
         if self.members.get(&instance).is_some_and(|member| member.has_left) {
@@ -118,17 +118,17 @@
         }
     }
 
-    fn on_standing(&mut self, instance: InstanceName, standing: Standing, sent: Instant) {
+    fn on_standing(&mut self, instance: InstanceName, standing: ReplicationStatus, sent: Instant) {
         self.displaced.remove(&instance);
         self.compare_with_heard(&instance, &standing);
-        let seen = standing.term.max(standing.held).max(standing.received.term);
+        let seen = standing.term.max(standing.min_term).max(standing.received.term);
         self.highest = self.highest.max(seen);
         let leads = standing.role == Role::Primary;
         if leads && self.chosen.as_ref() == Some(&instance) {
             self.on_chosen_leads(instance, standing.term, sent);
             return;
         }
-        if self.former() == Some(&instance) {
+        if self.old_primary() == Some(&instance) {
             self.on_former(&standing, sent);
             if leads {
                 return;
@@ -137,15 +137,15 @@
             self.judge_other_leader(&instance, &standing);
         }
         // One that answers a while after the platform had said so runs again.
-        let pause = self.timing.retry;
+        let pause = self.timing.retry_interval;
         self.not_running.retain(|name, said| *name != instance || sent < *said + pause);
         // A stop with a term that somebody has led is none: the replica receives on.
         let led = standing.term.max(standing.received.term);
-        let stopped_before = self.told.insert(instance.clone()) && standing.held >= self.term;
+        let stopped_before = self.told.insert(instance.clone()) && standing.min_term >= self.term;
         if (led >= self.term || stopped_before) && !self.is_committed() {
             self.stop_with_a_higher_term();
         }
-        let is_stopped = standing.held >= self.term && standing.role == Role::Replica;
+        let is_stopped = standing.min_term >= self.term && standing.role == Role::Replica;
         if is_stopped {
             let stopped = Stopped { received: standing.received, said: sent };
             if let Some(before) = self.stopped.insert(instance.clone(), stopped) {
@@ -154,7 +154,7 @@
         } else {
             self.stopped.remove(&instance);
             // Somebody else stopped it with a term as high.
-            if standing.held > self.term && !self.is_committed() {
+            if standing.min_term > self.term && !self.is_committed() {
                 self.stop_with_a_higher_term();
             }
         }
@@ -165,7 +165,7 @@
     fn on_chosen_leads(&mut self, instance: InstanceName, term: Term, sent: Instant) {
         let is_newest = self.former_word.answered.is_none_or(|answered| sent >= answered);
         let leads_again = self.former_word.follows && is_newest;
-        if self.former() != Some(&instance) || leads_again {
+        if self.old_primary() != Some(&instance) || leads_again {
             self.leads_by_its_word = Some(Successor { instance, term: Some(term) });
         }
     }
@@ -183,7 +183,7 @@
         }
         match answer {
             PromotionAnswer::Accepted => {
-                self.phase = Phase::Promoting { again: now + self.timing.announcement };
+                self.phase = Phase::Promoting { again: now + self.timing.announcement_timeout };
             }
             PromotionAnswer::NotRunning => {
                 // It has not been promoted and will not be: another one may be.
@@ -195,7 +195,7 @@
                 self.phase = Phase::Stopping { since: now };
             }
             PromotionAnswer::Unknown => {
-                self.phase = Phase::Promoting { again: now + self.timing.retry };
+                self.phase = Phase::Promoting { again: now + self.timing.retry_interval };
             }
         }
     }
--- a/crates/core/src/promotion/attempt/ending.rs
+++ b/crates/core/src/promotion/attempt/ending.rs
@@ -11,7 +11,7 @@
     /// The old primary first, then the replicas: one that receives again while the old primary still
     /// leads, and that cannot hear of the successor, would follow it and say so.
     pub(super) fn settle(&mut self, until: Instant, now: Instant, commands: &mut Vec<Command>) {
-        let since = until - self.timing.demotion;
+        let since = until - self.timing.demotion_timeout;
         let is_in_order = !self.former_still_leads(since) && self.leaders.returned.is_empty();
         if is_in_order || self.chosen_again {
             self.release(now, commands);
@@ -28,7 +28,7 @@
             commands.push(Command::Finish { id: self.intent.id, successor });
             self.phase = Phase::Over;
         } else if let (false, Some(instance)) = (has_term, self.chosen.clone()) {
-            self.send(&instance, Repeated::Ask, now, commands, Command::Ask);
+            self.send(&instance, Repeated::Ask, now, commands, Command::QueryStatus);
         }
     }
 
@@ -51,10 +51,13 @@
     /// to go on with the old primary meanwhile.
     pub(super) fn cancel(&mut self, until: Instant, now: Instant, commands: &mut Vec<Command>) {
         self.release(now, commands);
-        let since = until - self.timing.release;
+        let since = until - self.timing.release_timeout;
         // One change of the store at a time.
         let mut is_changing = self.given != self.recorded;
-        if !self.all_released() && now >= since + self.timing.call_off && !is_changing {
+        if !self.all_released()
+            && now >= since + self.timing.cancellation_notice_delay
+            && !is_changing
+        {
             self.intent.called_off = true;
             self.intent.promoting = false;
             self.record(commands);
--- a/crates/core/src/promotion/attempt/former.rs
+++ b/crates/core/src/promotion/attempt/former.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::{Attempt, Repeated};
-use crate::promotion::{Command, Reason, Standing};
+use crate::promotion::{Command, Reason, ReplicationStatus};
 use crate::routing::Role;
 
 /// What the old primary has said.
@@ -24,7 +24,7 @@
     pub(super) fn question_former_if_chosen(&mut self, now: Instant, commands: &mut Vec<Command>) {
         let former = self.intent.former.clone();
         if let Some(former) = former.filter(|former| self.chosen.as_ref() == Some(former)) {
-            self.send(&former, Repeated::Ask, now, commands, Command::Ask);
+            self.send(&former, Repeated::Ask, now, commands, Command::QueryStatus);
         }
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// It has answered.
-    pub(super) fn on_former(&mut self, standing: &Standing, sent: Instant) {
+    pub(super) fn on_former(&mut self, standing: &ReplicationStatus, sent: Instant) {
         self.former_word.follows = standing.role == Role::Replica;
         self.former_word.answered = Some(sent);
         // An old primary that answers again does not refuse any more.
@@ -50,7 +50,7 @@
     /// Whether the old primary may lead. One that has refused a connection since its successor led
     /// returns as a replica.
     pub(super) fn former_still_leads(&self, since: Instant) -> bool {
-        let former = self.former().and_then(|name| self.members.get(name));
+        let former = self.old_primary().and_then(|name| self.members.get(name));
         let is_down = self.former_word.refused.is_some_and(|refused| refused >= since);
         // One that has vanished tells nobody whether it leads.
         let may_lead =
@@ -67,7 +67,7 @@
 
     pub(super) fn ask_former(&mut self, now: Instant, commands: &mut Vec<Command>) {
         if let Some(former) = self.intent.former.clone() {
-            self.send(&former, Repeated::Ask, now, commands, Command::Ask);
+            self.send(&former, Repeated::Ask, now, commands, Command::QueryStatus);
         }
     }
 }
--- a/crates/core/src/promotion/attempt/leaders.rs
+++ b/crates/core/src/promotion/attempt/leaders.rs
@@ -5,7 +5,7 @@
 
 use super::{Attempt, Repeated};
 use crate::ids::InstanceName;
-use crate::promotion::{Command, Members, Standing};
+use crate::promotion::{Command, Members, ReplicationStatus};
 use crate::routing::Role;
 
 /// What is known of those that say they lead and have not been chosen.
@@ -31,7 +31,7 @@
 impl Attempt {
     /// The member that leads in place of the old primary.
     pub(super) fn successor(&self) -> Option<InstanceName> {
-        let leading = leading(&self.members, self.former());
+        let leading = leading(&self.members, self.old_primary());
         let may_be =
             |name: &InstanceName| !self.leaders.outdated.contains(name) && self.may_succeed(name);
         let told = leading.into_iter().find(may_be);
@@ -51,7 +51,7 @@
     /// Asks members other than the chosen one that say they lead which term that is, and has those step
     /// down that lead an old one.
     pub(super) fn question_other_leaders(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        let leading = leading(&self.members, self.former());
+        let leading = leading(&self.members, self.old_primary());
         let other = |name: &&InstanceName| {
             self.chosen.as_ref() != Some(*name) && !self.leaders.outdated.contains(*name)
         };
@@ -60,13 +60,17 @@
             if self.leaders.returned.contains(&name) {
                 self.demote(&name, now, commands);
             } else {
-                self.send(&name, Repeated::Ask, now, commands, Command::Ask);
+                self.send(&name, Repeated::Ask, now, commands, Command::QueryStatus);
             }
         }
     }
 
     /// What an instance that is neither the old primary nor the chosen one says of leading.
-    pub(super) fn judge_other_leader(&mut self, instance: &InstanceName, standing: &Standing) {
+    pub(super) fn judge_other_leader(
+        &mut self,
+        instance: &InstanceName,
+        standing: &ReplicationStatus,
+    ) {
         if !self.is_committed() || standing.role == Role::Replica {
             self.leaders.returned.remove(instance);
             return;
--- a/crates/core/src/promotion/attempt/promoting.rs
+++ b/crates/core/src/promotion/attempt/promoting.rs
@@ -13,15 +13,15 @@
         // A primary that answers can still read, and one without replicas that receive cannot be
         // helped by stopping those.
         let answers =
-            self.former_word.answered.is_some_and(|sent| now < sent + self.timing.stopping);
+            self.former_word.answered.is_some_and(|sent| now < sent + self.timing.stopping_timeout);
         let works = !self.former_word.follows && (self.intent.reason == Reason::Leaving || answers);
         let ends = works && !self.may_have_promoted();
-        if ends && now >= since + self.timing.stopping {
-            self.phase = Phase::Cancelling { until: now + self.timing.release };
+        if ends && now >= since + self.timing.stopping_timeout {
+            self.phase = Phase::Cancelling { until: now + self.timing.release_timeout };
             return;
         }
         // Which of them still have their logs is not known yet.
-        if !self.members.knows_starts {
+        if !self.members.knows_restarts {
             return;
         }
         if self.term <= self.highest && self.stopped.is_empty() {
@@ -37,7 +37,7 @@
                 continue;
             }
             if !self.told.contains(&replica.name) {
-                self.send(&replica.name, Repeated::Ask, now, commands, Command::Ask);
+                self.send(&replica.name, Repeated::Ask, now, commands, Command::QueryStatus);
                 continue;
             }
             self.releases.on_stop_sent(replica.name.clone());
@@ -66,7 +66,7 @@
     /// started again may have reached it.
     fn let_refill(&mut self, replica: &InstanceName, now: Instant, commands: &mut Vec<Command>) {
         self.stopped.remove(replica);
-        self.send(replica, Repeated::Ask, now, commands, Command::Ask);
+        self.send(replica, Repeated::Ask, now, commands, Command::QueryStatus);
         if self.releases.was_stopped(replica) {
             self.send(replica, Repeated::Release, now, commands, Command::Release);
         }
@@ -75,7 +75,7 @@
     /// Whether one of those stopped holds every answered commit, and no further one is answered.
     fn enough_stopped(&self) -> bool {
         let stopped = self.stopped.keys().filter(|name| self.has_its_log(name)).count();
-        self.members.knows_starts && stopped >= self.needed()
+        self.members.knows_restarts && stopped >= self.needed()
     }
 
     pub(super) fn check(&mut self, now: Instant, commands: &mut Vec<Command>) {
@@ -108,7 +108,7 @@
             return;
         }
         for name in unchecked {
-            self.send(&name, Repeated::Ask, now, commands, Command::Ask);
+            self.send(&name, Repeated::Ask, now, commands, Command::QueryStatus);
         }
     }
 
@@ -128,7 +128,7 @@
             return;
         };
         if self.would_only_move(&best) {
-            self.phase = Phase::Cancelling { until: now + self.timing.release };
+            self.phase = Phase::Cancelling { until: now + self.timing.release_timeout };
             return;
         }
         if self.chosen.as_ref().is_some_and(|chosen| !self.is_as_good(chosen, &best)) {
@@ -138,7 +138,7 @@
         // A successor that dies at once has released replicas that have not heard of it: they would
         // follow an old primary that still leads, and it would answer commits.
         self.demote_former(now, commands);
-        self.phase = Phase::Promoting { again: now + self.timing.announcement };
+        self.phase = Phase::Promoting { again: now + self.timing.announcement_timeout };
         self.sent_promotions += 1;
         commands.push(Command::Promote(chosen));
     }
--- a/crates/core/src/promotion/attempt/releases.rs
+++ b/crates/core/src/promotion/attempt/releases.rs
@@ -64,7 +64,7 @@
     /// The old primary, if it is told as a replica: an earlier holder may have stopped it as one, and a successor of a
     /// lower term than that would wait for it in vain.
     fn former_that_follows(&self) -> Option<InstanceName> {
-        let former = self.members.get(self.former()?)?;
+        let former = self.members.get(self.old_primary()?)?;
         (!former.leads).then(|| former.name.clone())
     }
 
--- a/crates/core/src/promotion/attempt/starts.rs
+++ b/crates/core/src/promotion/attempt/starts.rs
@@ -11,7 +11,7 @@
 use crate::ids::InstanceName;
 use crate::incarnation::InstanceIncarnation;
 use crate::position::Position;
-use crate::promotion::{Command, HeardByAll, Member, SeenStart, Standing};
+use crate::promotion::{CombinedReport, Command, Member, ObservedRestart, ReplicationStatus};
 
 /// Time after which an answer of the store is not waited for any more: its calls are given up before.
 const STORE_ANSWERS_WITHIN: Duration = Duration::from_secs(3);
@@ -32,7 +32,7 @@
     /// Starts since which an instance has received everything, as nodes have seen it.
     refilled: BTreeMap<InstanceName, InstanceIncarnation>,
     /// What all nodes have heard of the primary.
-    heard: Option<HeardByAll>,
+    heard: Option<CombinedReport>,
 }
 
 impl Starts {
@@ -50,12 +50,12 @@
     }
 
     /// A node has seen an instance receive everything since a start.
-    pub fn on_refilled(&mut self, refilled: SeenStart) {
-        self.refilled.insert(refilled.instance, refilled.start);
+    pub fn on_refilled(&mut self, refilled: ObservedRestart) {
+        self.refilled.insert(refilled.instance, refilled.incarnation);
     }
 
     /// All nodes have said what they have heard.
-    pub fn on_heard_by_all(&mut self, heard: HeardByAll) {
+    pub fn on_heard_by_all(&mut self, heard: CombinedReport) {
         self.heard = Some(heard);
     }
 
@@ -74,13 +74,13 @@
         if self.starts.asked.is_some_and(|asked| asked >= since) {
             return true;
         }
-        let pause = self.timing.store_retry;
+        let pause = self.timing.store_retry_interval;
         let is_early = self.starts.failed.is_some_and(|failed| now < failed + pause);
         let is_waiting =
             self.starts.waiting.is_some_and(|asked| now < asked + STORE_ANSWERS_WITHIN);
         if !is_waiting && !is_early {
             self.starts.waiting = Some(now);
-            commands.push(Command::ReadStarts);
+            commands.push(Command::ReadIncarnations);
         }
         false
     }
@@ -92,13 +92,17 @@
 
     /// An instance whose start all nodes have seen holds everything if it has received what any of them has heard:
     /// none has passed on a commit beyond that.
-    pub(super) fn compare_with_heard(&mut self, instance: &InstanceName, standing: &Standing) {
+    pub(super) fn compare_with_heard(
+        &mut self,
+        instance: &InstanceName,
+        standing: &ReplicationStatus,
+    ) {
         let Some(heard) = &self.starts.heard else { return };
         let member = self.members.get(instance);
         let Some(start) = member.and_then(|member| member.incarnation) else { return };
-        let seen = SeenStart { instance: instance.clone(), start };
+        let seen = ObservedRestart { instance: instance.clone(), incarnation: start };
         let received = (standing.received.term, standing.received.offset);
-        let has_received = received >= (heard.highest.term, heard.highest.offset);
+        let has_received = received >= (heard.highest_position.term, heard.highest_position.offset);
         if has_received && heard.started_again.contains(&seen) {
             self.starts.on_refilled(seen);
         }
--- a/crates/core/src/promotion/coordination.rs
+++ b/crates/core/src/promotion/coordination.rs
@@ -33,7 +33,7 @@
 
 /// Who holds the right to act.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holder {
+pub struct Coordinator {
     /// The node.
     pub node: NodeName,
     /// Its fence.
@@ -48,7 +48,7 @@
     /// Revision of the store; zero before the first.
     pub revision: u64,
     /// Who acts.
-    pub holder: Option<Holder>,
+    pub coordinator: Option<Coordinator>,
     /// Attempts under way, or left unfinished.
     pub intents: BTreeMap<GroupName, Intent>,
     /// What nodes suspect.
--- a/crates/core/src/promotion/electorate.rs
+++ b/crates/core/src/promotion/electorate.rs
@@ -18,7 +18,7 @@
 impl Electorate {
     /// The nodes that count: of those `listed` the ones that live, or did a while ago. A machine that
     /// was lost for good stays in the list, and would otherwise count for ever.
-    pub fn counted(
+    pub fn eligible(
         &mut self,
         listed: &[NodeName],
         live: &[NodeName],
--- a/crates/core/src/promotion/known.rs
+++ b/crates/core/src/promotion/known_instances.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use super::refill::Refill;
-use super::{Member, Members, SeenStart, Standing, Witness};
+use super::{Member, Members, ObservedRestart, ReplicationStatus, RestartReport};
 use crate::catalog::{Elector, Group, IndexedCatalog, Instance};
 use crate::ids::{GroupName, InstanceName};
 use crate::incarnation::has_started_again;
@@ -64,13 +64,18 @@
     }
 
     /// Its start, if it was seen to have started again.
-    fn seen_start(&self) -> Option<SeenStart> {
+    fn seen_start(&self) -> Option<ObservedRestart> {
         let start = self.instance.incarnation.filter(|_| self.has_started_again)?;
-        Some(SeenStart { instance: self.instance.name.clone(), start })
+        Some(ObservedRestart { instance: self.instance.name.clone(), incarnation: start })
     }
 
     /// An instance of its group said how it stands.
-    fn on_standing(&mut self, instance: &InstanceName, standing: &Standing, asked: Instant) {
+    fn on_standing(
+        &mut self,
+        instance: &InstanceName,
+        standing: &ReplicationStatus,
+        asked: Instant,
+    ) {
         let Some(refill) = &mut self.refill else { return };
         if self.instance.name != *instance {
             refill.on_primary(standing, asked);
@@ -100,7 +105,7 @@
 
 impl KnownInstances {
     /// Takes in a catalog that is in force since `now`.
-    pub fn follow(&mut self, catalog: &IndexedCatalog, now: Instant) {
+    pub fn apply_catalog(&mut self, catalog: &IndexedCatalog, now: Instant) {
         let groups = catalog.groups.iter();
         let led = groups.filter(|(_, group)| group.elector == Elector::Proxy);
         for (name, group) in led {
@@ -114,7 +119,7 @@
     }
 
     /// Time has passed since the catalog was taken in. Returns how many groups were looked at.
-    pub fn pass_time(&mut self, now: Instant) -> usize {
+    pub fn advance_time(&mut self, now: Instant) -> usize {
         let looked_at = self.unsettled.len();
         self.unsettled.retain(|name| {
             self.groups.get_mut(name).is_some_and(|group| {
@@ -126,7 +131,7 @@
     }
 
     /// What is known of some groups.
-    pub fn part<'a>(&self, groups: impl IntoIterator<Item = &'a GroupName>) -> Self {
+    pub fn subset<'a>(&self, groups: impl IntoIterator<Item = &'a GroupName>) -> Self {
         let known = groups
             .into_iter()
             .filter_map(|name| Some((name.clone(), self.groups.get(name)?.clone())));
@@ -160,22 +165,22 @@
         let mut all: Vec<Member> = known_group.instances.values().map(member).collect();
         all.sort_by(|one, other| one.name.cmp(&other.name));
         let knows_starts = known_group.knows_starts(known_group.looked);
-        Members { all, synchronous: known_group.synchronous, knows_starts }
+        Members { all, synchronous: known_group.synchronous, knows_restarts: knows_starts }
     }
 
     /// Whether this node knows which instances of a group have started again a moment ago: it has watched
     /// them for long enough, or the platform tells no starts. A node that does not know must not compare
     /// what they hold.
-    pub fn knows_starts(&self, group: &GroupName, now: Instant) -> bool {
+    pub fn knows_restarts(&self, group: &GroupName, now: Instant) -> bool {
         self.groups.get(group).is_some_and(|known| known.knows_starts(now))
     }
 
     /// An instance, asked at `asked`, said how it stands.
-    pub fn on_standing(
+    pub fn on_status(
         &mut self,
         group: &GroupName,
         instance: &InstanceName,
-        standing: &Standing,
+        standing: &ReplicationStatus,
         asked: Instant,
     ) {
         let Some(known) = self.groups.get_mut(group) else { return };
@@ -184,7 +189,7 @@
 
     /// The instances to ask how they stand, so that those that have started again show when they hold
     /// everything: they, and the instance that leads. None where nothing has started again.
-    pub fn to_ask_for_refills(&self, group: &GroupName) -> Vec<InstanceName> {
+    pub fn refill_status_targets(&self, group: &GroupName) -> Vec<InstanceName> {
         let Some(known) = self.groups.get(group) else { return Vec::new() };
         let is_refilling = |known: &&Known| known.refill.is_some();
         if !known.instances.values().any(|known| is_refilling(&known)) {
@@ -208,11 +213,11 @@
 
     /// What this node has seen of a group's instances that have started again; `heard` is the highest position
     /// that its primary has told this node.
-    pub fn witness(&self, group: &GroupName, heard: Option<Position>) -> Witness {
+    pub fn restart_report(&self, group: &GroupName, heard: Option<Position>) -> RestartReport {
         let Some(known) = self.groups.get(group) else {
-            return Witness { heard, ..Witness::default() };
+            return RestartReport { primary_position: heard, ..RestartReport::default() };
         };
-        let seen_starts = |refilled: bool| -> Vec<SeenStart> {
+        let seen_starts = |refilled: bool| -> Vec<ObservedRestart> {
             let chosen = known.instances.values().filter(|one| one.refill.is_none() == refilled);
             chosen.filter_map(Known::seen_start).collect()
         };
@@ -222,7 +227,7 @@
             true => Vec::new(),
             false => seen_starts(false).into_iter().chain(refilled.iter().cloned()).collect(),
         };
-        Witness { started_again, refilled, heard }
+        RestartReport { started_again, refilled, primary_position: heard }
     }
 
     /// Where an instance listens.
--- a/crates/core/src/promotion/heard.rs
+++ b/crates/core/src/promotion/known_replacements.rs
@@ -10,7 +10,7 @@
 use crate::ids::{GroupName, InstanceName};
 
 /// Time between two messages about a replacement to one node.
-pub const TELL_INTERVAL: Duration = Duration::from_millis(50);
+pub const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a replacement counts as under way that its holder told of last and the store does not show: the holder
 /// may be gone.
 const TOLD_FOR: Duration = Duration::from_millis(1_000);
@@ -38,7 +38,7 @@
 
 /// Replacements that a node has heard of.
 #[derive(Clone, Debug, Default)]
-pub struct HeardReplacements {
+pub struct KnownReplacements {
     in_store: BTreeMap<GroupName, Intent>,
     told: BTreeMap<GroupName, Told>,
     /// When the newest of each group began.
@@ -47,9 +47,9 @@
     over: BTreeMap<GroupName, ReplacementId>,
 }
 
-impl HeardReplacements {
+impl KnownReplacements {
     /// The store shows `intents` now.
-    pub fn follow_store(&mut self, intents: &BTreeMap<GroupName, Intent>, now: Instant) {
+    pub fn update_from_store(&mut self, intents: &BTreeMap<GroupName, Intent>, now: Instant) {
         let gone: Vec<(GroupName, ReplacementId)> = self
             .in_store
             .iter()
@@ -57,7 +57,7 @@
             .map(|(group, known)| (group.clone(), known.id))
             .collect();
         for (group, id) in gone {
-            self.on_over(&group, id);
+            self.on_finished(&group, id);
         }
         for (group, intent) in intents {
             let begun = Begun { id: intent.id, at: now, is_told: false };
@@ -67,7 +67,13 @@
     }
 
     /// The holder of a replacement says that it is under way, and has known it to be recorded for `age`.
-    pub fn on_told(&mut self, group: &GroupName, intent: Intent, age: Duration, now: Instant) {
+    pub fn on_notification(
+        &mut self,
+        group: &GroupName,
+        intent: Intent,
+        age: Duration,
+        now: Instant,
+    ) {
         let is_over = self.over.get(group).is_some_and(|over| intent.id <= *over);
         let is_old = self.told.get(group).is_some_and(|told| intent.id < told.intent.id);
         if is_over || is_old {
@@ -79,7 +85,7 @@
     }
 
     /// A replacement is over, and so are earlier ones of its group.
-    pub fn on_over(&mut self, group: &GroupName, id: ReplacementId) {
+    pub fn on_finished(&mut self, group: &GroupName, id: ReplacementId) {
         let newest = self.over.entry(group.clone()).or_insert(id);
         *newest = id.max(*newest);
         let newest = *newest;
@@ -87,7 +93,7 @@
     }
 
     /// Drops what a holder has not told again for a while; whether there was any.
-    pub fn pass_time(&mut self, now: Instant) -> bool {
+    pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.told.len();
         self.told.retain(|_, told| now < told.at + TOLD_FOR);
         self.told.len() < before
@@ -107,7 +113,7 @@
 
     /// Whether a commit counts that `instance` answered: not if it is being replaced, and has been for so long that
     /// somebody else may have been chosen without that commit.
-    pub fn answer_counts(&self, group: &GroupName, instance: &InstanceName, now: Instant) -> bool {
+    pub fn accepts_commit(&self, group: &GroupName, instance: &InstanceName, now: Instant) -> bool {
         let told = self.told.get(group).map(|told| &told.intent);
         let newest = self.in_store.get(group).into_iter().chain(told).max_by_key(|one| one.id);
         let Some(intent) = newest.filter(|intent| !intent.called_off) else { return true };
@@ -115,7 +121,7 @@
             return true;
         }
         let drain = match intent.reason {
-            Reason::Leaving => Timing::default().drain,
+            Reason::Leaving => Timing::default().drain_time,
             Reason::Suspected | Reason::Missing | Reason::Unfinished => Duration::ZERO,
         };
         let begun = self.began.get(group).filter(|begun| begun.id == intent.id);
--- a/crates/core/src/promotion/members.rs
+++ b/crates/core/src/promotion/members.rs
@@ -32,7 +32,7 @@
     /// Replicas that must have received a commit before the primary answers it.
     pub synchronous: u32,
     /// Whether this node has watched them for long enough to know which of them have started again.
-    pub knows_starts: bool,
+    pub knows_restarts: bool,
 }
 
 impl Members {
@@ -53,7 +53,7 @@
     /// answer no further commit and one of those stopped holds every commit that was answered. A commit was
     /// held by the primary and `synchronous` replicas when it was answered; it does not matter which instances
     /// are stopped, the primary once it follows among them, if only they still have their logs.
-    pub fn needed_of(&self, replicas: usize) -> usize {
+    pub fn required_stops(&self, replicas: usize) -> usize {
         let spare = (self.synchronous as usize).saturating_sub(1);
         replicas.saturating_sub(spare).max(1)
     }
--- a/crates/core/src/promotion/mod.rs
+++ b/crates/core/src/promotion/mod.rs
@@ -24,27 +24,27 @@
 mod attempt;
 mod coordination;
 mod electorate;
-mod eras;
-mod heard;
-mod known;
+mod known_instances;
+mod known_replacements;
 mod members;
 mod needs;
 mod refill;
+mod restart_reports;
 mod steps;
+mod store_eras;
 mod timing;
-mod witness;
 
 pub use attempt::Attempt;
-pub use coordination::{CoordinationView, Holder, NodeVotes, Successor, Vote};
+pub use coordination::{CoordinationView, Coordinator, NodeVotes, Successor, Vote};
 pub use electorate::Electorate;
-pub use eras::{HOLD_LIFE, KnownEra};
-pub use heard::{HeardReplacements, TELL_INTERVAL};
-pub use known::KnownInstances;
+pub use known_instances::KnownInstances;
+pub use known_replacements::{KnownReplacements, NOTIFY_INTERVAL};
 pub use members::{Member, Members};
-pub use needs::{Need, NeedsEvidence, NeedsJudge};
+pub use needs::{Need, NeedsEvaluator, NeedsInput};
+pub use restart_reports::{CombinedReport, ObservedRestart, RestartReport, RestartReports};
 pub use steps::{Command, Event, Phase};
+pub use store_eras::{COORDINATOR_LEASE_DURATION, StoreEraTracker};
 pub use timing::Timing;
-pub use witness::{HeardByAll, SeenStart, Witness, Witnesses};
 
 use std::collections::BTreeMap;
 
@@ -101,14 +101,14 @@
 }
 
 /// The attempts that nodes heed: those that have not been called off.
-pub fn heeded(intents: &BTreeMap<GroupName, Intent>) -> BTreeMap<GroupName, Intent> {
+pub fn active_intents(intents: &BTreeMap<GroupName, Intent>) -> BTreeMap<GroupName, Intent> {
     let heeded = intents.iter().filter(|(_, intent)| !intent.called_off);
     heeded.map(|(group, intent)| (group.clone(), intent.clone())).collect()
 }
 
 /// What an instance says of itself when it is asked, stopped or demoted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct ReplicationStatus {
     /// Its role.
     pub role: Role,
     /// Term that it follows or leads.
@@ -116,7 +116,7 @@
     /// Position that it has received.
     pub received: Position,
     /// Term below which it receives nothing, if it has been stopped.
-    pub held: Term,
+    pub min_term: Term,
 }
 
 /// What the platform answered to a promotion.
--- a/crates/core/src/promotion/needs.rs
+++ b/crates/core/src/promotion/needs.rs
@@ -25,21 +25,21 @@
     /// Why.
     pub reason: Reason,
     /// The primary, if one is known.
-    pub former: Option<InstanceName>,
+    pub old_primary: Option<InstanceName>,
     /// Whether the reason still holds; an attempt that was left unfinished is finished in any case.
-    pub wanted: bool,
+    pub is_current: bool,
     /// Whether an attempt has been begun: replicas may be stopped.
-    pub begun: bool,
+    pub has_begun: bool,
     /// Whether a promotion may have been sent by whoever began it.
-    pub promoting: bool,
+    pub may_have_promoted: bool,
     /// Whether the last primary is one of the instances that are told, as a replica by now.
-    pub last_primary_follows: bool,
+    pub last_primary_is_replica: bool,
 }
 
 impl Need {
     /// Whether it calls for somebody to act, rather than for whoever acts to go on.
-    pub fn calls_for_action(&self) -> bool {
-        self.wanted || self.promoting || self.reason == Reason::Unfinished
+    pub fn needs_coordinator(&self) -> bool {
+        self.is_current || self.may_have_promoted || self.reason == Reason::Unfinished
     }
 }
 
@@ -63,7 +63,7 @@
 
 /// Judges all groups.
 #[derive(Clone, Debug, Default)]
-pub struct NeedsJudge {
+pub struct NeedsEvaluator {
     groups: HashMap<GroupName, History>,
     /// Groups of the catalog that need something, or may once time has passed.
     unsettled: BTreeSet<GroupName>,
@@ -72,7 +72,7 @@
 
 /// What needs are judged by.
 #[derive(Clone, Copy, Debug)]
-pub struct NeedsEvidence<'a> {
+pub struct NeedsInput<'a> {
     /// The configuration.
     pub catalog: &'a IndexedCatalog,
     /// What the store says.
@@ -88,9 +88,9 @@
     pub now: Instant,
 }
 
-impl NeedsJudge {
+impl NeedsEvaluator {
     /// Takes in a catalog that has come into force. To be called before the judgement goes by it.
-    pub fn follow(&mut self, catalog: &IndexedCatalog) {
+    pub fn apply_catalog(&mut self, catalog: &IndexedCatalog) {
         let led = catalog.groups.iter().filter(|(_, group)| group.elector == Elector::Proxy);
         self.unsettled.clear();
         for (name, group) in led {
@@ -107,7 +107,7 @@
     }
 
     /// Needs by group.
-    pub fn judge(&mut self, evidence: &NeedsEvidence) -> BTreeMap<GroupName, Need> {
+    pub fn evaluate(&mut self, evidence: &NeedsInput) -> BTreeMap<GroupName, Need> {
         let mut needs = BTreeMap::new();
         for name in self.in_question(evidence) {
             let Some(group) = evidence.catalog.groups.get(&name) else { continue };
@@ -126,7 +126,7 @@
     }
 
     /// The groups that may need something.
-    fn in_question(&self, evidence: &NeedsEvidence) -> BTreeSet<GroupName> {
+    fn in_question(&self, evidence: &NeedsInput) -> BTreeSet<GroupName> {
         let others = evidence.view.votes.values();
         let voted = others.chain([evidence.own.1]).flat_map(|votes| votes.keys());
         let replaced = evidence.view.intents.keys();
@@ -134,12 +134,12 @@
     }
 
     /// How many judgements of single groups have been made so far.
-    pub fn judged(&self) -> u64 {
+    pub fn evaluation_count(&self) -> u64 {
         self.judged
     }
 
     /// An attempt was called off: the next one waits a while.
-    pub fn on_called_off(&mut self, group: &GroupName, now: Instant) {
+    pub fn on_cancelled(&mut self, group: &GroupName, now: Instant) {
         self.groups.entry(group.clone()).or_default().paused_until = Some(now + PAUSE);
     }
 }
@@ -155,7 +155,7 @@
     name: &GroupName,
     group: &Group,
     history: &mut History,
-    evidence: &NeedsEvidence,
+    evidence: &NeedsInput,
 ) -> Option<Need> {
     let now = evidence.now;
     let current = current_need(name, group, history, evidence);
@@ -164,11 +164,11 @@
         // Whoever began this is gone, or it is this node: what was begun is brought to an end.
         (Some(intent), current) => Some(Need {
             reason: current.as_ref().map_or(Reason::Unfinished, |need| need.reason),
-            former: intent.former.clone(),
-            wanted: current.is_some(),
-            begun: true,
-            promoting: intent.promoting,
-            last_primary_follows: last_primary_follows(group, history),
+            old_primary: intent.former.clone(),
+            is_current: current.is_some(),
+            has_begun: true,
+            may_have_promoted: intent.promoting,
+            last_primary_is_replica: last_primary_follows(group, history),
         }),
         (None, Some(_)) if is_paused => None,
         (None, current) => current,
@@ -179,13 +179,20 @@
     name: &GroupName,
     group: &Group,
     history: &mut History,
-    evidence: &NeedsEvidence,
+    evidence: &NeedsInput,
 ) -> Option<Need> {
     let now = evidence.now;
     let last_primary_follows = last_primary_follows(group, history);
     let need = |reason, former| {
         let (wanted, begun, promoting) = (true, false, false);
-        Some(Need { reason, former, wanted, begun, promoting, last_primary_follows })
+        Some(Need {
+            reason,
+            old_primary: former,
+            is_current: wanted,
+            has_begun: begun,
+            may_have_promoted: promoting,
+            last_primary_is_replica: last_primary_follows,
+        })
     };
     let intent = evidence.view.intents.get(name);
     let former = intent.and_then(|intent| intent.former.as_ref());
@@ -201,7 +208,7 @@
         return need(Reason::Leaving, Some(primary.name.clone()));
     }
     let votes = votes_against(name, group, &primary.name, history, evidence);
-    match votes.suffice(now) {
+    match votes.are_sufficient(now) {
         true => need(Reason::Suspected, Some(primary.name.clone())),
         false => None,
     }
@@ -220,7 +227,7 @@
     group: &Group,
     primary: &InstanceName,
     history: &mut History,
-    evidence: &NeedsEvidence,
+    evidence: &NeedsInput,
 ) -> Votes {
     let (own, own_votes) = evidence.own;
     let against = |votes: &NodeVotes| votes.get(name).is_some_and(|vote| vote.instance == *primary);
@@ -234,9 +241,9 @@
     if evidence.listed.is_empty() {
         return Votes::default();
     }
-    history.third_since = match Votes::is_third(suspecting, voters) {
+    history.third_since = match Votes::reaches_third(suspecting, voters) {
         true => history.third_since.or(Some(evidence.now)),
         false => None,
     };
-    Votes { suspecting, voters, third_since: history.third_since }
+    Votes { suspecting, voters, at_least_third_since: history.third_since }
 }
--- a/crates/core/src/promotion/refill.rs
+++ b/crates/core/src/promotion/refill.rs
@@ -7,7 +7,7 @@
 
 use std::time::Instant;
 
-use super::Standing;
+use super::ReplicationStatus;
 use crate::position::{Position, Term};
 use crate::routing::Role;
 
@@ -28,7 +28,7 @@
 
     /// The primary was asked at `asked` how it stands. The first answer will do; one of a newer term replaces
     /// it, since commits of that term may have been answered before the start.
-    pub fn on_primary(&mut self, standing: &Standing, asked: Instant) {
+    pub fn on_primary(&mut self, standing: &ReplicationStatus, asked: Instant) {
         let is_newer = self.primary.is_none_or(|(term, _)| standing.term > term);
         if standing.role == Role::Primary && asked >= self.seen && is_newer {
             self.primary = Some((standing.term, standing.received));
@@ -36,7 +36,7 @@
     }
 
     /// Whether the instance, by its own word, has received all of that from that primary.
-    pub fn is_complete(&self, standing: &Standing, asked: Instant) -> bool {
+    pub fn is_complete(&self, standing: &ReplicationStatus, asked: Instant) -> bool {
         let order = |position: Position| (position.term, position.offset);
         let has_received = |(term, received): (Term, Position)| {
             standing.term == term && order(standing.received) >= order(received)
--- a/crates/core/src/promotion/steps.rs
+++ b/crates/core/src/promotion/steps.rs
@@ -4,7 +4,8 @@
 use std::time::Instant;
 
 use super::{
-    HeardByAll, Intent, Members, PromotionAnswer, ReplacementId, SeenStart, Standing, Successor,
+    CombinedReport, Intent, Members, ObservedRestart, PromotionAnswer, ReplacementId,
+    ReplicationStatus, Successor,
 };
 use crate::ids::InstanceName;
 use crate::incarnation::InstanceIncarnation;
@@ -55,12 +56,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Record the intent in the store.
-    Record(Intent),
+    RecordIntent(Intent),
     /// Ask the store which starts of their processes the instances tell, and say [`Event::Starts`] or
     /// [`Event::StartsUnknown`].
-    ReadStarts,
+    ReadIncarnations,
     /// Ask an instance how it stands.
-    Ask(InstanceName),
+    QueryStatus(InstanceName),
     /// Tell a replica to receive nothing below `term`.
     Stop {
         /// The replica.
@@ -80,7 +81,7 @@
     /// Have the platform promote an instance.
     Promote(InstanceName),
     /// Record the successor, so that nodes follow it while the old primary still says it leads.
-    Install(InstanceName),
+    RecordSuccessor(InstanceName),
     /// Take the record back; the successor, if there is one, is recorded in its place.
     Finish {
         /// Whose record it is.
@@ -94,27 +95,27 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// This intent is recorded.
-    Recorded(Intent),
+    IntentRecorded(Intent),
     /// The store, asked at `asked`, said which starts of their processes the instances tell.
-    Starts {
+    Incarnations {
         /// By instance.
-        told: BTreeMap<InstanceName, InstanceIncarnation>,
+        by_instance: BTreeMap<InstanceName, InstanceIncarnation>,
         /// When the store was asked.
         asked: Instant,
     },
     /// The store did not say it.
-    StartsUnknown,
+    IncarnationsUnavailable,
     /// An instance answered a question or a command that was sent at `sent`.
-    Stands {
+    StatusReported {
         /// The instance.
         instance: InstanceName,
         /// What it said.
-        standing: Standing,
+        status: ReplicationStatus,
         /// When it was asked.
         sent: Instant,
     },
     /// An instance did not answer.
-    Unanswered(InstanceName),
+    NoAnswer(InstanceName),
     /// An instance refused the connection: nothing runs at its address.
     Refused {
         /// The instance.
@@ -141,11 +142,11 @@
     /// A replica that was told to receive again has answered.
     Released(InstanceName),
     /// A node has seen an instance start again, and receive since whatever was answered before.
-    Refilled(SeenStart),
+    Refilled(ObservedRestart),
     /// What all nodes have heard of the primary.
-    HeardByAll(HeardByAll),
+    ReportsCombined(CombinedReport),
     /// Every node that may read at the old primary has given its evidence up.
-    EvidenceGivenUp,
+    EvidenceRevoked,
     /// Whether there still is a reason.
-    Wanted(bool),
+    StillNeeded(bool),
 }
--- a/crates/core/src/promotion/eras.rs
+++ b/crates/core/src/promotion/store_eras.rs
@@ -10,7 +10,7 @@
 use crate::store_era::StoreEra;
 
 /// How long a hold lasts from its last renewal on.
-pub const HOLD_LIFE: Duration = Duration::from_secs(3);
+pub const COORDINATOR_LEASE_DURATION: Duration = Duration::from_secs(3);
 /// Time after a return in which the instances write again what they say of themselves.
 const INSTANCES_WRITE_AGAIN: Duration = Duration::from_secs(2);
 /// Time in which a promotion that was sent at the end of a hold is answered, and takes effect.
@@ -18,7 +18,7 @@
 
 /// The store's era, as a node has seen it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct KnownEra {
+pub struct StoreEraTracker {
     era: Option<StoreEra>,
     /// When it was first seen. A store that tells no era has never come back from a copy, as far as anybody knows.
     since: Option<Instant>,
@@ -26,9 +26,9 @@
     has_come_back: bool,
 }
 
-impl KnownEra {
+impl StoreEraTracker {
     /// Takes in what the store says now. Returns whether it has come back since it was last followed.
-    pub fn follow(&mut self, era: StoreEra, now: Instant) -> bool {
+    pub fn observe(&mut self, era: StoreEra, now: Instant) -> bool {
         if self.era.is_some_and(|known| era <= known) {
             return false;
         }
@@ -39,13 +39,13 @@
     }
 
     /// Whether a hold of an earlier era may last. This node may have started just after the return.
-    pub fn earlier_hold_may_last(&self, now: Instant) -> bool {
-        self.since.is_some_and(|since| now < since + HOLD_LIFE)
+    pub fn earlier_lease_may_be_valid(&self, now: Instant) -> bool {
+        self.since.is_some_and(|since| now < since + COORDINATOR_LEASE_DURATION)
     }
 
     /// Whether the store may tell starts of instances that are over: one that has started again may not have written
     /// that yet, and have lost its log.
-    pub fn starts_may_be_old(&self, now: Instant) -> bool {
+    pub fn incarnations_may_be_stale(&self, now: Instant) -> bool {
         self.since.is_some_and(|since| now < since + INSTANCES_WRITE_AGAIN)
     }
 
@@ -53,7 +53,7 @@
     /// A node that has just started would serve nothing of a group with a silent replica for that time; what it
     /// reads by then it rarely reads within a moment of a return.
     pub fn replacement_may_be_lost(&self, now: Instant) -> bool {
-        let lasts = |since| now < since + HOLD_LIFE + PROMOTION_SETTLES;
+        let lasts = |since| now < since + COORDINATOR_LEASE_DURATION + PROMOTION_SETTLES;
         self.has_come_back && self.since.is_some_and(lasts)
     }
 }
--- a/crates/core/src/store_era.rs
+++ b/crates/core/src/store_era.rs
@@ -22,7 +22,7 @@
     }
 
     /// Whether the store has come back from a copy at some time: the first era is one.
-    pub fn has_come_back(self) -> bool {
+    pub fn has_been_restored(self) -> bool {
         self > Self(1)
     }
 
--- a/crates/core/tests/confirmation.rs
+++ b/crates/core/tests/confirmation.rs
@@ -1,7 +1,7 @@
 //! Confirmation against a model of a group: elections, divergent logs, truncation.
 
 use kestrellock_core::confirmation::{
-    Confirmation, ConfirmationRule, Evidence, ProbeNumber, Verdict,
+    Confirmation, ConfirmationRule, FlushReport, ProbeNumber, Verdict,
 };
 use kestrellock_core::ids::InstanceName;
 use kestrellock_core::position::{LogOffset, Position, Term};
@@ -149,7 +149,9 @@
             let verdict = match heard {
                 Some((index, flushed)) => {
                     let instance = &name(index);
-                    pending.confirmation.on_evidence(Evidence { instance, probe, flushed }, needed)
+                    pending
+                        .confirmation
+                        .on_flush_report(FlushReport { instance, probe, flushed }, needed)
                 }
                 None => pending.confirmation.verdict(needed),
             };
@@ -231,7 +233,11 @@
     for (rule, probe, flushed, expected) in table {
         let mut confirmation = Confirmation::new(name(0), position, rule, ProbeNumber(5));
         let instance = &name(1);
-        let evidence = Evidence { instance, probe: ProbeNumber(probe), flushed };
-        assert_eq!(confirmation.on_evidence(evidence, 2), expected, "{rule:?} {probe} {flushed:?}");
+        let evidence = FlushReport { instance, probe: ProbeNumber(probe), flushed };
+        assert_eq!(
+            confirmation.on_flush_report(evidence, 2),
+            expected,
+            "{rule:?} {probe} {flushed:?}"
+        );
     }
 }
--- a/crates/core/tests/failover.rs
+++ b/crates/core/tests/failover.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_core::failover::{
-    ACTIVE_FOR, Pace, SEARCH_LIMIT, Sighting, Watch, confirmed_at, may_take_writes,
+    ACTIVE_DURATION, Pace, PaceTracker, SEARCH_TIMEOUT, TermReport, confirmed_at, may_take_writes,
 };
 use kestrellock_core::position::Term;
 
@@ -25,7 +25,7 @@
     ];
     for (reports, highest, expected) in table {
         let term = Term(reports[0].0);
-        let sightings = reports.map(|(term, age)| Sighting { term: Term(term), asked: ago(age) });
+        let sightings = reports.map(|(term, age)| TermReport { term: Term(term), asked: ago(age) });
         let confirmed = confirmed_at(term, sightings, 2);
         let found = may_take_writes(term, Term(highest), confirmed, Pace::Active, now);
         assert_eq!(found, expected, "{reports:?}");
@@ -36,19 +36,19 @@
 fn a_group_is_watched_closely_while_it_is_used_and_more_so_while_its_primary_is_lost() {
     let start = Instant::now();
     let millisecond = Duration::from_millis(1);
-    let mut watch = Watch::default();
+    let mut watch = PaceTracker::default();
     assert_eq!(watch.pace(start), Pace::Idle);
     watch.on_statement(start);
-    assert_eq!(watch.pace(start + ACTIVE_FOR), Pace::Active);
-    assert_eq!(watch.pace(start + ACTIVE_FOR + millisecond), Pace::Idle);
+    assert_eq!(watch.pace(start + ACTIVE_DURATION), Pace::Active);
+    assert_eq!(watch.pace(start + ACTIVE_DURATION + millisecond), Pace::Idle);
     watch.on_primary_lost(start);
-    watch.on_primary_lost(start + SEARCH_LIMIT);
-    assert_eq!(watch.pace(start + SEARCH_LIMIT), Pace::Searching);
+    watch.on_primary_lost(start + SEARCH_TIMEOUT);
+    assert_eq!(watch.pace(start + SEARCH_TIMEOUT), Pace::Searching);
     // Losing it again during a search does not make the search endless.
-    assert_eq!(watch.pace(start + SEARCH_LIMIT + millisecond), Pace::Idle);
+    assert_eq!(watch.pace(start + SEARCH_TIMEOUT + millisecond), Pace::Idle);
     watch.on_primary_found();
-    watch.on_primary_lost(start + SEARCH_LIMIT);
-    assert_eq!(watch.pace(start + SEARCH_LIMIT + millisecond), Pace::Searching);
+    watch.on_primary_lost(start + SEARCH_TIMEOUT);
+    assert_eq!(watch.pace(start + SEARCH_TIMEOUT + millisecond), Pace::Searching);
 }
 
 #[test]
--- a/crates/core/tests/needs.rs
+++ b/crates/core/tests/needs.rs
@@ -7,7 +7,7 @@
 use kestrellock_core::confirmation::ConfirmationRule;
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName, ZoneName};
 use kestrellock_core::promotion::{
-    CoordinationView, KnownInstances, Need, NeedsEvidence, NeedsJudge, NodeVotes, Reason, Vote,
+    CoordinationView, KnownInstances, Need, NeedsEvaluator, NeedsInput, NodeVotes, Reason, Vote,
 };
 use kestrellock_core::routing::Role;
 use kestrellock_core::suspicion::Cause;
@@ -47,7 +47,7 @@
 
 /// What the first of `count` nodes judges, of which `suspecting` others suspect instance `a`.
 fn judge(
-    judge: &mut NeedsJudge,
+    judge: &mut NeedsEvaluator,
     roles: &[(&str, Role)],
     (suspecting, count): (usize, usize),
     now: Instant,
@@ -61,9 +61,9 @@
     let own_votes = NodeVotes::new();
     let own = (&nodes[0], &own_votes);
     let evidence =
-        NeedsEvidence { catalog: &catalog, view: &view, own, live: &nodes, listed: &nodes, now };
-    judge.follow(&catalog);
-    judge.judge(&evidence).remove(&GroupName::new(GROUP))
+        NeedsInput { catalog: &catalog, view: &view, own, live: &nodes, listed: &nodes, now };
+    judge.apply_catalog(&catalog);
+    judge.evaluate(&evidence).remove(&GroupName::new(GROUP))
 }
 
 const PRIMARY: (&str, Role) = ("a", Role::Primary);
@@ -86,7 +86,7 @@
         (4, 90, true, true),
     ];
     for (suspecting, count, at_once, later) in table {
-        let mut judged = NeedsJudge::default();
+        let mut judged = NeedsEvaluator::default();
         let roles = [PRIMARY, REPLICA];
         let votes = (suspecting, count);
         let first = judge(&mut judged, &roles, votes, start);
@@ -101,28 +101,28 @@
 #[test]
 fn a_primary_that_vanished_is_the_one_to_be_replaced() {
     let start = Instant::now();
-    let mut judged = NeedsJudge::default();
+    let mut judged = NeedsEvaluator::default();
     assert_eq!(judge(&mut judged, &[PRIMARY, REPLICA], (0, 3), start), None);
     assert_eq!(judge(&mut judged, &[REPLICA], (0, 3), start), None, "it may only be late");
     let need = judge(&mut judged, &[REPLICA], (0, 3), start + Duration::from_secs(1));
     let need = need.expect("nothing leads");
-    assert_eq!((need.reason, need.former), (Reason::Missing, Some(InstanceName::new("a"))));
+    assert_eq!((need.reason, need.old_primary), (Reason::Missing, Some(InstanceName::new("a"))));
 }
 
 #[test]
 fn a_primary_that_is_a_replica_by_now_is_stopped_like_one() {
     let start = Instant::now();
-    let mut judged = NeedsJudge::default();
+    let mut judged = NeedsEvaluator::default();
     judge(&mut judged, &[PRIMARY, REPLICA], (0, 3), start);
     let roles = [("a", Role::Replica), REPLICA];
     judge(&mut judged, &roles, (0, 3), start);
     let need = need_of_last(&mut judged, &roles, start);
-    assert_eq!(need.former, None);
+    assert_eq!(need.old_primary, None);
     // Whatever it has answered is held by one of those that are told, so not all of them have to be stopped.
-    assert!(need.last_primary_follows);
+    assert!(need.last_primary_is_replica);
 }
 
-fn need_of_last(judged: &mut NeedsJudge, roles: &[(&str, Role)], start: Instant) -> Need {
+fn need_of_last(judged: &mut NeedsEvaluator, roles: &[(&str, Role)], start: Instant) -> Need {
     let later = start + Duration::from_secs(1);
     judge(judged, roles, (0, 3), later).expect("nothing leads")
 }
@@ -148,15 +148,15 @@
     for count in [10, 1_000] {
         let start = Instant::now();
         let (catalog, nodes) = (calm_catalog(count), nodes(3));
-        let (mut judged, mut known) = (NeedsJudge::default(), KnownInstances::default());
-        judged.follow(&catalog);
-        known.follow(&catalog, start);
+        let (mut judged, mut known) = (NeedsEvaluator::default(), KnownInstances::default());
+        judged.apply_catalog(&catalog);
+        known.apply_catalog(&catalog, start);
         let view = CoordinationView { revision: 1, ..CoordinationView::default() };
         let votes = NodeVotes::new();
         for look in 1..=100_u32 {
             let now = start + Duration::from_secs(5) + Duration::from_millis(50) * look;
             let own = (&nodes[0], &votes);
-            let evidence = NeedsEvidence {
+            let evidence = NeedsInput {
                 catalog: &catalog,
                 view: &view,
                 own,
@@ -164,12 +164,12 @@
                 listed: &nodes,
                 now,
             };
-            assert!(judged.judge(&evidence).is_empty());
+            assert!(judged.evaluate(&evidence).is_empty());
             // The first look ends the time in which starts from before are not known.
-            let looked_at = known.pass_time(now);
+            let looked_at = known.advance_time(now);
             assert!(look == 1 || looked_at == 0, "{looked_at} of {count} groups looked at");
         }
-        assert_eq!(judged.judged(), 0, "of {count} groups");
+        assert_eq!(judged.evaluation_count(), 0, "of {count} groups");
     }
 }
 
@@ -177,7 +177,7 @@
 #[test]
 fn a_suspicion_that_ends_leaves_no_time_running() {
     let start = Instant::now();
-    let mut judged = NeedsJudge::default();
+    let mut judged = NeedsEvaluator::default();
     let roles = [PRIMARY, REPLICA];
     assert_eq!(judge(&mut judged, &roles, (2, 6), start), None);
     assert_eq!(judge(&mut judged, &roles, (0, 6), start + Duration::from_millis(900)), None);
@@ -195,11 +195,11 @@
     let mut changed = kestrellock_core::catalog::Catalog::clone(&leaving);
     changed.groups.get_mut(&group).expect("the group").instances[1].leaving = true;
     leaving = IndexedCatalog::new(changed);
-    known.follow(&leaving, start);
-    known.follow(&catalog(&[PRIMARY]), start + Duration::from_secs(1));
+    known.apply_catalog(&leaving, start);
+    known.apply_catalog(&catalog(&[PRIMARY]), start + Duration::from_secs(1));
     let members = known.members(&group);
     let member = members.get(&InstanceName::new("b")).expect("it may run");
     assert!(member.has_left);
-    known.pass_time(start + Duration::from_secs(12));
+    known.advance_time(start + Duration::from_secs(12));
     assert!(known.members(&group).get(&InstanceName::new("b")).is_none(), "it is long gone");
 }
--- a/crates/core/tests/primary_evidence.rs
+++ b/crates/core/tests/primary_evidence.rs
@@ -6,13 +6,14 @@
 use kestrellock_core::ids::InstanceName;
 use kestrellock_core::position::Term;
 use kestrellock_core::primary_evidence::{
-    EVIDENCE_LIFE, Following, PrimaryEvidence, QUICKEST_PROMOTION, Replication, TransactionWrites,
+    EVIDENCE_LIFETIME, MIN_PROMOTION_TIME, PrimaryEvidence, ReplicaTerms, Replication,
+    TransactionWrites,
 };
 use kestrellock_core::promotion::ReplacementId;
 
 const TERM: Term = Term(3);
-const STOPPED: Following = Following { term: TERM, held: Term(4) };
-const FOLLOWING: Following = Following { term: TERM, held: Term(0) };
+const STOPPED: ReplicaTerms = ReplicaTerms { term: TERM, min_term: Term(4) };
+const FOLLOWING: ReplicaTerms = ReplicaTerms { term: TERM, min_term: Term(0) };
 
 const SYNCHRONOUS_ONE: Replication = Replication { synchronous: 1, instances: 3 };
 const SYNCHRONOUS_TWO: Replication = Replication { synchronous: 2, instances: 3 };
@@ -23,7 +24,7 @@
 
 /// Until when arrivals are covered at the primary of a group with one synchronous replica of two.
 fn covered(evidence: &PrimaryEvidence) -> Option<Instant> {
-    evidence.covers_until(TERM, SYNCHRONOUS_ONE, EVIDENCE_LIFE)
+    evidence.covers_until(TERM, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME)
 }
 
 #[test]
@@ -31,15 +32,15 @@
     let now = Instant::now();
     let later = now + Duration::from_millis(7);
     let mut evidence = PrimaryEvidence::default();
-    evidence.on_replica(&replica("b"), FOLLOWING, later, later);
-    assert_eq!(evidence.covers_until(TERM, SYNCHRONOUS_TWO, EVIDENCE_LIFE), None);
-    evidence.on_replica(&replica("c"), FOLLOWING, now, now);
+    evidence.on_replica_report(&replica("b"), FOLLOWING, later, later);
+    assert_eq!(evidence.covers_until(TERM, SYNCHRONOUS_TWO, EVIDENCE_LIFETIME), None);
+    evidence.on_replica_report(&replica("c"), FOLLOWING, now, now);
     assert_eq!(
-        evidence.covers_until(TERM, SYNCHRONOUS_TWO, EVIDENCE_LIFE),
-        Some(now + EVIDENCE_LIFE)
+        evidence.covers_until(TERM, SYNCHRONOUS_TWO, EVIDENCE_LIFETIME),
+        Some(now + EVIDENCE_LIFETIME)
     );
-    evidence.on_unreplaced(later);
-    assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFE));
+    evidence.on_no_replacement(later);
+    assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFETIME));
 }
 
 /// Found by the simulation, 33 of 2,000 seeds with many faults: a promotion released a replica that did
@@ -49,18 +50,18 @@
 fn the_word_of_some_replicas_counts_if_the_store_confirms_it() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
-    evidence.on_replica(&replica("b"), FOLLOWING, now, now);
+    evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
     assert_eq!(covered(&evidence), None, "the store has not been asked");
-    let would = evidence.would_cover_until(TERM, SYNCHRONOUS_ONE, EVIDENCE_LIFE);
-    assert_eq!(would, Some(now + EVIDENCE_LIFE));
-    evidence.on_unreplaced(now);
-    assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFE));
+    let would = evidence.would_cover_until(TERM, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME);
+    assert_eq!(would, Some(now + EVIDENCE_LIFETIME));
+    evidence.on_no_replacement(now);
+    assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFETIME));
     // An answer that came so long after the look that a replacement may lie between them.
-    let later = now + QUICKEST_PROMOTION + Duration::from_millis(1);
-    evidence.on_replica(&replica("b"), FOLLOWING, later, later);
+    let later = now + MIN_PROMOTION_TIME + Duration::from_millis(1);
+    evidence.on_replica_report(&replica("b"), FOLLOWING, later, later);
     assert_eq!(covered(&evidence), None);
-    evidence.on_unreplaced(later);
-    assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFE));
+    evidence.on_no_replacement(later);
+    assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFETIME));
 }
 
 #[test]
@@ -68,10 +69,10 @@
     let now = Instant::now();
     let later = now + Duration::from_millis(400);
     let mut evidence = PrimaryEvidence::default();
-    evidence.on_replica(&replica("b"), FOLLOWING, now, now);
-    evidence.on_replica(&replica("c"), FOLLOWING, later, later);
-    assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFE), "the older of the two");
-    evidence.on_replica(&replica("b"), STOPPED, later, later);
+    evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
+    evidence.on_replica_report(&replica("c"), FOLLOWING, later, later);
+    assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFETIME), "the older of the two");
+    evidence.on_replica_report(&replica("b"), STOPPED, later, later);
     assert_eq!(covered(&evidence), None);
 }
 
@@ -80,23 +81,23 @@
     let now = Instant::now();
     let confirmed = || {
         let mut evidence = PrimaryEvidence::default();
-        evidence.on_replica(&replica("b"), FOLLOWING, now, now);
-        evidence.on_unreplaced(now);
+        evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
+        evidence.on_no_replacement(now);
         evidence
     };
     let next = Term(TERM.0 + 1);
-    let follows_next = Following { term: next, held: Term(0) };
+    let follows_next = ReplicaTerms { term: next, min_term: Term(0) };
     let covered_in_next_term = |mut evidence: PrimaryEvidence| {
-        evidence.on_replica(&replica("b"), follows_next, now, now);
-        evidence.covers_until(next, SYNCHRONOUS_ONE, EVIDENCE_LIFE)
+        evidence.on_replica_report(&replica("b"), follows_next, now, now);
+        evidence.covers_until(next, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME)
     };
     assert_eq!(covered_in_next_term(confirmed()), None, "a new term");
     let mut evidence = confirmed();
-    evidence.forget();
-    evidence.on_replica(&replica("b"), FOLLOWING, now, now);
+    evidence.discard();
+    evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
     assert_eq!(covered(&evidence), None, "broken");
     let mut evidence = confirmed();
-    evidence.give_up(ReplacementId { fence: 9, attempt: 1 });
+    evidence.revoke(ReplacementId { fence: 9, attempt: 1 });
     assert_eq!(covered_in_next_term(evidence), None, "a replacement");
 }
 
@@ -104,9 +105,9 @@
 fn a_stopped_replica_shows_nothing() {
     let mut evidence = PrimaryEvidence::default();
     let now = Instant::now();
-    evidence.on_replica(&replica("b"), FOLLOWING, now, now);
-    evidence.on_unreplaced(now);
-    evidence.on_replica(&replica("b"), STOPPED, now, now);
+    evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
+    evidence.on_no_replacement(now);
+    evidence.on_replica_report(&replica("b"), STOPPED, now, now);
     assert_eq!(covered(&evidence), None);
 }
 
@@ -116,18 +117,18 @@
 fn a_replica_that_was_stopped_for_a_promotion_shows_who_was_promoted() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
-    evidence.on_replica(&replica("b"), STOPPED, now, now);
-    evidence.on_unreplaced(now);
-    let successor = STOPPED.held;
+    evidence.on_replica_report(&replica("b"), STOPPED, now, now);
+    evidence.on_no_replacement(now);
+    let successor = STOPPED.min_term;
     assert_eq!(
-        evidence.covers_until(successor, SYNCHRONOUS_ONE, EVIDENCE_LIFE),
-        Some(now + EVIDENCE_LIFE)
+        evidence.covers_until(successor, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME),
+        Some(now + EVIDENCE_LIFETIME)
     );
     assert_eq!(covered(&evidence), None);
     // Stopped once more, for another promotion.
-    let again = Following { held: Term(successor.0 + 1), ..STOPPED };
-    evidence.on_replica(&replica("b"), again, now, now);
-    assert_eq!(evidence.covers_until(successor, SYNCHRONOUS_ONE, EVIDENCE_LIFE), None);
+    let again = ReplicaTerms { min_term: Term(successor.0 + 1), ..STOPPED };
+    evidence.on_replica_report(&replica("b"), again, now, now);
+    assert_eq!(evidence.covers_until(successor, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME), None);
 }
 
 #[test]
@@ -135,27 +136,27 @@
     let now = Instant::now();
     let later = now + Duration::from_millis(50);
     let mut evidence = PrimaryEvidence::default();
-    evidence.on_replica(&replica("b"), STOPPED, now, now);
-    evidence.on_replica(&replica("b"), FOLLOWING, later, later);
-    evidence.on_unreplaced(later);
-    assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFE));
+    evidence.on_replica_report(&replica("b"), STOPPED, now, now);
+    evidence.on_replica_report(&replica("b"), FOLLOWING, later, later);
+    evidence.on_no_replacement(later);
+    assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFETIME));
     // An answer that was asked for before comes late.
-    evidence.on_replica(&replica("b"), STOPPED, now, now);
-    assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFE));
+    evidence.on_replica_report(&replica("b"), STOPPED, now, now);
+    assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFETIME));
 }
 
 #[test]
 fn a_node_that_knows_no_term_has_no_evidence_during_a_replacement() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
-    evidence.give_up(ReplacementId { fence: 9, attempt: 1 });
-    evidence.on_replica(&replica("b"), FOLLOWING, now, now);
-    evidence.on_unreplaced(now);
+    evidence.revoke(ReplacementId { fence: 9, attempt: 1 });
+    evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
+    evidence.on_no_replacement(now);
     assert_eq!(covered(&evidence), None);
-    evidence.take_up();
-    evidence.on_replica(&replica("b"), FOLLOWING, now, now);
-    evidence.on_unreplaced(now);
-    assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFE));
+    evidence.end_revocation();
+    evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
+    evidence.on_no_replacement(now);
+    assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFETIME));
 }
 
 /// Found by a test of the whole path: the platform releases replicas that do not hear of a promotion,
@@ -164,11 +165,11 @@
 fn a_replica_that_has_not_heard_of_the_successor_shows_it_all_the_same() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
-    evidence.on_replica(&replica("b"), FOLLOWING, now, now);
-    evidence.on_unreplaced(now);
+    evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
+    evidence.on_no_replacement(now);
     let successor = Term(TERM.0 + 2);
-    let covered = evidence.covers_until(successor, SYNCHRONOUS_ONE, EVIDENCE_LIFE);
-    assert_eq!(covered, Some(now + EVIDENCE_LIFE));
+    let covered = evidence.covers_until(successor, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME);
+    assert_eq!(covered, Some(now + EVIDENCE_LIFETIME));
 }
 
 /// What shows the old primary must leave its successor no replica to answer a commit with: such
@@ -197,8 +198,8 @@
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
-    assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFE));
-    assert_eq!(evidence.covers_until(Term(TERM.0 + 1), SYNCHRONOUS_ONE, EVIDENCE_LIFE), None);
+    assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFETIME));
+    assert_eq!(evidence.covers_until(Term(TERM.0 + 1), SYNCHRONOUS_ONE, EVIDENCE_LIFETIME), None);
     evidence.on_commit(Term(TERM.0 + 1), now);
     assert_eq!(covered(&evidence), None);
 }
@@ -208,11 +209,11 @@
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
-    evidence.give_up(ReplacementId { fence: 9, attempt: 1 });
+    evidence.revoke(ReplacementId { fence: 9, attempt: 1 });
     assert_eq!(covered(&evidence), None);
     evidence.on_commit(TERM, now);
     assert_eq!(covered(&evidence), None);
-    evidence.take_up();
+    evidence.end_revocation();
     assert_eq!(covered(&evidence), None);
 }
 
@@ -223,9 +224,9 @@
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
-    evidence.on_replica(&replica("b"), FOLLOWING, now, now);
-    evidence.on_unreplaced(now);
-    evidence.forget();
+    evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
+    evidence.on_no_replacement(now);
+    evidence.discard();
     assert_eq!(covered(&evidence), None);
 }
 
@@ -259,11 +260,12 @@
 fn a_replica_whose_word_covers_what_arrives_now_need_not_be_asked() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
-    evidence.on_replica(&replica("b"), FOLLOWING, now, now);
-    evidence.on_replica(&replica("c"), STOPPED, now, now);
-    let shown = |name: &str, at| evidence.is_shown_by(&replica(name), TERM, EVIDENCE_LIFE, at);
-    assert!(shown("b", now + EVIDENCE_LIFE));
-    assert!(!shown("b", now + EVIDENCE_LIFE + Duration::from_millis(1)), "it is too old");
+    evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
+    evidence.on_replica_report(&replica("c"), STOPPED, now, now);
+    let shown =
+        |name: &str, at| evidence.has_valid_report(&replica(name), TERM, EVIDENCE_LIFETIME, at);
+    assert!(shown("b", now + EVIDENCE_LIFETIME));
+    assert!(!shown("b", now + EVIDENCE_LIFETIME + Duration::from_millis(1)), "it is too old");
     assert!(!shown("c", now), "it has been stopped");
     assert!(!shown("d", now), "it has said nothing");
 }
@@ -276,7 +278,7 @@
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
     assert!(!evidence.is_outdated(Some(TERM)));
-    evidence.on_led(Term(TERM.0 + 1));
+    evidence.on_term_led(Term(TERM.0 + 1));
     assert!(evidence.is_outdated(Some(TERM)));
     assert!(!evidence.is_outdated(Some(Term(TERM.0 + 1))));
     assert_eq!(covered(&evidence), None, "what it had shown counts no more");
@@ -290,9 +292,9 @@
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
-    evidence.on_replica(&replica("b"), STOPPED, now, now);
+    evidence.on_replica_report(&replica("b"), STOPPED, now, now);
     assert_eq!(evidence.highest_led(), TERM);
-    let followed = Following { term: STOPPED.held, held: Term(0) };
-    evidence.on_replica(&replica("b"), followed, now, now);
-    assert_eq!(evidence.highest_led(), STOPPED.held);
+    let followed = ReplicaTerms { term: STOPPED.min_term, min_term: Term(0) };
+    evidence.on_replica_report(&replica("b"), followed, now, now);
+    assert_eq!(evidence.highest_led(), STOPPED.min_term);
 }
--- a/crates/core/tests/promotion/lost_logs.rs
+++ b/crates/core/tests/promotion/lost_logs.rs
@@ -6,8 +6,8 @@
 use kestrellock_core::incarnation::InstanceIncarnation;
 use kestrellock_core::position::{LogOffset, Position, Term};
 use kestrellock_core::promotion::{
-    Attempt, Command, Event, HeardByAll, Members, Need, Phase, Reason, ReplacementId, SeenStart,
-    Timing,
+    Attempt, CombinedReport, Command, Event, Members, Need, ObservedRestart, Phase, Reason,
+    ReplacementId, Timing,
 };
 
 use crate::support::*;
@@ -71,7 +71,7 @@
 /// again: all three were waited for.
 #[test]
 fn two_logs_of_three_are_enough_where_the_last_primary_is_one_of_the_replicas() {
-    let need = Need { former: None, last_primary_follows: true, ..need(Reason::Missing) };
+    let need = Need { old_primary: None, last_primary_is_replica: true, ..need(Reason::Missing) };
     let id = ReplacementId { fence: 7, attempt: 1 };
     let holder = NodeName::new("node");
     let members = members_without_the_log_of_c(&[]);
@@ -106,7 +106,7 @@
     begin(&mut attempt, now);
     let starts = |asked| {
         let told = [(name("b"), InstanceIncarnation(2))].into();
-        Event::Starts { told, asked }
+        Event::Incarnations { by_instance: told, asked }
     };
     let offsets = |_| vec![("b", 33), ("c", 33)];
     assert_eq!(plays(&mut attempt, &mut now, starts, offsets), None);
@@ -121,11 +121,12 @@
     let mut asked = 0;
     let starts = |_| {
         asked += 1;
-        Event::StartsUnknown
+        Event::IncarnationsUnavailable
     };
     let offsets = |_| vec![("b", 33), ("c", 33)];
     assert_eq!(plays(&mut attempt, &mut now, starts, offsets), None);
-    let most = STEPS as u128 * STEP.as_millis() / Timing::default().store_retry.as_millis() + 1;
+    let most =
+        STEPS as u128 * STEP.as_millis() / Timing::default().store_retry_interval.as_millis() + 1;
     assert!((2..=most).contains(&asked), "asked {asked} times");
     assert!(promotes(&mut attempt, &mut now, &[("b", 33), ("c", 33)]).is_some());
 }
@@ -146,8 +147,10 @@
         for command in attempt.step(now) {
             match command {
                 Command::Promote(instance) => promoted = Some(instance),
-                Command::Record(intent) => attempt.on_event(Event::Recorded(intent), now),
-                Command::ReadStarts => attempt.on_event(no_starts(now), now),
+                Command::RecordIntent(intent) => {
+                    attempt.on_event(Event::IntentRecorded(intent), now)
+                }
+                Command::ReadIncarnations => attempt.on_event(no_starts(now), now),
                 Command::Stop { term, .. } => held = held.max(term),
                 _ => {}
             }
@@ -173,7 +176,7 @@
     begin(&mut attempt, now);
     let refilled = |start| {
         let start = InstanceIncarnation(start);
-        Event::Refilled(SeenStart { instance: name("c"), start })
+        Event::Refilled(ObservedRestart { instance: name("c"), incarnation: start })
     };
     attempt.on_event(refilled(1), now);
     let both = [("b", 10), ("c", 10)];
@@ -208,9 +211,9 @@
 
 fn hears(attempt: &mut Attempt, offset: u64, now: Instant) {
     let highest = Position { term: Term(1), offset: LogOffset(offset) };
-    let seen = SeenStart { instance: name("c"), start: InstanceIncarnation(2) };
-    let heard = HeardByAll { started_again: vec![seen], highest };
-    attempt.on_event(Event::HeardByAll(heard), now);
+    let seen = ObservedRestart { instance: name("c"), incarnation: InstanceIncarnation(2) };
+    let heard = CombinedReport { started_again: vec![seen], highest_position: highest };
+    attempt.on_event(Event::ReportsCombined(heard), now);
 }
 
 /// No node has passed on a commit beyond what it has heard of the primary: a replica that has received all of that
--- a/crates/core/tests/promotion/sent_promotions.rs
+++ b/crates/core/tests/promotion/sent_promotions.rs
@@ -42,7 +42,7 @@
     started_again.all[2].is_refilling = true;
     attempt.on_event(Event::Members(started_again), now);
     // The reason to replace the old primary is gone as well: it is back.
-    attempt.on_event(Event::Wanted(false), now);
+    attempt.on_event(Event::StillNeeded(false), now);
     let commands = steps(&mut attempt, &mut now, Duration::from_secs(2));
     assert!(!ends_without_a_successor(&commands), "{commands:?}");
     let chosen = promotes(&mut attempt, &mut now, &[("a", 11), ("b", 10)]);
@@ -54,14 +54,14 @@
 /// (seed 17708: led at 1,477 ms, gone at 1,905, ended without a successor at 4,183).
 #[test]
 fn the_next_holder_brings_a_promotion_that_may_have_been_sent_to_its_end() {
-    let need = Need { wanted: false, promoting: true, ..need(Reason::Unfinished) };
-    assert!(need.calls_for_action());
+    let need = Need { is_current: false, may_have_promoted: true, ..need(Reason::Unfinished) };
+    assert!(need.needs_coordinator());
     let id = ReplacementId { fence: 9, attempt: 1 };
     let holder = NodeName::new("next");
     let mut attempt = Attempt::new(holder, id, &need, members(&["a"]), Term(1), Timing::default());
     let mut now = Instant::now();
     begin(&mut attempt, now);
-    attempt.on_event(Event::Wanted(false), now);
+    attempt.on_event(Event::StillNeeded(false), now);
     let commands = steps(&mut attempt, &mut now, Duration::from_secs(2));
     assert!(!ends_without_a_successor(&commands), "{commands:?}");
     let told = |command: &Command| matches!(command, Command::Demote { .. });
@@ -83,8 +83,8 @@
         for command in attempt.step(now) {
             match command {
                 Command::Promote(_) => promoted = true,
-                Command::Record(intent) => recorded = Some(intent),
-                Command::ReadStarts => attempt.on_event(no_starts(now), now),
+                Command::RecordIntent(intent) => recorded = Some(intent),
+                Command::ReadIncarnations => attempt.on_event(no_starts(now), now),
                 Command::Stop { term, .. } => held = term,
                 _ => {}
             }
@@ -95,7 +95,7 @@
     assert!(!promoted);
     let recorded = recorded.expect("it is given to be recorded");
     assert!(recorded.promoting);
-    attempt.on_event(Event::Recorded(recorded), now);
+    attempt.on_event(Event::IntentRecorded(recorded), now);
     assert!(promotes(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).is_some());
 }
 
@@ -108,7 +108,7 @@
     let chosen = promotes(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).expect("one is chosen");
     let refused = Event::Promoted { instance: chosen, answer: PromotionAnswer::NotRunning };
     attempt.on_event(refused, now);
-    attempt.on_event(Event::Wanted(false), now);
+    attempt.on_event(Event::StillNeeded(false), now);
     attempt.on_event(Event::Released(name("b")), now);
     attempt.on_event(Event::Released(name("c")), now);
     let mut commands = steps(&mut attempt, &mut now, Duration::from_millis(20));
--- a/crates/core/tests/promotion/steps.rs
+++ b/crates/core/tests/promotion/steps.rs
@@ -5,8 +5,8 @@
 use kestrellock_core::ids::NodeName;
 use kestrellock_core::position::{LogOffset, Position, Term};
 use kestrellock_core::promotion::{
-    Attempt, Command, Event, Member, Need, Phase, PromotionAnswer, Reason, ReplacementId, Standing,
-    Successor, Timing, Witness, Witnesses,
+    Attempt, Command, Event, Member, Need, Phase, PromotionAnswer, Reason, ReplacementId,
+    ReplicationStatus, RestartReport, RestartReports, Successor, Timing,
 };
 use kestrellock_core::routing::Role;
 
@@ -33,7 +33,7 @@
 #[test]
 fn evidence_lapses_before_the_promotion_unless_nobody_reads_there() {
     let timing = Timing::default();
-    let wait = timing.evidence_life - timing.quickest_promotion;
+    let wait = timing.evidence_lifetime - timing.min_promotion_time;
 
     let began = Instant::now();
     let mut now = began;
@@ -45,10 +45,10 @@
     let mut now = began;
     let mut told = attempt(Reason::Suspected, members(&["a"]));
     begin(&mut told, now);
-    told.on_event(Event::EvidenceGivenUp, now);
+    told.on_event(Event::EvidenceRevoked, now);
     assert!(promotes(&mut told, &mut now, &[("b", 10), ("c", 10)]).is_some());
     assert!(now - began < wait);
-    assert!(now - began >= timing.unlisted_evidence_life - timing.quickest_promotion);
+    assert!(now - began >= timing.unlisted_evidence_lifetime - timing.min_promotion_time);
 }
 
 /// The holder's copy of the list may lack a node that has entered itself since, and that relies on being waited for.
@@ -62,13 +62,13 @@
     let mut now = began;
     let mut attempt = attempt(Reason::Suspected, members(&["a"]));
     let (old, new) = (NodeName::new("old"), NodeName::new("new"));
-    let mut witnesses = Witnesses::default();
-    witnesses.add(&old, Witness::default());
-    attempt.hear(&witnesses, std::slice::from_ref(&old), now);
+    let mut witnesses = RestartReports::default();
+    witnesses.add(&old, RestartReport::default());
+    attempt.on_reports(&witnesses, std::slice::from_ref(&old), now);
     begin(&mut attempt, now);
-    attempt.hear(&witnesses, &[old, new], now);
+    attempt.on_reports(&witnesses, &[old, new], now);
     assert!(promotes(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).is_some());
-    assert!(now - began >= timing.evidence_life - timing.quickest_promotion);
+    assert!(now - began >= timing.evidence_lifetime - timing.min_promotion_time);
 }
 
 #[test]
@@ -101,20 +101,20 @@
     let mut attempt = attempt(Reason::Suspected, members(&["a", "c"]));
     begin(&mut attempt, now);
     let commands = attempt.step(now + STEP);
-    assert!(!commands.iter().any(|one| matches!(one, Command::Install(_))), "{commands:?}");
+    assert!(!commands.iter().any(|one| matches!(one, Command::RecordSuccessor(_))), "{commands:?}");
     let chosen = promotes(&mut attempt, &mut now, &[("b", 10), ("c", 9)]);
     assert_eq!(chosen, Some(name("b")));
     // Once it has stepped down, it may be the one that takes over,
     attempt.on_event(Event::Members(members(&["a"])), now);
     // if it shows that it leads a newer term.
     attempt.on_event(Event::Members(members(&["a", "c"])), now);
-    now += Timing::default().retry;
+    now += Timing::default().retry_interval;
     let commands = attempt.step(now);
-    assert!(!commands.iter().any(|one| matches!(one, Command::Install(_))), "{commands:?}");
-    assert!(commands.contains(&Command::Ask(name("c"))), "{commands:?}");
+    assert!(!commands.iter().any(|one| matches!(one, Command::RecordSuccessor(_))), "{commands:?}");
+    assert!(commands.contains(&Command::QueryStatus(name("c"))), "{commands:?}");
     attempt.on_event(leads("c", 3, 9, now), now);
     let commands = attempt.step(now + STEP);
-    assert!(commands.contains(&Command::Install(name("c"))), "{commands:?}");
+    assert!(commands.contains(&Command::RecordSuccessor(name("c"))), "{commands:?}");
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let mut attempt = attempt(Reason::Unfinished, members(&["a", "b"]));
     begin(&mut attempt, now);
     let commands = attempt.step(now + STEP);
-    assert!(commands.contains(&Command::Install(name("b"))), "{commands:?}");
+    assert!(commands.contains(&Command::RecordSuccessor(name("b"))), "{commands:?}");
 }
 
 /// A primary crashed, was suspected, and started again under another name at its address, as a primary
@@ -155,7 +155,7 @@
     let mut commands = attempt.step(now + STEP);
     attempt.on_event(leads("d", 1, 11, now), now);
     commands.extend(attempt.step(now + STEP * 2));
-    let installs = |one: &Command| matches!(one, Command::Install(_) | Command::Release(_));
+    let installs = |one: &Command| matches!(one, Command::RecordSuccessor(_) | Command::Release(_));
     assert!(!commands.iter().any(installs), "{commands:?}");
     // It is an old primary, and steps down.
     let demoted =
@@ -165,7 +165,7 @@
     all.all[1].leads = true;
     attempt.on_event(Event::Members(all), now);
     let commands = attempt.step(now + STEP * 3);
-    assert!(commands.contains(&Command::Install(name("b"))), "{commands:?}");
+    assert!(commands.contains(&Command::RecordSuccessor(name("b"))), "{commands:?}");
 }
 
 /// One that an earlier holder's late call has promoted says a term at least as high as replicas are stopped
@@ -178,12 +178,12 @@
     let offsets = [("b", 11), ("c", 11)];
     assert_eq!(promotes(&mut attempt, &mut now, &offsets), Some(name("b")));
     attempt.on_event(Event::Members(members(&["a", "c"])), now);
-    now += Timing::default().retry;
+    now += Timing::default().retry_interval;
     let commands = attempt.step(now);
-    assert!(commands.contains(&Command::Ask(name("c"))), "{commands:?}");
+    assert!(commands.contains(&Command::QueryStatus(name("c"))), "{commands:?}");
     attempt.on_event(leads("c", 3, 11, now), now);
     let commands = attempt.step(now + STEP);
-    assert!(commands.contains(&Command::Install(name("c"))), "{commands:?}");
+    assert!(commands.contains(&Command::RecordSuccessor(name("c"))), "{commands:?}");
 }
 
 /// Found by a test of the whole path: the new primary had one deaf replica and one dead one, could
@@ -197,10 +197,10 @@
     for _ in 0..200 {
         now += STEP;
         for command in attempt.step(now) {
-            if let Command::Record(intent) = command {
+            if let Command::RecordIntent(intent) = command {
                 assert!(intent.called_off);
                 called_off += 1;
-                attempt.on_event(Event::Recorded(intent), now);
+                attempt.on_event(Event::IntentRecorded(intent), now);
             }
         }
         attempt.on_event(leads("a", 1, 10, now), now);
@@ -246,16 +246,20 @@
     assert_eq!(promotes(&mut attempt, &mut now, &offsets), Some(name("b")));
     // No answer comes, and replica c says that it is not stopped any more.
     let received = Position { term: Term(1), offset: LogOffset(12) };
-    let standing = Standing { role: Role::Replica, term: Term(1), received, held: Term(0) };
-    let until = now + Timing::default().announcement * 2;
+    let standing =
+        ReplicationStatus { role: Role::Replica, term: Term(1), received, min_term: Term(0) };
+    let until = now + Timing::default().announcement_timeout * 2;
     while now < until {
         now += STEP;
         let commands = attempt.step(now);
         assert!(!commands.iter().any(|one| matches!(one, Command::Promote(_))), "{commands:?}");
-        attempt.on_event(Event::Stands { instance: name("c"), standing, sent: now }, now);
+        attempt.on_event(
+            Event::StatusReported { instance: name("c"), status: standing, sent: now },
+            now,
+        );
         attempt.on_event(stopped("b", 11, now), now);
         // The first promotion may still be carried out: nothing is called off.
-        attempt.on_event(Event::Wanted(false), now);
+        attempt.on_event(Event::StillNeeded(false), now);
     }
     // Stopped again, it may be sent again, of the same instance.
     assert_eq!(promotes(&mut attempt, &mut now, &offsets), Some(name("b")));
@@ -271,16 +275,17 @@
         begin(&mut attempt, now);
         assert!(promotes(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).is_some());
         attempt.on_event(Event::Members(members(&["a", "b"])), now);
-        now += Timing::default().retry;
+        now += Timing::default().retry_interval;
         let settling = attempt.step(now);
         // Its term is recorded with the successor, so it is asked for.
-        assert!(settling.contains(&Command::Ask(name("b"))), "{settling:?}");
+        assert!(settling.contains(&Command::QueryStatus(name("b"))), "{settling:?}");
         now += STEP;
         let received = Position { term: Term(1), offset: LogOffset(10) };
-        let standing = Standing { role: Role::Replica, term: Term(1), received, held: Term(0) };
+        let standing =
+            ReplicationStatus { role: Role::Replica, term: Term(1), received, min_term: Term(0) };
         attempt.on_event(
             match steps_down {
-                true => Event::Stands { instance: name("a"), standing, sent: now },
+                true => Event::StatusReported { instance: name("a"), status: standing, sent: now },
                 false => Event::Refused { instance: name("a"), sent: now },
             },
             now,
@@ -310,7 +315,7 @@
     let chosen = promotes(&mut attempt, &mut now, &[("b", 11), ("c", 12)]);
     assert_eq!(chosen, Some(name("c")));
     // Evidence of the one chosen first, which may lead by now, has lapsed.
-    assert!(now >= begun + Timing::default().announcement + Duration::from_millis(900));
+    assert!(now >= begun + Timing::default().announcement_timeout + Duration::from_millis(900));
 }
 
 /// Found by the simulation with many faults at once, seed 399: a node that knew no term stopped the
@@ -325,7 +330,7 @@
     let mut attempt = Attempt::new(holder, id, &need(Reason::Suspected), members, Term(0), timing);
     begin(&mut attempt, now);
     let first = attempt.step(now);
-    assert!(first.contains(&Command::Ask(name("b"))), "{first:?}");
+    assert!(first.contains(&Command::QueryStatus(name("b"))), "{first:?}");
     for instance in ["b", "c"] {
         attempt.on_event(stands(instance, 10, Term(0), now), now);
     }
@@ -362,7 +367,7 @@
     attempt.on_event(stands("b", 10, Term(0), now), now);
     now += STEP;
     attempt.step(now);
-    attempt.on_event(Event::Wanted(false), now);
+    attempt.on_event(Event::StillNeeded(false), now);
     let commands = attempt.step(now);
     assert!(commands.contains(&Command::Release(name("b"))), "{commands:?}");
     assert!(!commands.contains(&Command::Release(name("c"))), "{commands:?}");
@@ -375,12 +380,12 @@
 #[test]
 fn who_goes_on_with_an_attempt_releases_every_replica() {
     let now = Instant::now();
-    let need = Need { begun: true, ..need(Reason::Suspected) };
+    let need = Need { has_begun: true, ..need(Reason::Suspected) };
     let id = ReplacementId { fence: 8, attempt: 1 };
     let (members, timing) = (members(&["a"]), Timing::default());
     let mut attempt = Attempt::new(NodeName::new("node"), id, &need, members, Term(1), timing);
     begin(&mut attempt, now);
-    attempt.on_event(Event::Wanted(false), now);
+    attempt.on_event(Event::StillNeeded(false), now);
     let commands = attempt.step(now);
     for instance in ["b", "c"] {
         assert!(commands.contains(&Command::Release(name(instance))), "{commands:?}");
@@ -399,7 +404,7 @@
     assert_eq!(chosen, Some(name("b")));
     attempt.on_event(leads("b", 2, 11, now), now);
     let commands = attempt.step(now);
-    assert!(commands.contains(&Command::Install(name("b"))), "{commands:?}");
+    assert!(commands.contains(&Command::RecordSuccessor(name("b"))), "{commands:?}");
 }
 
 /// What happened: a zone was cut off with the primary and a replica in it that was leaving. The replica's entry
--- a/crates/core/tests/promotion/support.rs
+++ b/crates/core/tests/promotion/support.rs
@@ -6,7 +6,8 @@
 use kestrellock_core::ids::{InstanceName, NodeName};
 use kestrellock_core::position::{LogOffset, Position, Term};
 use kestrellock_core::promotion::{
-    Attempt, Command, Event, Member, Members, Need, Reason, ReplacementId, Standing, Timing,
+    Attempt, Command, Event, Member, Members, Need, Reason, ReplacementId, ReplicationStatus,
+    Timing,
 };
 use kestrellock_core::routing::Role;
 
@@ -34,7 +35,7 @@
         is_refilling: false,
     };
     let all = ["a", "b", "c"].iter().map(member).collect();
-    Members { all, synchronous: 1, knows_starts: true }
+    Members { all, synchronous: 1, knows_restarts: true }
 }
 
 /// The need to replace the old primary.
@@ -42,7 +43,14 @@
     let begun = reason == Reason::Unfinished;
     let (wanted, promoting, last_primary_follows) = (true, false, false);
     let former = Some(name(FORMER));
-    Need { reason, former, wanted, begun, promoting, last_primary_follows }
+    Need {
+        reason,
+        old_primary: former,
+        is_current: wanted,
+        has_begun: begun,
+        may_have_promoted: promoting,
+        last_primary_is_replica: last_primary_follows,
+    }
 }
 
 /// An attempt that begins; the highest term known is 1.
@@ -54,21 +62,23 @@
 
 /// The store says of no instance that it has started again.
 pub fn no_starts(asked: Instant) -> Event {
-    Event::Starts { told: BTreeMap::new(), asked }
+    Event::Incarnations { by_instance: BTreeMap::new(), asked }
 }
 
 /// A replica says how it stands.
 pub fn stands(instance: &str, offset: u64, held: Term, sent: Instant) -> Event {
     let received = Position { term: Term(1), offset: LogOffset(offset) };
-    let standing = Standing { role: Role::Replica, term: Term(1), received, held };
-    Event::Stands { instance: name(instance), standing, sent }
+    let standing =
+        ReplicationStatus { role: Role::Replica, term: Term(1), received, min_term: held };
+    Event::StatusReported { instance: name(instance), status: standing, sent }
 }
 
 /// An instance says that it leads `term`.
 pub fn leads(instance: &str, term: u32, offset: u64, sent: Instant) -> Event {
     let received = Position { term: Term(1), offset: LogOffset(offset) };
-    let standing = Standing { role: Role::Primary, term: Term(term), received, held: Term(0) };
-    Event::Stands { instance: name(instance), standing, sent }
+    let standing =
+        ReplicationStatus { role: Role::Primary, term: Term(term), received, min_term: Term(0) };
+    Event::StatusReported { instance: name(instance), status: standing, sent }
 }
 
 /// A replica says that it is stopped.
@@ -103,8 +113,10 @@
                 Command::Stop { instance, term } => {
                     held.insert(instance, term);
                 }
-                Command::Record(intent) => attempt.on_event(Event::Recorded(intent), *now),
-                Command::ReadStarts => attempt.on_event(starts(*now), *now),
+                Command::RecordIntent(intent) => {
+                    attempt.on_event(Event::IntentRecorded(intent), *now)
+                }
+                Command::ReadIncarnations => attempt.on_event(starts(*now), *now),
                 _ => {}
             }
         }
@@ -119,8 +131,8 @@
 /// Has the attempt record its intent.
 pub fn begin(attempt: &mut Attempt, now: Instant) {
     let commands = attempt.step(now);
-    let [Command::Record(intent)] = commands.as_slice() else { panic!("{commands:?}") };
-    attempt.on_event(Event::Recorded(intent.clone()), now);
+    let [Command::RecordIntent(intent)] = commands.as_slice() else { panic!("{commands:?}") };
+    attempt.on_event(Event::IntentRecorded(intent.clone()), now);
 }
 
 /// Steps for a time without an answer of any instance; what the attempt asked for.
@@ -130,8 +142,8 @@
     while *now < until {
         *now += STEP;
         for command in attempt.step(*now) {
-            if let Command::Record(intent) = &command {
-                attempt.on_event(Event::Recorded(intent.clone()), *now);
+            if let Command::RecordIntent(intent) = &command {
+                attempt.on_event(Event::IntentRecorded(intent.clone()), *now);
             }
             commands.push(command);
         }
--- a/crates/core/tests/read_your_writes.rs
+++ b/crates/core/tests/read_your_writes.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use kestrellock_core::confirmation::{
-    Confirmation, ConfirmationRule, Evidence, ProbeNumber, Verdict,
+    Confirmation, ConfirmationRule, FlushReport, ProbeNumber, Verdict,
 };
 use kestrellock_core::current_position::CurrentPosition;
 use kestrellock_core::ids::InstanceName;
@@ -197,13 +197,13 @@
     fn probe(&mut self, index: usize) {
         self.last_probe = self.last_probe.next();
         let instance = &self.instances[index];
-        let evidence = Evidence {
+        let evidence = FlushReport {
             instance: &instance.name,
             probe: self.last_probe,
             flushed: instance.position(instance.log.len()),
         };
         for mut pending in std::mem::take(&mut self.pending) {
-            match pending.confirmation.on_evidence(evidence, MAJORITY) {
+            match pending.confirmation.on_flush_report(evidence, MAJORITY) {
                 Verdict::Waiting => self.pending.push(pending),
                 Verdict::Superseded(_) => {}
                 Verdict::Confirmed => {
--- a/crates/core/tests/refilling.rs
+++ b/crates/core/tests/refilling.rs
@@ -8,7 +8,9 @@
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName, ZoneName};
 use kestrellock_core::incarnation::InstanceIncarnation;
 use kestrellock_core::position::{LogOffset, Position, Term};
-use kestrellock_core::promotion::{KnownInstances, SeenStart, Standing, Witness, Witnesses};
+use kestrellock_core::promotion::{
+    KnownInstances, ObservedRestart, ReplicationStatus, RestartReport, RestartReports,
+};
 use kestrellock_core::routing::Role;
 
 const PRIMARY: &str = "a";
@@ -46,18 +48,18 @@
     IndexedCatalog::new(catalog)
 }
 
-fn stands(role: Role, term: u32, offset: u64) -> Standing {
+fn stands(role: Role, term: u32, offset: u64) -> ReplicationStatus {
     let received = Position { term: Term(term), offset: LogOffset(offset) };
-    Standing { role, term: Term(term), received, held: Term(0) }
+    ReplicationStatus { role, term: Term(term), received, min_term: Term(0) }
 }
 
 /// Instances of which the replica started again, as seen at the returned time.
 fn started_again() -> (KnownInstances, Instant) {
     let watched = Instant::now();
     let mut known = KnownInstances::default();
-    known.follow(&catalog(1), watched);
+    known.apply_catalog(&catalog(1), watched);
     let seen = watched + 20 * SECOND;
-    known.follow(&catalog(2), seen);
+    known.apply_catalog(&catalog(2), seen);
     assert!(is_refilling(&known));
     (known, seen)
 }
@@ -67,8 +69,8 @@
     members.get(&InstanceName::new(REPLICA)).expect("it is told").is_refilling
 }
 
-fn says(known: &mut KnownInstances, instance: &str, standing: Standing, asked: Instant) {
-    known.on_standing(&group(), &InstanceName::new(instance), &standing, asked);
+fn says(known: &mut KnownInstances, instance: &str, standing: ReplicationStatus, asked: Instant) {
+    known.on_status(&group(), &InstanceName::new(instance), &standing, asked);
 }
 
 /// An instance counted as whole 3 s after its start. Nobody led that could refill it, and a commit was lost that
@@ -76,9 +78,9 @@
 #[test]
 fn time_refills_nothing() {
     let (mut known, seen) = started_again();
-    known.pass_time(seen + 3600 * SECOND);
+    known.advance_time(seen + 3600 * SECOND);
     assert!(is_refilling(&known));
-    let asked = known.to_ask_for_refills(&group());
+    let asked = known.refill_status_targets(&group());
     let mut asked: Vec<&str> = asked.iter().map(InstanceName::as_str).collect();
     asked.sort_unstable();
     assert_eq!(asked, [PRIMARY, REPLICA]);
@@ -95,10 +97,10 @@
     says(&mut known, REPLICA, stands(Role::Replica, 1, 43), seen + 2 * SECOND);
     assert!(!is_refilling(&known));
     let start = InstanceIncarnation(2);
-    let seen = SeenStart { instance: InstanceName::new(REPLICA), start };
-    let witness = known.witness(&group(), None);
+    let seen = ObservedRestart { instance: InstanceName::new(REPLICA), incarnation: start };
+    let witness = known.restart_report(&group(), None);
     assert_eq!((witness.started_again, witness.refilled), (vec![seen.clone()], vec![seen]));
-    assert!(known.to_ask_for_refills(&group()).is_empty(), "nothing is asked any more");
+    assert!(known.refill_status_targets(&group()).is_empty(), "nothing is asked any more");
 }
 
 #[test]
@@ -129,9 +131,9 @@
     let (mut known, seen) = started_again();
     says(&mut known, PRIMARY, stands(Role::Primary, 1, 43), seen + SECOND);
     says(&mut known, REPLICA, stands(Role::Replica, 1, 43), seen + SECOND);
-    known.follow(&catalog(3), seen + 2 * SECOND);
+    known.apply_catalog(&catalog(3), seen + 2 * SECOND);
     assert!(is_refilling(&known));
-    assert!(known.witness(&group(), None).refilled.is_empty());
+    assert!(known.restart_report(&group(), None).refilled.is_empty());
 }
 
 /// A node that has just begun to watch cannot know what started again before.
@@ -139,10 +141,10 @@
 fn a_node_that_has_just_begun_to_watch_knows_no_starts() {
     let watched = Instant::now();
     let mut known = KnownInstances::default();
-    known.follow(&catalog(1), watched);
-    assert!(!known.members(&group()).knows_starts);
-    known.pass_time(watched + 4 * SECOND);
-    assert!(known.members(&group()).knows_starts);
+    known.apply_catalog(&catalog(1), watched);
+    assert!(!known.members(&group()).knows_restarts);
+    known.advance_time(watched + 4 * SECOND);
+    assert!(known.members(&group()).knows_restarts);
 }
 
 /// A node that has just begun to watch may have passed on commits, as the process before, that it does not
@@ -151,31 +153,31 @@
 fn a_node_that_has_just_begun_to_watch_bears_no_witness() {
     let watched = Instant::now();
     let mut known = KnownInstances::default();
-    known.follow(&catalog(1), watched);
-    known.follow(&catalog(2), watched + SECOND);
-    assert!(known.witness(&group(), None).started_again.is_empty());
-    known.pass_time(watched + 4 * SECOND);
-    assert_eq!(known.witness(&group(), None).started_again.len(), 1);
+    known.apply_catalog(&catalog(1), watched);
+    known.apply_catalog(&catalog(2), watched + SECOND);
+    assert!(known.restart_report(&group(), None).started_again.is_empty());
+    known.advance_time(watched + 4 * SECOND);
+    assert_eq!(known.restart_report(&group(), None).started_again.len(), 1);
 }
 
 #[test]
 fn what_all_nodes_have_heard_needs_the_word_of_each() {
     let nodes = ["one", "two", "three"].map(NodeName::new);
-    let start = |number| SeenStart {
+    let start = |number| ObservedRestart {
         instance: InstanceName::new(REPLICA),
-        start: InstanceIncarnation(number),
+        incarnation: InstanceIncarnation(number),
     };
     let position = |offset| Position { term: Term(1), offset: LogOffset(offset) };
-    let says = |starts: &[u64], offset: Option<u64>| Witness {
+    let says = |starts: &[u64], offset: Option<u64>| RestartReport {
         started_again: starts.iter().map(|number| start(*number)).collect(),
         refilled: Vec::new(),
-        heard: offset.map(position),
+        primary_position: offset.map(position),
     };
-    let mut witnesses = Witnesses::default();
+    let mut witnesses = RestartReports::default();
     witnesses.add(&nodes[0], says(&[2, 3], Some(7)));
     witnesses.add(&nodes[1], says(&[2], Some(9)));
-    assert_eq!(witnesses.heard_by_all(&nodes), None, "one has not spoken");
+    assert_eq!(witnesses.combined(&nodes), None, "one has not spoken");
     witnesses.add(&nodes[2], says(&[2, 3], None));
-    let heard = witnesses.heard_by_all(&nodes).expect("all have spoken");
-    assert_eq!((heard.started_again, heard.highest), (vec![start(2)], position(9)));
+    let heard = witnesses.combined(&nodes).expect("all have spoken");
+    assert_eq!((heard.started_again, heard.highest_position), (vec![start(2)], position(9)));
 }
--- a/crates/core/tests/replacement/acting.rs
+++ b/crates/core/tests/replacement/acting.rs
@@ -1,9 +1,9 @@
 //! What a node does about the primary: it suspects, takes the right to act, and acts.
 
 use kestrellock_core::ids::InstanceName;
-use kestrellock_core::primary_evidence::UNLISTED_EVIDENCE_LIFE;
+use kestrellock_core::primary_evidence::UNLISTED_EVIDENCE_LIFETIME;
 use kestrellock_core::promotion::{
-    Attempt, Command, Event, Need, ReplacementId, Successor, TELL_INTERVAL, Timing,
+    Attempt, Command, Event, NOTIFY_INTERVAL, Need, ReplacementId, Successor, Timing,
 };
 use kestrellock_core::store_era::StoreEra;
 
@@ -24,7 +24,7 @@
 /// Time between two attempts at one change of the store.
 const STORE_RETRY_MS: u64 = 100;
 /// Time between two messages of a holder to a node.
-const TELL_INTERVAL_MS: u64 = TELL_INTERVAL.as_millis() as u64;
+const TELL_INTERVAL_MS: u64 = NOTIFY_INTERVAL.as_millis() as u64;
 /// Time that such a message is under way.
 const TOLD_AFTER_MS: u64 = 3;
 /// Time between two messages to a holder.
@@ -109,7 +109,7 @@
     fn tell_holder(&mut self, node: usize) {
         let own = &self.nodes[node];
         let Some(intent) = own.intent() else { return };
-        let Some(id) = own.evidence.given_up() else { return };
+        let Some(id) = own.evidence.revoked_for() else { return };
         if self.now < own.told + TELL_EVERY_MS {
             return;
         }
@@ -117,7 +117,7 @@
         let Some(to) = holder else { return };
         self.nodes[node].told = self.now;
         let own = &self.nodes[node];
-        let witness = own.known.witness(&group_name(), own.heard.highest());
+        let witness = own.known.restart_report(&group_name(), own.heard.highest());
         self.send(Message::GivenUp { to, from: node, id, witness });
     }
 
@@ -149,7 +149,7 @@
     fn tell_nodes(&mut self, node: usize) {
         let now = self.now;
         let Some(acting) = &mut self.nodes[node].acting else { return };
-        let under_way = acting.attempt.as_ref().and_then(Attempt::under_way);
+        let under_way = acting.attempt.as_ref().and_then(Attempt::recorded_intent);
         let is_early = acting.told.is_some_and(|told| now < told + TELL_INTERVAL_MS);
         let Some(intent) = under_way.filter(|_| self.is_told && !is_early).cloned() else { return };
         let recorded = acting.recorded.unwrap_or(now);
@@ -190,10 +190,10 @@
 
     fn timing(&self) -> Timing {
         let mut timing =
-            Timing { unlisted_evidence_life: UNLISTED_EVIDENCE_LIFE, ..Timing::default() };
+            Timing { unlisted_evidence_lifetime: UNLISTED_EVIDENCE_LIFETIME, ..Timing::default() };
         if self.plant == Plant::NoLapse {
-            timing.evidence_life = std::time::Duration::ZERO;
-            timing.unlisted_evidence_life = std::time::Duration::ZERO;
+            timing.evidence_lifetime = std::time::Duration::ZERO;
+            timing.unlisted_evidence_lifetime = std::time::Duration::ZERO;
         }
         timing
     }
@@ -209,9 +209,9 @@
         let fence = acting.fence;
         let Some(attempt) = &mut acting.attempt else { return };
         attempt.on_event(Event::Members(members), now);
-        attempt.on_event(Event::Wanted(need.is_some_and(|need| need.wanted)), now);
+        attempt.on_event(Event::StillNeeded(need.is_some_and(|need| need.is_current)), now);
         if let Some(witnesses) = own.given_up.get(&attempt.id()) {
-            attempt.hear(witnesses, &nodes, now);
+            attempt.on_reports(witnesses, &nodes, now);
         }
         let before = attempt.phase();
         let commands = attempt.step(now);
@@ -232,8 +232,10 @@
 
     fn carry_out(&mut self, node: usize, fence: u64, command: Command) {
         match &command {
-            Command::Record(intent) => self.call(node, fence, Operation::Record(intent.clone())),
-            Command::Install(successor) => {
+            Command::RecordIntent(intent) => {
+                self.call(node, fence, Operation::Record(intent.clone()))
+            }
+            Command::RecordSuccessor(successor) => {
                 self.call(node, fence, Operation::Install(successor.clone()));
             }
             Command::Finish { id, successor } => {
@@ -243,9 +245,9 @@
                 }
                 self.call(node, fence, Operation::Finish(*id, successor.clone()));
             }
-            Command::ReadStarts => self.call(node, fence, Operation::ReadStarts),
+            Command::ReadIncarnations => self.call(node, fence, Operation::ReadStarts),
             Command::Promote(instance) => self.promote(node, fence, instance),
-            Command::Ask(instance)
+            Command::QueryStatus(instance)
             | Command::Stop { instance, .. }
             | Command::Demote { instance, .. }
             | Command::Release(instance) => {
@@ -320,10 +322,10 @@
             }
             (Operation::ReadStarts, Done::Starts(told)) => {
                 let asked = self.at(call.sent);
-                let may_be_old = self.nodes[call.node].era.starts_may_be_old(asked);
+                let may_be_old = self.nodes[call.node].era.incarnations_may_be_stale(asked);
                 let event = match may_be_old && self.plant != Plant::StartsBelieved {
-                    true => Event::StartsUnknown,
-                    false => Event::Starts { told, asked },
+                    true => Event::IncarnationsUnavailable,
+                    false => Event::Incarnations { by_instance: told, asked },
                 };
                 self.on_event(call.node, event);
             }
@@ -335,7 +337,7 @@
                         acting.listed = listed;
                     }
                 }
-                self.on_event(call.node, Event::Recorded(intent.clone()));
+                self.on_event(call.node, Event::IntentRecorded(intent.clone()));
             }
             (Operation::Finish(id, successor), Done::Yes(_)) => {
                 self.tell_end(call.node, *id, successor.as_ref());
@@ -355,7 +357,7 @@
     fn on_other_era(&mut self, call: &Call) {
         match call.operation {
             Operation::Acquire => self.nodes[call.node].acquiring = false,
-            Operation::ReadStarts => self.on_event(call.node, Event::StartsUnknown),
+            Operation::ReadStarts => self.on_event(call.node, Event::IncarnationsUnavailable),
             _ => {}
         }
     }
@@ -381,7 +383,7 @@
                     acting.renewing = false;
                 }
             }
-            Operation::ReadStarts => self.on_event(call.node, Event::StartsUnknown),
+            Operation::ReadStarts => self.on_event(call.node, Event::IncarnationsUnavailable),
             Operation::Record(_) | Operation::Finish(..) => self.call_again(&call),
             _ => {}
         }
--- a/crates/core/tests/replacement/instances.rs
+++ b/crates/core/tests/replacement/instances.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use kestrellock_core::position::{LogOffset, Position, Term};
-use kestrellock_core::promotion::Standing;
+use kestrellock_core::promotion::ReplicationStatus;
 use kestrellock_core::routing::Role;
 
 use crate::checker::CommitId;
@@ -105,12 +105,17 @@
     }
 
     /// How it stands.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> ReplicationStatus {
         let received = Position {
             term: Term(self.log.last().map_or(1, |entry| entry.term)),
             offset: LogOffset(self.log.len() as u64),
         };
-        Standing { role: self.role, term: Term(self.term), received, held: Term(self.held) }
+        ReplicationStatus {
+            role: self.role,
+            term: Term(self.term),
+            received,
+            min_term: Term(self.held),
+        }
     }
 
     /// It starts again under its name, with nothing. A second start is earlier by its clock.
--- a/crates/core/tests/replacement/listing.rs
+++ b/crates/core/tests/replacement/listing.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kestrellock_core::ids::NodeName;
-use kestrellock_core::primary_evidence::{EVIDENCE_LIFE, UNLISTED_EVIDENCE_LIFE};
+use kestrellock_core::primary_evidence::{EVIDENCE_LIFETIME, UNLISTED_EVIDENCE_LIFETIME};
 
 use crate::plan::Plant;
 use crate::store::{Operation, node_name};
@@ -64,9 +64,9 @@
     /// How long a node relies on its evidence.
     pub fn evidence_life(&self, node: usize) -> Duration {
         if self.is_waited_for(node) || self.plant == Plant::UnlistedEvidenceLasts {
-            EVIDENCE_LIFE
+            EVIDENCE_LIFETIME
         } else {
-            UNLISTED_EVIDENCE_LIFE
+            UNLISTED_EVIDENCE_LIFETIME
         }
     }
 
--- a/crates/core/tests/replacement/messages.rs
+++ b/crates/core/tests/replacement/messages.rs
@@ -2,7 +2,8 @@
 
 use kestrellock_core::position::{Position, Term};
 use kestrellock_core::promotion::{
-    Command, CoordinationView, Intent, PromotionAnswer, ReplacementId, Standing, Successor, Witness,
+    Command, CoordinationView, Intent, PromotionAnswer, ReplacementId, ReplicationStatus,
+    RestartReport, Successor,
 };
 use kestrellock_core::store_era::StoreEra;
 
@@ -36,7 +37,7 @@
     /// It does not lead.
     NotPrimary,
     /// How it stands.
-    Standing(Standing),
+    Standing(ReplicationStatus),
     /// It receives again.
     Released,
     /// Nothing runs there.
@@ -165,7 +166,7 @@
         /// The replacement.
         id: ReplacementId,
         /// What it knows of the group.
-        witness: Witness,
+        witness: RestartReport,
     },
     /// An instance writes its entry again.
     Announce {
--- a/crates/core/tests/replacement/node.rs
+++ b/crates/core/tests/replacement/node.rs
@@ -12,12 +12,13 @@
 use kestrellock_core::primary_evidence::{PrimaryEvidence, Replication};
 use kestrellock_core::primary_samples::PrimarySamples;
 use kestrellock_core::promotion::{
-    Attempt, CoordinationView, HeardReplacements, Intent, KnownEra, KnownInstances, Need,
-    NeedsEvidence, NeedsJudge, NodeVotes, ReplacementId, Successor, Vote, Witnesses, heeded,
+    Attempt, CoordinationView, Intent, KnownInstances, KnownReplacements, Need, NeedsEvaluator,
+    NeedsInput, NodeVotes, ReplacementId, RestartReports, StoreEraTracker, Successor, Vote,
+    active_intents,
 };
 use kestrellock_core::routing::Role;
 use kestrellock_core::store_era::StoreEra;
-use kestrellock_core::suspicion::{Judge, Signs};
+use kestrellock_core::suspicion::{FailureDetector, HealthSignals};
 
 use crate::checker::CommitId;
 use crate::returns::{Keys, complete, installed_of, intents_of};
@@ -91,7 +92,7 @@
     /// What the store said last.
     pub view: CoordinationView,
     /// Its era, as this node has seen it.
-    pub era: KnownEra,
+    pub era: StoreEraTracker,
     /// The newest era that any answer has told.
     pub newest_era: StoreEra,
     /// What nodes have written of replacements, as the store said last.
@@ -109,7 +110,7 @@
     /// Whether it has come since the node last followed it.
     catalog_is_new: bool,
     /// Replacements that it has heard of.
-    pub replacements: HeardReplacements,
+    pub replacements: KnownReplacements,
     /// Evidence of the primary.
     pub evidence: PrimaryEvidence,
     /// Commits whose answers have come, and that replicas have yet to confirm.
@@ -128,8 +129,8 @@
     pub refused: BTreeMap<usize, Instant>,
     /// The instance that it took for the primary when it last looked.
     pub followed: Option<usize>,
-    judge: Judge,
-    needs_judge: NeedsJudge,
+    judge: FailureDetector,
+    needs_judge: NeedsEvaluator,
     /// The instances.
     pub known: KnownInstances,
     /// What it suspects.
@@ -140,7 +141,7 @@
     pub acquiring: bool,
     needed_since: Option<u64>,
     /// Nodes that have given their evidence up, and what they know.
-    pub given_up: BTreeMap<ReplacementId, Witnesses>,
+    pub given_up: BTreeMap<ReplacementId, RestartReports>,
     /// Positions that the primary has told it.
     pub heard: PrimarySamples,
     /// When it last told a holder.
@@ -172,7 +173,7 @@
             frozen: false,
             process,
             view: CoordinationView::default(),
-            era: KnownEra::default(),
+            era: StoreEraTracker::default(),
             newest_era: StoreEra::default(),
             keys: Keys::new(),
             remembered: Keys::new(),
@@ -181,7 +182,7 @@
             retake_until: 0,
             catalog: IndexedCatalog::default(),
             catalog_is_new: false,
-            replacements: HeardReplacements::default(),
+            replacements: KnownReplacements::default(),
             evidence: PrimaryEvidence::default(),
             unconfirmed: Vec::new(),
             terms: BTreeMap::new(),
@@ -191,8 +192,8 @@
             refused: BTreeMap::new(),
             runs_known: BTreeMap::new(),
             followed: None,
-            judge: Judge::default(),
-            needs_judge: NeedsJudge::default(),
+            judge: FailureDetector::default(),
+            needs_judge: NeedsEvaluator::default(),
             known: KnownInstances::default(),
             votes: NodeVotes::new(),
             acting: None,
@@ -220,7 +221,7 @@
     /// It has watched the instances since `started`.
     pub fn has_watched_since(&mut self, announced: &[Announced], started: Instant) {
         let catalog = catalog(0, announced, None);
-        self.known.follow(&catalog, started);
+        self.known.apply_catalog(&catalog, started);
     }
 
     /// Whether it does anything now.
@@ -240,7 +241,7 @@
             return;
         }
         self.newest_era = self.newest_era.max(view.era);
-        if self.era.follow(view.era, now) {
+        if self.era.observe(view.era, now) {
             self.remembered = complete(&self.keys, &self.remembered);
             self.writes_back = true;
         }
@@ -251,9 +252,9 @@
         let installed = installed.as_ref();
         view.promoted = installed.map(|one| (group_name(), one.clone())).into_iter().collect();
         if let Some(term) = installed.and_then(|installed| installed.term) {
-            self.evidence.on_led(term);
+            self.evidence.on_term_led(term);
         }
-        self.replacements.follow_store(&view.intents, now);
+        self.replacements.update_from_store(&view.intents, now);
         self.follow_replacements();
         self.catalog = catalog(view.revision, announced, installed);
         self.catalog_is_new = true;
@@ -262,35 +263,35 @@
 
     /// The replacement of the group that it has heard of.
     pub fn intent(&self) -> Option<Intent> {
-        heeded(&self.replacements.intents()).remove(&group_name())
+        active_intents(&self.replacements.intents()).remove(&group_name())
     }
 
     /// Gives its evidence up while it has heard of a replacement.
     fn follow_replacements(&mut self) {
         match self.intent() {
-            Some(intent) => self.evidence.give_up(intent.id),
-            None => self.evidence.take_up(),
+            Some(intent) => self.evidence.revoke(intent.id),
+            None => self.evidence.end_revocation(),
         }
     }
 
     /// A holder says that a replacement is under way.
     pub fn on_under_way(&mut self, intent: Intent, age: Duration, now: Instant) {
-        self.replacements.on_told(&group_name(), intent, age, now);
+        self.replacements.on_notification(&group_name(), intent, age, now);
         self.follow_replacements();
     }
 
     /// A holder says that a replacement is over.
     pub fn on_over(&mut self, id: ReplacementId, successor: Option<&Successor>) {
-        self.replacements.on_over(&group_name(), id);
+        self.replacements.on_finished(&group_name(), id);
         if let Some(term) = successor.and_then(|successor| successor.term) {
-            self.evidence.on_led(term);
+            self.evidence.on_term_led(term);
         }
         self.follow_replacements();
     }
 
     /// Forgets replacements whose holders are gone.
     pub fn pass_time(&mut self, now: Instant) {
-        if self.replacements.pass_time(now) {
+        if self.replacements.expire(now) {
             self.follow_replacements();
         }
     }
@@ -342,21 +343,24 @@
         until.is_some_and(|until| arrived <= until)
     }
 
-    fn signs(&self, instance: usize) -> Signs {
+    fn signs(&self, instance: usize) -> HealthSignals {
         let waiting = self.waiting.values().filter(|(to, _, _)| *to == instance);
-        Signs {
-            refused: self.refused.get(&instance).copied(),
-            waiting: waiting.clone().map(|(_, sent, _)| *sent).min(),
-            committing: waiting.filter(|(_, _, commits)| *commits).map(|(_, sent, _)| *sent).min(),
-            committed: self.committed.get(&instance).copied(),
-            answered: self.answered.get(&instance).copied(),
+        HealthSignals {
+            refused_since: self.refused.get(&instance).copied(),
+            oldest_request: waiting.clone().map(|(_, sent, _)| *sent).min(),
+            oldest_commit: waiting
+                .filter(|(_, _, commits)| *commits)
+                .map(|(_, sent, _)| *sent)
+                .min(),
+            last_commit: self.committed.get(&instance).copied(),
+            last_answer: self.answered.get(&instance).copied(),
             is_outdated: self.evidence.is_outdated(self.terms.get(&instance).copied()),
         }
     }
 
     /// Judges the primary; true if what the node suspects has changed.
     pub fn suspect(&mut self, now: Instant) -> bool {
-        self.judge.on_step(now);
+        self.judge.tick(now);
         let mut votes = NodeVotes::new();
         if let Some(leader) = self.leader()
             && let Some(cause) = self.judge.suspect(&self.signs(leader), now)
@@ -373,13 +377,13 @@
     pub fn need(&mut self, live: &[NodeName], now: Instant) -> Option<Need> {
         match std::mem::take(&mut self.catalog_is_new) {
             true => {
-                self.known.follow(&self.catalog, now);
-                self.needs_judge.follow(&self.catalog);
+                self.known.apply_catalog(&self.catalog, now);
+                self.needs_judge.apply_catalog(&self.catalog);
             }
-            false => drop(self.known.pass_time(now)),
+            false => drop(self.known.advance_time(now)),
         }
         let own = node_name(self.number);
-        let evidence = NeedsEvidence {
+        let evidence = NeedsInput {
             catalog: &self.catalog,
             view: &self.view,
             own: (&own, &self.votes),
@@ -387,24 +391,24 @@
             listed: live,
             now,
         };
-        self.needs_judge.judge(&evidence).remove(&group_name())
+        self.needs_judge.evaluate(&evidence).remove(&group_name())
     }
 
     /// An attempt was called off.
     pub fn on_called_off(&mut self, now: Instant) {
-        self.needs_judge.on_called_off(&group_name(), now);
+        self.needs_judge.on_cancelled(&group_name(), now);
     }
 
     /// Whether it is this node's turn to act on a need.
     pub fn is_its_turn(&mut self, need: Option<&Need>, now: u64, at: Instant) -> bool {
-        let knows_starts = self.known.knows_starts(&group_name(), at);
-        if !knows_starts || !need.is_some_and(Need::calls_for_action) {
+        let knows_starts = self.known.knows_restarts(&group_name(), at);
+        if !knows_starts || !need.is_some_and(Need::needs_coordinator) {
             self.needed_since = None;
             return false;
         }
         let since = *self.needed_since.get_or_insert(now);
-        let is_settled = !self.era.earlier_hold_may_last(at);
-        let is_free = self.acting.is_none() && !self.acquiring && self.view.holder.is_none();
+        let is_settled = !self.era.earlier_lease_may_be_valid(at);
+        let is_free = self.acting.is_none() && !self.acquiring && self.view.coordinator.is_none();
         let may = is_free && is_settled;
         may && self.view.revision > 0 && now >= since + 120 * self.number as u64
     }
--- a/crates/core/tests/replacement/refills.rs
+++ b/crates/core/tests/replacement/refills.rs
@@ -14,7 +14,7 @@
         if self.now < own.asked_refills + ASK_EVERY_MS {
             return;
         }
-        let asked = own.known.to_ask_for_refills(&group_name());
+        let asked = own.known.refill_status_targets(&group_name());
         if asked.is_empty() {
             return;
         }
--- a/crates/core/tests/replacement/serving.rs
+++ b/crates/core/tests/replacement/serving.rs
@@ -49,7 +49,7 @@
                 self.checker.on_read(*arrived, &commits);
                 Some(Reply::Read(term))
             }
-            Work::Question | Work::Control(Command::Ask(_)) => {
+            Work::Question | Work::Control(Command::QueryStatus(_)) => {
                 Some(Reply::Standing(instance.standing()))
             }
             Work::Control(Command::Stop { term, .. }) => Some(stop(instance, term.0)),
@@ -76,7 +76,7 @@
 fn stop(instance: &mut Instance, term: u32) -> Reply {
     let mut standing = instance.standing();
     if instance.role == Role::Replica {
-        standing.held = standing.held.max(Term(term));
+        standing.min_term = standing.min_term.max(Term(term));
         instance.held = instance.held.max(term);
     }
     Reply::Standing(standing)
--- a/crates/core/tests/replacement/store.rs
+++ b/crates/core/tests/replacement/store.rs
@@ -5,7 +5,7 @@
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_core::incarnation::InstanceIncarnation;
 use kestrellock_core::promotion::{
-    CoordinationView, Holder, Intent, NodeVotes, ReplacementId, Successor,
+    CoordinationView, Coordinator, Intent, NodeVotes, ReplacementId, Successor,
 };
 
 use kestrellock_core::store_era::StoreEra;
@@ -209,7 +209,9 @@
         CoordinationView {
             era: self.era,
             revision: self.position(),
-            holder: keys.holder.map(|(node, fence, _)| Holder { node: node_name(node), fence }),
+            coordinator: keys
+                .holder
+                .map(|(node, fence, _)| Coordinator { node: node_name(node), fence }),
             intents: intents_of(&self.keys),
             votes: votes.collect(),
             promoted: installed_of(&self.keys).map(|one| (group_name(), one)).into_iter().collect(),
--- a/crates/core/tests/replacement/traffic.rs
+++ b/crates/core/tests/replacement/traffic.rs
@@ -1,7 +1,7 @@
 //! What callers do at nodes, and what nodes make of answers.
 
 use kestrellock_core::position::Term;
-use kestrellock_core::primary_evidence::Following;
+use kestrellock_core::primary_evidence::ReplicaTerms;
 use kestrellock_core::promotion::{Command, Event};
 use kestrellock_core::routing::Role;
 use rand::RngExt;
@@ -108,7 +108,7 @@
         }
         self.nodes[node].looked = self.now;
         match self.plant {
-            Plant::NoLook => self.nodes[node].evidence.on_unreplaced(now),
+            Plant::NoLook => self.nodes[node].evidence.on_no_replacement(now),
             _ => self.call(node, 0, Operation::Look),
         }
     }
@@ -122,7 +122,7 @@
         let is_replaced = own.replacements.intents().contains_key(&group_name()) || !is_newest;
         let may_be_lost = own.era.replacement_may_be_lost(now);
         if own.view.revision >= revision && !is_replaced && !may_be_lost {
-            own.evidence.on_unreplaced(sent);
+            own.evidence.on_no_replacement(sent);
         }
     }
 
@@ -148,12 +148,12 @@
         match reply {
             Reply::Refused => {
                 own.refused.entry(exchange.instance).or_insert(now);
-                own.evidence.forget();
+                own.evidence.discard();
             }
             Reply::Broken(run) => {
                 own.runs_known.insert(exchange.instance, run);
                 own.refused.remove(&exchange.instance);
-                own.evidence.forget();
+                own.evidence.discard();
             }
             _ => {
                 own.refused.remove(&exchange.instance);
@@ -162,7 +162,7 @@
         }
         if let Reply::Standing(standing) = &reply {
             let name = instance_name(exchange.instance);
-            own.known.on_standing(&group_name(), &name, standing, sent);
+            own.known.on_status(&group_name(), &name, standing, sent);
         }
         if let Work::Control(command) = &exchange.work {
             self.on_control(
@@ -190,12 +190,13 @@
             Reply::Standing(standing) => {
                 own.terms.insert(exchange.instance, standing.term);
                 if standing.role == Role::Primary {
-                    own.evidence.on_led(standing.term);
+                    own.evidence.on_term_led(standing.term);
                 }
                 if standing.role == Role::Replica {
-                    let following = Following { term: standing.term, held: standing.held };
+                    let following =
+                        ReplicaTerms { term: standing.term, min_term: standing.min_term };
                     let replica = instance_name(exchange.instance);
-                    own.evidence.on_replica(&replica, following, sent, now);
+                    own.evidence.on_replica_report(&replica, following, sent, now);
                 }
             }
             Reply::NotPrimary | Reply::Refused | Reply::Broken(_) => {
@@ -234,7 +235,7 @@
     fn answer_counts(&self, node: usize, instance: usize) -> bool {
         let (name, now) = (instance_name(instance), self.at(self.now));
         let replacements = &self.nodes[node].replacements;
-        let counts = replacements.answer_counts(&group_name(), &name, now);
+        let counts = replacements.accepts_commit(&group_name(), &name, now);
         counts || self.plant == Plant::LateAnswers
     }
 
@@ -284,7 +285,9 @@
         let sent = self.at(sent);
         let event = match (reply, command) {
             (Reply::Released, Command::Release(_)) => Event::Released(name),
-            (Reply::Standing(standing), _) => Event::Stands { instance: name, standing, sent },
+            (Reply::Standing(standing), _) => {
+                Event::StatusReported { instance: name, status: standing, sent }
+            }
             (Reply::Refused, _) => Event::Refused { instance: name, sent },
             _ => return,
         };
--- a/crates/daemon/src/agent/promotion/electors.rs
+++ b/crates/daemon/src/agent/promotion/electors.rs
@@ -41,7 +41,7 @@
             return;
         }
         self.live = names(&live);
-        self.counted = self.electorate.counted(&names(&listed), &self.live, now);
+        self.counted = self.electorate.eligible(&names(&listed), &self.live, now);
         (self.live_list, self.listed_list) = (live, listed);
         self.gathered = Some(now);
     }
--- a/crates/daemon/src/agent/promotion/holder.rs
+++ b/crates/daemon/src/agent/promotion/holder.rs
@@ -203,7 +203,7 @@
         match report {
             Report::Event(group, event) => {
                 if let Some(running) = self.attempts.get_mut(&group) {
-                    if matches!(event, Event::Recorded(_)) {
+                    if matches!(event, Event::IntentRecorded(_)) {
                         running.pending = None;
                         running.recorded.get_or_insert(now);
                     }
@@ -269,7 +269,7 @@
             highest,
             Timing::default(),
         );
-        log::info!(event = "attempt", group = group.as_str(), reason:? = need.reason, former:? = need.former, term = highest.0; "a primary is to be replaced");
+        log::info!(event = "attempt", group = group.as_str(), reason:? = need.reason, former:? = need.old_primary, term = highest.0; "a primary is to be replaced");
         let phase = attempt.phase();
         let running =
             Running { attempt, again: None, pending: None, began: now, recorded: None, phase };
@@ -278,13 +278,17 @@
 
     fn step_group(&mut self, group: &GroupName, situation: &Situation, now: Instant) {
         let Some(running) = self.attempts.get_mut(group) else { return };
-        let wanted = situation.needs.get(group).is_some_and(|need| need.wanted);
+        let wanted = situation.needs.get(group).is_some_and(|need| need.is_current);
         running.attempt.on_event(Event::Members(situation.known.members(group)), now);
-        running.attempt.on_event(Event::Wanted(wanted), now);
+        running.attempt.on_event(Event::StillNeeded(wanted), now);
         let id = running.attempt.id();
         let said = self.context.given_up.for_replacement(group, id);
         if let Some(said) = said {
-            running.attempt.hear(&said, &nodes_to_hear(self.context, &*self.coordination), now);
+            running.attempt.on_reports(
+                &said,
+                &nodes_to_hear(self.context, &*self.coordination),
+                now,
+            );
         }
         let mut commands = running.attempt.step(now);
         if running.again.as_ref().is_some_and(|(at, _)| now >= *at) {
@@ -295,7 +299,7 @@
             let after = now.saturating_duration_since(running.began).as_millis() as u64;
             log::info!(event = "phase", group = group.as_str(), phase:? = running.phase, chosen:? = running.attempt.chosen(), after_ms = after; "the attempt goes on");
         }
-        if let Some(intent) = running.attempt.under_way() {
+        if let Some(intent) = running.attempt.recorded_intent() {
             let recorded = running.recorded.unwrap_or(now);
             self.context.replacements.on_carried_out(group, intent, recorded);
         }
@@ -312,18 +316,18 @@
         now: Instant,
     ) {
         match command {
-            Command::ReadStarts if self.starts_may_be_old => {
+            Command::ReadIncarnations if self.starts_may_be_old => {
                 log::info!(event = "starts_unknown", group = group.as_str(); "the store has come back from a copy: instances may not have told yet that they have started again");
                 if let Some(running) = self.attempts.get_mut(group) {
-                    running.attempt.on_event(Event::StartsUnknown, now);
+                    running.attempt.on_event(Event::IncarnationsUnavailable, now);
                 }
             }
-            Command::ReadStarts => {
+            Command::ReadIncarnations => {
                 let members = known.members(group).all;
                 let instances = members.into_iter().map(|member| member.name).collect();
                 self.orders.read_starts(group.clone(), instances);
             }
-            Command::Ask(instance) => self.tell(group, &instance, Order::Ask, known),
+            Command::QueryStatus(instance) => self.tell(group, &instance, Order::Ask, known),
             Command::Stop { instance, term } => {
                 self.tell(group, &instance, Order::Stop(term), known);
             }
@@ -337,11 +341,11 @@
                     self.orders.promote(group.clone(), instance, holder, &self.hold);
                 }
             }
-            Command::Record(ref intent) => {
+            Command::RecordIntent(ref intent) => {
                 self.orders.record(&self.hold, group.clone(), intent.clone());
                 self.keep_pending(group, command);
             }
-            Command::Install(successor) => {
+            Command::RecordSuccessor(successor) => {
                 self.orders.install(&self.hold, group.clone(), successor);
             }
             Command::Finish { id, ref successor } => {
--- a/crates/daemon/src/agent/promotion/opinions.rs
+++ b/crates/daemon/src/agent/promotion/opinions.rs
@@ -11,7 +11,7 @@
 use crossbeam::channel::{Receiver, Sender, unbounded};
 use kestrellock_core::ids::{GroupName, InstanceName};
 use kestrellock_core::position::Term;
-use kestrellock_core::promotion::Standing;
+use kestrellock_core::promotion::ReplicationStatus;
 use kestrellock_core::routing::Role;
 use kestrellock_core::suspicion::Cause;
 use kestrellock_store::control::{ControlError, ControlTarget, InstanceControl, Order};
@@ -37,7 +37,7 @@
     /// The instance.
     pub subject: Subject,
     /// How it stands.
-    pub standing: Standing,
+    pub standing: ReplicationStatus,
     /// When it was asked.
     pub asked: Instant,
 }
@@ -46,7 +46,7 @@
 struct Answered {
     subject: Subject,
     opinion: Opinion,
-    standing: Option<Standing>,
+    standing: Option<ReplicationStatus>,
     asked: Instant,
 }
 
@@ -118,7 +118,7 @@
     control: &dyn InstanceControl,
     target: &ControlTarget,
     highest: Term,
-    outcome: Result<Standing, ControlError>,
+    outcome: Result<ReplicationStatus, ControlError>,
 ) -> Option<Cause> {
     match outcome {
         Ok(standing) if standing.role == Role::Primary && standing.term < highest => {
--- a/crates/daemon/src/agent/promotion/orders.rs
+++ b/crates/daemon/src/agent/promotion/orders.rs
@@ -8,7 +8,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_core::promotion::{
-    Event, Intent, PromotionAnswer, ReplacementId, Standing, Successor,
+    Event, Intent, PromotionAnswer, ReplacementId, ReplicationStatus, Successor,
 };
 use kestrellock_store::control::{ControlError, ControlTarget, Order};
 use kestrellock_store::coordination::{Coordination, Hold};
@@ -164,7 +164,7 @@
     match command {
         StoreCommand::Record(hold, group, intent) => {
             match coordination.record(&hold, &group, &intent) {
-                Ok(true) => Report::Event(group, Event::Recorded(intent)),
+                Ok(true) => Report::Event(group, Event::IntentRecorded(intent)),
                 Ok(false) => Report::HoldOver,
                 Err(_) => Report::StoreFailed(group),
             }
@@ -196,10 +196,10 @@
 fn read_starts(coordination: &dyn Coordination, instances: &[InstanceName]) -> Event {
     let asked = Instant::now();
     match coordination.starts(instances) {
-        Ok(told) => Event::Starts { told, asked },
+        Ok(told) => Event::Incarnations { by_instance: told, asked },
         Err(error) => {
             log::info!(event = "starts_unknown", error = error.to_string().as_str(); "the store does not say which instances have started again");
-            Event::StartsUnknown
+            Event::IncarnationsUnavailable
         }
     }
 }
@@ -208,13 +208,14 @@
 fn events_of(
     target: &ControlTarget,
     order: Order,
-    outcome: Result<Standing, ControlError>,
+    outcome: Result<ReplicationStatus, ControlError>,
     sent: Instant,
 ) -> Vec<Event> {
     let instance = target.instance.clone();
     match outcome {
         Ok(standing) => {
-            let stands = Event::Stands { instance: instance.clone(), standing, sent };
+            let stands =
+                Event::StatusReported { instance: instance.clone(), status: standing, sent };
             match order {
                 Order::Release => vec![stands, Event::Released(instance)],
                 Order::Ask | Order::Stop(_) | Order::Demote(_) => vec![stands],
@@ -227,7 +228,7 @@
             vec![Event::Released(instance)]
         }
         Err(ControlError::Unanswered(_) | ControlError::Rejected(_)) => {
-            vec![Event::Unanswered(instance)]
+            vec![Event::NoAnswer(instance)]
         }
     }
 }
--- a/crates/daemon/src/agent/promotion/telling.rs
+++ b/crates/daemon/src/agent/promotion/telling.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use kestrellock_core::ids::{GroupName, NodeName};
-use kestrellock_core::promotion::TELL_INTERVAL;
+use kestrellock_core::promotion::NOTIFY_INTERVAL;
 use kestrellock_peer::message::PeerMessage;
 
 use crate::context::NodeContext;
@@ -22,7 +22,7 @@
 impl Telling {
     /// Tells what is due.
     pub fn step(&mut self, context: &NodeContext, mailboxes: &Mailboxes, now: Instant) {
-        let is_early = self.last.is_some_and(|last| now < last + TELL_INTERVAL);
+        let is_early = self.last.is_some_and(|last| now < last + NOTIFY_INTERVAL);
         if is_early || !context.replacements.has_news() {
             return;
         }
--- a/crates/daemon/src/agent/promotion/watch.rs
+++ b/crates/daemon/src/agent/promotion/watch.rs
@@ -9,11 +9,11 @@
 use kestrellock_core::catalog::{Group, IndexedCatalog, Instance};
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_core::promotion::{
-    CoordinationView, Intent, KnownEra, KnownInstances, Need, NeedsEvidence, NeedsJudge, NodeVotes,
-    Vote, heeded,
+    CoordinationView, Intent, KnownInstances, Need, NeedsEvaluator, NeedsInput, NodeVotes,
+    StoreEraTracker, Vote, active_intents,
 };
 use kestrellock_core::routing::Role;
-use kestrellock_core::suspicion::{Cause, Judge};
+use kestrellock_core::suspicion::{Cause, FailureDetector};
 use kestrellock_peer::message::PeerMessage;
 use kestrellock_store::control::ControlTarget;
 use xxhash_rust::xxh3::xxh3_64;
@@ -45,8 +45,8 @@
 struct Watcher<'a> {
     context: &'a Arc<NodeContext>,
     services: &'a SuccessionServices,
-    judge: Judge,
-    needs_judge: NeedsJudge,
+    judge: FailureDetector,
+    needs_judge: NeedsEvaluator,
     known: KnownInstances,
     /// The catalog that was followed last.
     followed: Arc<IndexedCatalog>,
@@ -55,7 +55,7 @@
     /// Replacements that this node has heard of, from the store or from whoever carries them out.
     intents: BTreeMap<GroupName, Intent>,
     telling: Telling,
-    era: KnownEra,
+    era: StoreEraTracker,
     electors: Electors,
     votes: NodeVotes,
     voter: Sender<NodeVotes>,
@@ -83,15 +83,15 @@
     let mut watcher = Watcher {
         context,
         services,
-        judge: Judge::default(),
-        needs_judge: NeedsJudge::default(),
+        judge: FailureDetector::default(),
+        needs_judge: NeedsEvaluator::default(),
         known: KnownInstances::default(),
         followed: Arc::default(),
         owned: OwnedGroups::default(),
         view: Arc::default(),
         intents: BTreeMap::new(),
         telling: Telling::default(),
-        era: KnownEra::default(),
+        era: StoreEraTracker::default(),
         electors: Electors::default(),
         votes: NodeVotes::new(),
         voter: voter::start(context, services, stop),
@@ -115,7 +115,7 @@
 impl Watcher<'_> {
     fn step(&mut self) {
         let now = Instant::now();
-        self.judge.on_step(now);
+        self.judge.tick(now);
         let catalog = self.context.catalog.load();
         self.follow_catalog(&catalog, now);
         self.telling.step(self.context, self.mailboxes, now);
@@ -141,11 +141,11 @@
     /// Takes in the catalog if it is another one than before; otherwise only time has passed.
     fn follow_catalog(&mut self, catalog: &Arc<IndexedCatalog>, now: Instant) {
         if Arc::ptr_eq(catalog, &self.followed) {
-            self.known.pass_time(now);
+            self.known.advance_time(now);
             return;
         }
-        self.known.follow(catalog, now);
-        self.needs_judge.follow(catalog);
+        self.known.apply_catalog(catalog, now);
+        self.needs_judge.apply_catalog(catalog);
         self.followed = catalog.clone();
     }
 
@@ -160,7 +160,7 @@
         if !is_new {
             return;
         }
-        if self.era.follow(view.era, now) {
+        if self.era.observe(view.era, now) {
             self.on_store_came_back(&view);
         }
         if view.promoted != self.view.promoted {
@@ -176,7 +176,7 @@
             return;
         }
         // Before the holder hears of it: from here on nothing is read on older evidence.
-        let heeded = heeded(&intents);
+        let heeded = active_intents(&intents);
         self.context.statuses.follow_replacements(&heeded);
         log::info!(
             event = "intents",
@@ -235,13 +235,13 @@
             let given_up = {
                 let board = self.context.statuses.group(group);
                 let known = board.read().expect("a holder of the status lock panicked");
-                known.evidence.given_up() == Some(intent.id)
+                known.evidence.revoked_for() == Some(intent.id)
             };
             if !given_up {
                 continue;
             }
             let heard = self.context.statuses.heard(group);
-            let witness = self.known.witness(group, heard);
+            let witness = self.known.restart_report(group, heard);
             if intent.holder == *own {
                 self.context.given_up.add(group, intent.id, own, witness);
                 continue;
@@ -262,7 +262,7 @@
         let answers = self.opinions.step(now).into_iter().chain(self.refill_questions.step(now));
         for answer in answers {
             let (group, instance) = &answer.subject;
-            self.known.on_standing(group, instance, &answer.standing, answer.asked);
+            self.known.on_status(group, instance, &answer.standing, answer.asked);
         }
     }
 
@@ -273,7 +273,7 @@
         let refilling = self.known.refilling_groups().filter(|group| owned.contains(*group));
         let refilling: Vec<GroupName> = refilling.cloned().collect();
         for group in refilling {
-            for instance in self.known.to_ask_for_refills(&group) {
+            for instance in self.known.refill_status_targets(&group) {
                 let Some(target) = self.target(&group, &instance) else { continue };
                 let highest = self.context.statuses.highest_led(&group);
                 self.refill_questions.ask(target, highest, self.services);
@@ -316,7 +316,7 @@
         if let Some(cause) = self.judge.suspect(&signs, now) {
             return Some(cause);
         }
-        let recent = signs.answered.is_some_and(|at| now < at + RECENT_ANSWER);
+        let recent = signs.last_answer.is_some_and(|at| now < at + RECENT_ANSWER);
         if !recent && self.is_suspected_elsewhere(group, primary) {
             self.ask(group, primary);
         }
@@ -373,18 +373,18 @@
             std::mem::take(&mut situation.called_off)
         };
         for group in called_off {
-            self.needs_judge.on_called_off(&group, now);
+            self.needs_judge.on_cancelled(&group, now);
         }
         self.electors.follow(self.context, now);
         let own = (&self.context.identity.node, &self.votes);
         let (live, listed) = (self.electors.live(), self.electors.counted());
-        let evidence = NeedsEvidence { catalog, view: &self.view, own, live, listed, now };
-        self.needs_judge.judge(&evidence)
+        let evidence = NeedsInput { catalog, view: &self.view, own, live, listed, now };
+        self.needs_judge.evaluate(&evidence)
     }
 
     fn act(&mut self, needs: BTreeMap<GroupName, Need>, now: Instant) {
         let calls = |(group, need): (&GroupName, &Need)| {
-            need.calls_for_action() && self.known.knows_starts(group, now)
+            need.needs_coordinator() && self.known.knows_restarts(group, now)
         };
         let called = needs.iter().any(calls);
         if called || self.acting.is_some() {
@@ -399,9 +399,9 @@
         }
         let since = *self.needed_since.get_or_insert(now);
         let may_act = self.acting.is_none()
-            && self.view.holder.is_none()
+            && self.view.coordinator.is_none()
             && self.view.revision > 0
-            && !self.era.earlier_hold_may_last(now)
+            && !self.era.earlier_lease_may_be_valid(now)
             && !self.context.is_stopping();
         if !may_act || now < since + TURN * self.turn() {
             return;
@@ -426,9 +426,9 @@
             Some(_) => situation.known.groups().cloned().collect(),
             None => Vec::new(),
         };
-        situation.known = self.known.part(needs.keys().chain(&acted_on));
+        situation.known = self.known.subset(needs.keys().chain(&acted_on));
         situation.needs = needs;
-        situation.starts_may_be_old = self.era.starts_may_be_old(now);
+        situation.starts_may_be_old = self.era.incarnations_may_be_stale(now);
     }
 
     /// How many live nodes are before this one.
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -9,7 +9,7 @@
 use kestrellock_core::catalog::{Group, IndexedCatalog, Instance};
 use kestrellock_core::credential_evidence::RevocationLimit;
 use kestrellock_core::ids::{AccountName, GroupName, InstanceName, NodeName, ZoneName};
-use kestrellock_core::primary_evidence::{EVIDENCE_LIFE, UNLISTED_EVIDENCE_LIFE};
+use kestrellock_core::primary_evidence::{EVIDENCE_LIFETIME, UNLISTED_EVIDENCE_LIFETIME};
 use kestrellock_core::promotion::Intent;
 use kestrellock_peer::auth::ClusterKeys;
 use kestrellock_program::secret::Secret;
@@ -195,7 +195,7 @@
 
     /// How long evidence lasts here: other nodes wait only for those that they know of.
     pub fn evidence_life(&self) -> Duration {
-        if self.is_waited_for() { EVIDENCE_LIFE } else { UNLISTED_EVIDENCE_LIFE }
+        if self.is_waited_for() { EVIDENCE_LIFETIME } else { UNLISTED_EVIDENCE_LIFETIME }
     }
 
     /// Whether the node takes no new work, because it is being stopped.
--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use kestrellock_core::catalog::{Elector, Group};
-use kestrellock_core::confirmation::{Confirmation, Evidence, ProbeNumber, Verdict};
+use kestrellock_core::confirmation::{Confirmation, FlushReport, ProbeNumber, Verdict};
 use kestrellock_core::exchange_state::{Effect, Fault, Progress, Stake, failure_code};
 use kestrellock_core::ids::{GroupName, InstanceName, LeaseId, NodeName};
 use kestrellock_core::outcome::Refusal;
@@ -218,14 +218,14 @@
     ) {
         let flushed = answer.report.flushed;
         self.highest_term = self.highest_term.max(flushed.term);
-        let evidence = Evidence { instance, probe: answer.number, flushed };
+        let evidence = FlushReport { instance, probe: answer.number, flushed };
         let mut kept = Vec::new();
         for mut waiting in std::mem::take(&mut self.waiting) {
             let Proof::Probes(confirmation) = &mut waiting.proof else {
                 kept.push(waiting);
                 continue;
             };
-            match confirmation.on_evidence(evidence, group.majority()) {
+            match confirmation.on_flush_report(evidence, group.majority()) {
                 Verdict::Waiting => kept.push(waiting),
                 Verdict::Confirmed => {
                     let position = confirmation.position();
--- a/crates/daemon/src/gateway/current_position.rs
+++ b/crates/daemon/src/gateway/current_position.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_core::catalog::Group;
-use kestrellock_core::confirmation::{Evidence, ProbeNumber};
+use kestrellock_core::confirmation::{FlushReport, ProbeNumber};
 use kestrellock_core::current_position::CurrentPosition;
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_peer::message::ToFront;
@@ -75,7 +75,7 @@
         io: &mut Io,
     ) {
         let report = answer.report;
-        let evidence = Evidence { instance, probe: answer.number, flushed: report.flushed };
+        let evidence = FlushReport { instance, probe: answer.number, flushed: report.flushed };
         self.waiting.retain_mut(|waiting| {
             let position = waiting.question.on_evidence(evidence, report.role, group.majority());
             let Some(position) = position else { return true };
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_core::confirmation::ProbeNumber;
-use kestrellock_core::failover::{Pace, Sighting, Watch, confirmed_at, may_take_writes};
+use kestrellock_core::failover::{Pace, PaceTracker, TermReport, confirmed_at, may_take_writes};
 use kestrellock_core::freshness::{Freshness, Observation};
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_core::position::Term;
@@ -75,7 +75,7 @@
     subscribers: HashMap<NodeName, Instant>,
     started: Instant,
     standby: bool,
-    watch: Watch,
+    watch: PaceTracker,
     highest_term: Term,
     freshness: Freshness,
 }
@@ -90,7 +90,7 @@
             subscribers,
             started: now,
             standby: false,
-            watch: Watch::default(),
+            watch: PaceTracker::default(),
             highest_term: Term::default(),
             freshness: Freshness::default(),
         }
@@ -227,7 +227,10 @@
     /// Since when a majority has been known to follow `term`.
     fn confirmed_at(&self, term: Term, majority: usize) -> Option<Instant> {
         let sightings = self.instances.values().filter_map(|watched| {
-            Some(Sighting { term: watched.status.as_ref()?.flushed.term, asked: watched.reported? })
+            Some(TermReport {
+                term: watched.status.as_ref()?.flushed.term,
+                asked: watched.reported?,
+            })
         });
         confirmed_at(term, sightings, majority)
     }
--- a/crates/daemon/src/gateway/primary_questions.rs
+++ b/crates/daemon/src/gateway/primary_questions.rs
@@ -83,7 +83,7 @@
     let life = io.context.evidence_life();
     let is_due = |instance: &&Instance| {
         let is_replica = instance.announced_role == Some(Role::Replica);
-        let is_shown = known.evidence.is_shown_by(&instance.name, term, life, io.now);
+        let is_shown = known.evidence.has_valid_report(&instance.name, term, life, io.now);
         let is_there = !io.context.occupants.is_displaced(group, instance);
         is_replica && is_there && leader != Some(&instance.name) && !is_shown
     };
--- a/crates/daemon/src/shared/answers.rs
+++ b/crates/daemon/src/shared/answers.rs
@@ -5,7 +5,7 @@
 use kestrellock_core::incarnation::{InstanceIncarnation, has_started_again};
 use kestrellock_core::position::{Position, Term};
 use kestrellock_core::routing::Role;
-use kestrellock_core::suspicion::{GivenUpRequests, Signs};
+use kestrellock_core::suspicion::{AbandonedRequests, HealthSignals};
 
 /// Time between two questions to an instance in doubt: reads avoid it, so that nothing else would show
 /// that it answers. A question costs a slot for a moment; half a second is a tenth of what an instance
@@ -43,8 +43,8 @@
     /// When it was last asked how it stands because it is in doubt.
     asked_in_doubt: Option<Instant>,
     waiting: Vec<Waiting>,
-    given_up: GivenUpRequests,
-    given_up_commits: GivenUpRequests,
+    given_up: AbandonedRequests,
+    given_up_commits: AbandonedRequests,
     next_number: u64,
     answered: Option<Instant>,
     refused: Option<Instant>,
@@ -85,18 +85,18 @@
     }
 
     /// What it shows of the instance's health; whether it commits is known of its group.
-    pub(super) fn signs(&self) -> Signs {
+    pub(super) fn signs(&self) -> HealthSignals {
         let waiting = self.waiting.iter().map(|waiting| waiting.sent);
         let now = Instant::now();
-        let given_up = self.given_up.sent(now);
+        let given_up = self.given_up.oldest_sent(now);
         let committing = self.waiting.iter().filter(|waiting| waiting.commits);
         let committing = committing.map(|waiting| waiting.sent);
-        Signs {
-            refused: self.refused,
-            waiting: waiting.chain(given_up).min(),
-            committing: committing.chain(self.given_up_commits.sent(now)).min(),
-            committed: None,
-            answered: self.answered,
+        HealthSignals {
+            refused_since: self.refused,
+            oldest_request: waiting.chain(given_up).min(),
+            oldest_commit: committing.chain(self.given_up_commits.oldest_sent(now)).min(),
+            last_commit: None,
+            last_answer: self.answered,
             is_outdated: false,
         }
     }
@@ -171,9 +171,9 @@
     }
 
     fn on_given_up(&mut self, ended: Waiting, now: Instant) {
-        self.given_up.on_given_up(ended.sent, now);
+        self.given_up.on_abandoned(ended.sent, now);
         if ended.commits {
-            self.given_up_commits.on_given_up(ended.sent, now);
+            self.given_up_commits.on_abandoned(ended.sent, now);
         }
     }
 
--- a/crates/daemon/src/shared/quotas.rs
+++ b/crates/daemon/src/shared/quotas.rs
@@ -54,7 +54,8 @@
         };
         let (alive, working) = (names(&live), live.iter().filter(|node| node.accepts_work));
         self.working = working.map(|node| node.candidate.node.clone()).collect();
-        self.counted = self.electorate.counted(&names(&listed), &alive, now).len().max(alive.len());
+        self.counted =
+            self.electorate.eligible(&names(&listed), &alive, now).len().max(alive.len());
         (self.live_list, self.listed_list) = (live, listed);
         self.gathered = Some(now);
     }
--- a/crates/daemon/src/shared/replacements.rs
+++ b/crates/daemon/src/shared/replacements.rs
@@ -6,7 +6,7 @@
 
 use kestrellock_core::ids::{GroupName, InstanceName};
 use kestrellock_core::position::Term;
-use kestrellock_core::promotion::{HeardReplacements, Intent, ReplacementId};
+use kestrellock_core::promotion::{Intent, KnownReplacements, ReplacementId};
 
 /// What the node that carries replacements out has to tell the others.
 #[derive(Clone, Debug, Default)]
@@ -20,36 +20,36 @@
 /// Shared by the threads of a node.
 #[derive(Debug, Default)]
 pub struct Replacements {
-    heard: Mutex<HeardReplacements>,
+    heard: Mutex<KnownReplacements>,
     news: Mutex<News>,
 }
 
 impl Replacements {
     /// The store shows `intents` now.
     pub fn follow_store(&self, intents: &BTreeMap<GroupName, Intent>, now: Instant) {
-        self.heard().follow_store(intents, now);
+        self.heard().update_from_store(intents, now);
     }
 
     /// The holder of a replacement says that it is under way, and has known it to be recorded for `age`.
     pub fn on_told(&self, group: &GroupName, intent: Intent, age: Duration, now: Instant) {
-        self.heard().on_told(group, intent, age, now);
+        self.heard().on_notification(group, intent, age, now);
     }
 
     /// The holder of a replacement says that it is over.
     pub fn on_over(&self, group: &GroupName, id: ReplacementId) {
-        self.heard().on_over(group, id);
+        self.heard().on_finished(group, id);
     }
 
     /// Those under way, also those that have been called off.
     pub fn intents(&self, now: Instant) -> BTreeMap<GroupName, Intent> {
         let mut heard = self.heard();
-        heard.pass_time(now);
+        heard.expire(now);
         heard.intents()
     }
 
     /// Whether a commit counts that `instance` answers now.
     pub fn answer_counts(&self, group: &GroupName, instance: &InstanceName, now: Instant) -> bool {
-        self.heard().answer_counts(group, instance, now)
+        self.heard().accepts_commit(group, instance, now)
     }
 
     /// This node carries a replacement out, which it has known to be recorded since `recorded`.
@@ -81,7 +81,7 @@
         !news.under_way.is_empty() || !news.over.is_empty()
     }
 
-    fn heard(&self) -> MutexGuard<'_, HeardReplacements> {
+    fn heard(&self) -> MutexGuard<'_, KnownReplacements> {
         self.heard.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -8,11 +8,11 @@
 use kestrellock_core::ids::{GroupName, InstanceName};
 use kestrellock_core::incarnation::InstanceIncarnation;
 use kestrellock_core::position::{Position, Term};
-use kestrellock_core::primary_evidence::{Following, PrimaryEvidence, Replication};
+use kestrellock_core::primary_evidence::{PrimaryEvidence, ReplicaTerms, Replication};
 use kestrellock_core::primary_samples::PrimarySamples;
 use kestrellock_core::promotion::Intent;
 use kestrellock_core::routing::{InstanceStatus, Role};
-use kestrellock_core::suspicion::Signs;
+use kestrellock_core::suspicion::HealthSignals;
 use kestrellock_protocol::backend::Report;
 
 use super::answers::AnswerRecord;
@@ -163,7 +163,7 @@
 
     /// A connection to the group broke: its evidence was that of a process that may be gone.
     pub fn forget_evidence(&self, group: &GroupName) {
-        self.with_group(group, |known| known.evidence.forget());
+        self.with_group(group, |known| known.evidence.discard());
     }
 
     /// The platform tells which start of its process an instance is: what is remembered of an earlier one
@@ -186,7 +186,7 @@
         self.with_group(group, |known| {
             let record = known.answers.entry(instance.clone()).or_default();
             if record.on_incarnation(incarnation) {
-                known.evidence.on_started_again(instance);
+                known.evidence.on_restart(instance);
                 log::info!(event = "instance_started_again", group = group.as_str(), instance = instance.as_str(); "an instance has started again under its name; what was known of it is forgotten");
             }
         });
@@ -218,7 +218,7 @@
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
         let evidence = &known.evidence;
-        if evidence.given_up().is_some() || term < evidence.highest_led() {
+        if evidence.revoked_for().is_some() || term < evidence.highest_led() {
             return WordOnCommit::Replaced;
         }
         if evidence.confirms_commit(term, replication, answered) {
@@ -234,7 +234,7 @@
 
     /// The store says that an instance of the group has led `term`.
     pub fn on_led(&self, group: &GroupName, term: Term) {
-        self.with_group(group, |known| known.evidence.on_led(term));
+        self.with_group(group, |known| known.evidence.on_term_led(term));
     }
 
     /// Gives evidence of groups up for the replacements under way, and takes it up again for others.
@@ -248,8 +248,8 @@
             .collect();
         for group in groups.iter().chain(intents.keys()) {
             self.with_group(group, |known| match intents.get(group) {
-                Some(intent) => known.evidence.give_up(intent.id),
-                None => known.evidence.take_up(),
+                Some(intent) => known.evidence.revoke(intent.id),
+                None => known.evidence.end_revocation(),
             });
         }
     }
@@ -263,15 +263,15 @@
         asked: Instant,
     ) {
         let term = report.flushed.term;
-        let following = Following { term, held: report.held };
+        let following = ReplicaTerms { term, min_term: report.held };
         self.with_group(group, |known| {
             let record = known.answers.entry(instance.clone()).or_default();
             record.on_standing(report.role, term);
             if report.role == Role::Primary {
-                known.evidence.on_led(term);
+                known.evidence.on_term_led(term);
             }
             if report.role == Role::Replica {
-                known.evidence.on_replica(instance, following, asked, Instant::now());
+                known.evidence.on_replica_report(instance, following, asked, Instant::now());
             }
         });
     }
@@ -297,16 +297,16 @@
 
     /// The store, asked at `asked`, had nobody replace the primary that this node takes for it.
     pub fn on_unreplaced(&self, group: &GroupName, asked: Instant) {
-        self.with_group(group, |known| known.evidence.on_unreplaced(asked));
+        self.with_group(group, |known| known.evidence.on_no_replacement(asked));
     }
 
     /// What this node's exchanges with an instance show of its health.
-    pub fn signs(&self, group: &GroupName, instance: &InstanceName) -> Signs {
+    pub fn signs(&self, group: &GroupName, instance: &InstanceName) -> HealthSignals {
         let board = self.group(group);
         let known = board.read().expect("a holder of the status lock panicked");
         let signs = known.answers.get(instance).map(AnswerRecord::signs).unwrap_or_default();
         let is_outdated = known.evidence.is_outdated(known.led_by(instance));
-        Signs { committed: known.committed, is_outdated, ..signs }
+        HealthSignals { last_commit: known.committed, is_outdated, ..signs }
     }
 
     /// The highest position that a group's primary has told this node.
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -8,7 +8,7 @@
 use kestrellock_core::ids::{AccountName, GroupName, InstanceName, LeaseId, NodeName, TenantName};
 use kestrellock_core::outcome::Refusal;
 use kestrellock_core::position::{Position, Term};
-use kestrellock_core::promotion::{Intent, ReplacementId, Witness};
+use kestrellock_core::promotion::{Intent, ReplacementId, RestartReport};
 use kestrellock_core::quota::QuotaMessage;
 use kestrellock_core::routing::{Access, InstanceStatus};
 use kestrellock_core::session_state::SessionSetting;
@@ -295,7 +295,7 @@
         id: ReplacementId,
         /// What it knows of instances that have started again.
         #[serde(default)]
-        witness: Witness,
+        witness: RestartReport,
     },
     /// The sender has a group's primary replaced.
     ReplacementUnderWay {
--- a/crates/store/src/control.rs
+++ b/crates/store/src/control.rs
@@ -4,7 +4,7 @@
 
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_core::position::Term;
-use kestrellock_core::promotion::{PromotionAnswer, Standing};
+use kestrellock_core::promotion::{PromotionAnswer, ReplicationStatus};
 use thiserror::Error;
 
 /// An instance to speak to.
@@ -51,7 +51,8 @@
 /// Speaks to instances.
 pub trait InstanceControl: Send + Sync {
     /// Gives an order and returns how the instance stands afterwards.
-    fn tell(&self, target: &ControlTarget, order: Order) -> Result<Standing, ControlError>;
+    fn tell(&self, target: &ControlTarget, order: Order)
+    -> Result<ReplicationStatus, ControlError>;
 }
 
 /// The platform's promotion call.
--- a/crates/store/src/coordination.rs
+++ b/crates/store/src/coordination.rs
@@ -11,7 +11,7 @@
 
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_core::incarnation::InstanceIncarnation;
-pub use kestrellock_core::promotion::{CoordinationView, Holder, NodeVotes, Vote};
+pub use kestrellock_core::promotion::{CoordinationView, Coordinator, NodeVotes, Vote};
 use kestrellock_core::promotion::{Intent, ReplacementId, Successor};
 use kestrellock_core::store_era::StoreEra;
 
