--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -1,21 +1,21 @@
 //! The state machine of one attempt: its steps, one after the other. What each does is in the modules
 //! below.
 
-mod answers;
-mod ending;
-mod former;
-mod leaders;
+mod events;
+mod incarnations;
+mod old_primary;
+mod other_primaries;
 mod promoting;
 mod releases;
-mod starts;
+mod settling;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use former::FormerWord;
-use leaders::{OtherLeaders, leading};
+use incarnations::Starts;
+use old_primary::FormerWord;
+use other_primaries::{OtherLeaders, leading};
 use releases::Releases;
-use starts::Starts;
 
 use super::{
     Command, Intent, Member, Members, Need, Phase, Reason, ReplacementId, Successor, Timing,
