--- a/crates/core/src/confirmation.rs
+++ b/crates/core/src/confirmation.rs
@@ -1,10 +1,9 @@
-//! When a commit that its primary has answered may be acknowledged to the caller.
+//! Decides when a commit that the primary has answered may be acknowledged to the client.
 //!
-//! An old primary that was cut off still believes it leads, so its own word proves nothing. A
-//! commit is confirmed once a majority of the group, its primary among them, has said *after* the
-//! commit that it still follows the commit's term and has flushed the log up to it. Any later
-//! primary needs the vote of a majority; one of those voters holds the commit and votes for no
-//! instance that lacks it.
+//! An old primary that was cut off from the network still considers itself primary, so its answer alone proves
+//! nothing. A commit is confirmed once a majority of the group, including its primary, has reported *after* the
+//! commit that it still follows the commit's term and has flushed the log up to the commit. Any later primary needs
+//! the votes of a majority. At least one of those voters has the commit and votes for no instance that lacks it.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +12,7 @@
 use crate::ids::InstanceName;
 use crate::position::{Position, Term};
 
-/// What a group's commits wait for.
+/// What has to happen before a group's commits are confirmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ConfirmationRule {
@@ -23,13 +22,13 @@
     /// A majority still follows the commit's term. Only for a group that itself answers a commit
     /// after a quorum has flushed it.
     Term,
-    /// The primary's answer. Only for a group that answers a commit after synchronous replicas
-    /// have received it, and whose primary is replaced by the proxy: the proxy stops the replicas
-    /// before it has one of them promoted, so a replaced primary answers no commit.
+    /// The primary has answered. Only for a group that answers a commit after synchronous replicas have received it
+    /// and whose primary is replaced by the proxy: the proxy stops the replicas before it has one of them promoted,
+    /// so a replaced primary answers no commit.
     Answered,
 }
 
-/// Number of a position probe within its group; grows with every probe sent.
+/// Number of a position probe within its group; increases with every probe sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ProbeNumber(pub u64);
 
@@ -40,14 +39,14 @@
     }
 }
 
-/// What one instance answered to one probe.
+/// The answer of one instance to one probe.
 #[derive(Clone, Copy, Debug)]
 pub struct FlushReport<'a> {
     /// The instance.
     pub instance: &'a InstanceName,
-    /// The probe it answered.
+    /// The probe that it answered.
     pub probe: ProbeNumber,
-    /// Term it follows and offset it has flushed.
+    /// Term that it follows and log offset that it has flushed.
     pub flushed: Position,
 }
 
@@ -56,9 +55,9 @@
 pub enum Verdict {
     /// Not enough instances have confirmed it yet.
     Waiting,
-    /// It stays, whoever leads next.
+    /// Every later primary will have the commit.
     Confirmed,
-    /// A higher term exists and a majority has not confirmed it: nobody will any more.
+    /// A higher term exists and no majority has confirmed the commit, which can no longer be confirmed.
     Superseded(Term),
 }
 
@@ -72,8 +71,8 @@
 }
 
 impl Confirmation {
-    /// A commit that `primary` answered at `position`. Probes with numbers from `first_probe` on
-    /// were sent after that answer.
+    /// A commit at `position` that `primary` answered. Probes with numbers from `first_probe` on were sent after that
+    /// answer.
     pub fn new(
         primary: InstanceName,
         position: Position,
@@ -93,7 +92,7 @@
         self.first_probe
     }
 
-    /// Takes in what an instance answered; `majority` is the group's.
+    /// Processes the report of an instance; `majority` is the number of instances that form the group's majority.
     pub fn on_flush_report(&mut self, evidence: FlushReport, majority: usize) -> Verdict {
         if self.counts(&evidence) {
             self.confirmed_by.insert(evidence.instance.clone());
@@ -105,7 +104,7 @@
         verdict
     }
 
-    /// The verdict on what is known so far.
+    /// The verdict on the reports received so far.
     pub fn verdict(&self, majority: usize) -> Verdict {
         let needed = match self.rule {
             ConfirmationRule::Answered => 1,
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -1,23 +1,24 @@
-//! Which primary may take writes, and how closely a group is watched.
+//! Decides whether a primary may receive writes, and how often its group is probed, for groups that elect their
+//! primary themselves.
 //!
-//! The group elects; these rules follow it. A primary is given new writes only while no instance
-//! has shown a higher term and a majority has lately followed its own: anything else could not be
-//! confirmed, and is better held than sent.
+//! These rules follow the group's elections. A primary receives new writes only while no instance has reported a
+//! higher term and a majority has recently followed its term. Other writes could not be confirmed, so they
+//! are delayed instead of sent.
 
 use std::time::{Duration, Instant};
 
 use crate::position::Term;
 
-/// What one instance last said of its term.
+/// The last report of one instance about its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TermReport {
-    /// Term it follows or leads.
+    /// Term that it follows or leads.
     pub term: Term,
-    /// When it was asked.
+    /// When the query was sent.
     pub asked: Instant,
 }
 
-/// The latest moment at which a majority is known to have followed `term`; `None` if never.
+/// The latest time at which a majority is known to have followed `term`; `None` if there was none.
 pub fn confirmed_at(
     term: Term,
     sightings: impl IntoIterator<Item = TermReport>,
@@ -32,7 +33,7 @@
     asked.get(majority.checked_sub(1)?).copied()
 }
 
-/// Whether a primary at `term` may take a write now.
+/// Whether the primary of `term` may receive a write now.
 pub fn may_take_writes(
     term: Term,
     highest_term: Term,
@@ -44,19 +45,19 @@
     term >= highest_term && confirmed_at.is_some_and(lately)
 }
 
-/// How closely a group is watched.
+/// How often a group is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Pace {
-    /// Nothing has been asked of it lately.
+    /// The group received no statements recently.
     Idle,
-    /// Statements run on it.
+    /// The group received statements recently.
     Active,
-    /// Its primary is lost or replaced, and the next one has not shown itself.
+    /// The primary was lost or replaced, and no new primary is known.
     Searching,
 }
 
 impl Pace {
-    /// Time between two probes of an instance.
+    /// Interval between two probes of an instance.
     pub fn probe_interval(self) -> Duration {
         match self {
             Self::Idle => Duration::from_millis(250),
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Time after which an unanswered probe means that the instance is silent: three missed.
+    /// Time after which an unanswered probe means that the instance is silent, equivalent to three missed probes.
     pub fn probe_timeout(self) -> Duration {
         match self {
             Self::Idle => Duration::from_millis(750),
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Time between attempts to reach an instance that cannot be probed.
+    /// Interval between attempts to connect to an instance that cannot be probed.
     pub fn reconnect_interval(self) -> Duration {
         match self {
             Self::Idle => Duration::from_millis(250),
@@ -82,19 +83,19 @@
         }
     }
 
-    /// Longest time since a majority followed the primary for it to be given writes. Beyond the
-    /// silence of a minority, so that one late answer holds nothing up.
+    /// How long ago a majority may last have followed the primary for it to receive writes. Longer than the probe
+    /// timeout, so that one late answer does not delay writes.
     pub fn confirmation_limit(self) -> Duration {
         self.probe_interval().max(Self::Active.probe_interval()) + self.probe_timeout()
     }
 }
 
-/// Time a group stays watched closely after the last statement.
+/// How long a group counts as active after its last statement.
 pub const ACTIVE_DURATION: Duration = Duration::from_secs(1);
-/// Longest time of a search: a group that elects nobody is not probed at that pace for ever.
+/// Longest duration of a search, so that a group that elects no primary is not probed at that pace forever.
 pub const SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Decides the pace from what has happened.
+/// Derives the pace from the group's statements and the state of its primary.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PaceTracker {
     active_at: Option<Instant>,
@@ -107,12 +108,13 @@
         self.active_at = Some(now);
     }
 
-    /// A connection to the primary broke, it fell silent, or a higher term appeared without one.
+    /// A connection to the primary broke, the primary became silent, or a higher term without a known primary
+    /// appeared.
     pub fn on_primary_lost(&mut self, now: Instant) {
         self.searching_since.get_or_insert(now);
     }
 
-    /// A primary that may take writes is known.
+    /// A primary that may receive writes is known.
     pub fn on_primary_found(&mut self) {
         self.searching_since = None;
     }
--- a/crates/core/src/primary_evidence.rs
+++ b/crates/core/src/primary_evidence.rs
@@ -1,24 +1,24 @@
-//! Evidence that no other primary answers commits: what makes a read at the primary true.
+//! Evidence that no other primary acknowledges commits, which makes a read at the primary current.
 //!
-//! A primary that has been replaced does not know it and goes on reading, so a node needs more than
-//! its own belief. Whoever replaces a primary first stops the replicas, then waits until evidence
-//! has lapsed, then promotes (`promotion`). So whoever saw at T that the replicas had not been
-//! stopped knows that no other primary answers a commit before T + [`EVIDENCE_LIFETIME`], whatever
-//! becomes of it meanwhile: frozen, cut off, or not told. T is when the question was sent.
+//! A replaced primary does not know that it was replaced and still serves reads, so a node needs evidence that
+//! its primary is the current one. The coordinator first stops the replicas, then waits until evidence has
+//! expired, then promotes (`promotion`). So a node that saw at T that the replicas were not stopped knows that no
+//! other primary acknowledges a commit before T + [`EVIDENCE_LIFETIME`], whatever happens to the node meanwhile:
+//! it may be suspended, cut off from the network, or not notified. T is the time at which the request was sent.
 //!
-//! Three things show it:
+//! There are three kinds of evidence for the primary of a term:
 //!
-//! - a commit that the primary answered after enough replicas had received it;
-//! - all replicas, if each says that it follows no higher term and has not been stopped above the term:
-//!   a successor is one of them, and never says so again;
-//! - enough of them ([`Replication::replicas_needed`]) that say so, if the store said at about the same
-//!   time that nobody replaces the primary ([`PrimaryEvidence::on_no_replacement`]). A promotion releases
-//!   replicas that do not hear of it, too. Such a replica says what it said before, and may answer the
-//!   successor's commits a moment later; its word alone would pass for evidence of the old primary at a
-//!   node that is out of reach of the store.
+//! - a commit that the primary acknowledged after enough replicas had received it;
+//! - reports of all replicas, if each shows that the replica follows no higher term and has not been stopped above
+//!   the term: a successor is one of them, and never reports that again;
+//! - such reports of enough replicas ([`Replication::replicas_needed`]), if the store confirmed at about the same
+//!   time that no replacement is running ([`PrimaryEvidence::on_no_replacement`]). A promotion also releases
+//!   replicas that do not learn of it. Such a replica reports the same as before the replacement, and may
+//!   confirm the successor's commits a moment later. Without the store's confirmation its report would count
+//!   as evidence of the old primary on a node that cannot reach the store.
 //!
-//! An attempt never stops replicas twice with one term for two different successors. A read that arrived
-//! at A is true at the primary if A is covered; one that may be D old, if A - D is.
+//! An attempt never stops replicas with the same term for two different successors. A read that arrived at A is
+//! current at the primary if A is covered; a read that may be up to D stale, if A - D is covered.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -28,245 +28,257 @@
 use crate::position::Term;
 use crate::promotion::ReplacementId;
 
-/// How long evidence covers arrivals. Whoever promotes waits for that long after the replicas have
-/// been stopped, unless every node has said that it gives its evidence up; so a longer life costs
-/// time in a failover where a node is out of reach, a shorter one more questions all the time.
+/// How long evidence covers reads that arrive. The coordinator waits that long after the replicas have been
+/// stopped, unless every node has revoked its evidence. A longer lifetime makes a failover slower when a node is
+/// unreachable; a shorter one costs more queries all the time.
 pub const EVIDENCE_LIFETIME: Duration = Duration::from_millis(1_000);
-/// The same for a node that the others do not know of yet, and so do not wait for. Whoever promotes
-/// waits for that long in any case.
+/// The same for a node that the others do not know yet, so that the coordinator cannot wait for it to revoke its
+/// evidence. The coordinator always waits at least that long.
 pub const UNLISTED_EVIDENCE_LIFETIME: Duration = Duration::from_millis(200);
-/// Least time that the platform takes to promote: 300 ms on the platforms of today, less a margin. No
-/// replica is released by a replacement sooner after that was recorded in the store.
+/// Shortest time that the platform takes to promote an instance: 300 ms on current platforms, less a margin. A
+/// replacement releases no replica sooner than that after its intent was recorded in the store.
 pub const MIN_PROMOTION_TIME: Duration = Duration::from_millis(100);
 
-/// What a node knows of one group's primary.
+/// A node's evidence about one group's primary.
 #[derive(Clone, Debug, Default)]
 pub struct PrimaryEvidence {
-    /// Highest term of an answered commit, or that a replica follows.
+    /// Highest term of an acknowledged commit, or that a replica follows.
     term: Term,
-    /// Highest term that an instance is known to have led otherwise.
-    led: Term,
-    commit: Option<Instant>,
-    /// What each replica last showed.
-    replicas: BTreeMap<InstanceName, Shown>,
-    /// The newest time at which the store is known to have had nobody replace the primary.
-    unreplaced: Option<Instant>,
-    /// The replacement for which evidence of this and lower terms has been given up.
-    given_up: Option<(ReplacementId, Term)>,
+    /// Highest term that an instance is known from other sources to have led.
+    highest_led_otherwise: Term,
+    /// When the last acknowledged commit of `term` was sent.
+    last_commit: Option<Instant>,
+    /// The last report of each replica.
+    replicas: BTreeMap<InstanceName, ReplicaReport>,
+    /// The latest time at which no replacement of the primary was recorded in the store.
+    no_replacement_at: Option<Instant>,
+    /// The replacement for which evidence was revoked, and the highest term of that evidence.
+    revoked: Option<(ReplacementId, Term)>,
 }
 
-/// A replica showed that it had not been stopped above a term.
+/// A report of a replica, which shows that it was not stopped above a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Shown {
+struct ReplicaReport {
     term: Term,
-    /// When it was asked.
+    /// When the query was sent.
     asked: Instant,
-    /// When its answer arrived.
+    /// When the answer arrived.
     answered: Instant,
 }
 
-/// What a replica said of itself, as far as it is evidence.
+/// The terms that a replica reports, as far as they are evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaTerms {
     /// Term that it follows.
     pub term: Term,
-    /// Term above which it receives nothing, if it has been stopped.
+    /// Lowest term from which it accepts replication, if it has been stopped.
     pub min_term: Term,
 }
 
 impl ReplicaTerms {
-    /// The lowest term whose primary it is evidence for: it has received no commit of a higher one,
-    /// and nobody had stopped it to promote above that. Whether it has heard of that primary itself
-    /// does not matter: promotions release replicas that do not hear of them, too.
+    /// The lowest term for whose primary the report is evidence: the replica has received no commit of a higher
+    /// term, and no coordinator has stopped it for a promotion to a higher term. It does not matter whether the
+    /// replica knows that primary, because promotions also release replicas that do not learn of them.
     pub fn supported_term(&self) -> Term {
         self.term.max(self.min_term)
     }
 }
 
 impl PrimaryEvidence {
-    /// Takes a higher term in: evidence of lower ones says nothing any more.
-    fn enter(&mut self, term: Term) -> bool {
+    /// Advances to `term` if it is higher, and discards the evidence of lower terms. Returns whether `term` is now
+    /// the current one.
+    fn advance_term(&mut self, term: Term) -> bool {
         if term > self.term {
             self.term = term;
-            self.commit = None;
-            self.unreplaced = None;
-            self.replicas.retain(|_, shown| shown.term >= term);
+            self.last_commit = None;
+            self.no_replacement_at = None;
+            self.replicas.retain(|_, report| report.term >= term);
         }
         term == self.term
     }
 
-    /// The primary of `term` answered a commit that was sent at `sent`, after synchronous replicas
-    /// had received it.
+    /// The primary of `term` acknowledged a commit that was sent at `sent`, after synchronous replicas had
+    /// received it.
     pub fn on_commit(&mut self, term: Term, sent: Instant) {
-        if self.enter(term) {
-            self.commit = self.commit.max(Some(sent));
+        if self.advance_term(term) {
+            self.last_commit = self.last_commit.max(Some(sent));
         }
     }
 
-    /// An instance has led `term`, by its own word or the store's: there is no evidence for primaries of lower
-    /// terms any more. What replicas show stays, since they need not have heard of that instance.
+    /// An instance has led `term`, according to its own report or the store. Evidence for primaries of lower terms
+    /// no longer counts. The reports of replicas are kept, since the replicas may not know that instance.
     pub fn on_term_led(&mut self, term: Term) {
-        self.led = self.led.max(term);
+        self.highest_led_otherwise = self.highest_led_otherwise.max(term);
     }
 
-    /// A replica answered at `answered` a question sent at `asked`.
+    /// A replica answered at `answered` a query that was sent at `asked`.
     pub fn on_replica_report(
         &mut self,
         replica: &InstanceName,
-        following: ReplicaTerms,
+        terms: ReplicaTerms,
         asked: Instant,
         answered: Instant,
     ) {
-        self.enter(following.term);
-        let shown = Shown { term: following.supported_term(), asked, answered };
-        if shown.term < self.term {
+        self.advance_term(terms.term);
+        let report = ReplicaReport { term: terms.supported_term(), asked, answered };
+        if report.term < self.term {
             self.replicas.remove(replica);
             return;
         }
-        let known = self.replicas.entry(replica.clone()).or_insert(shown);
+        let known = self.replicas.entry(replica.clone()).or_insert(report);
         if known.asked <= asked {
-            *known = shown;
+            *known = report;
         }
     }
 
-    /// The store, asked at `asked`, had nobody replace the primary that this node takes for it, and
-    /// nobody who had replaced it.
+    /// The store, queried at `asked`, showed no replacement of the primary that this node uses, neither running nor
+    /// finished.
     pub fn on_no_replacement(&mut self, asked: Instant) {
-        self.unreplaced = self.unreplaced.max(Some(asked));
+        self.no_replacement_at = self.no_replacement_at.max(Some(asked));
     }
 
-    /// Whether the replica's last word counts for `term` and covers arrivals until `now`.
+    /// Whether the replica's last report is evidence for `term` that covers arrivals until `now`.
     pub fn has_valid_report(
         &self,
         replica: &InstanceName,
         term: Term,
-        life: Duration,
+        lifetime: Duration,
         now: Instant,
     ) -> bool {
-        let shown = self.replicas.get(replica).filter(|shown| shown.term <= term);
-        shown.is_some_and(|shown| now <= shown.asked + life)
+        let report = self.replicas.get(replica).filter(|report| report.term <= term);
+        report.is_some_and(|report| now <= report.asked + lifetime)
     }
 
-    /// When the newest evidence was asked for.
+    /// When the request for the newest evidence was sent.
     pub fn newest(&self) -> Option<Instant> {
-        let shown = self.replicas.values().map(|shown| shown.asked).max();
-        self.commit.max(shown)
+        let newest_report = self.replicas.values().map(|report| report.asked).max();
+        self.last_commit.max(newest_report)
     }
 
-    /// Highest term that something is evidence for.
+    /// Highest term for which there is any evidence.
     pub fn term(&self) -> Term {
-        let shown = self.replicas.values().map(|shown| shown.term);
-        shown.fold(self.term, Term::max)
+        let reported = self.replicas.values().map(|report| report.term);
+        reported.fold(self.term, Term::max)
     }
 
-    /// Highest term that is known to have been led, whether there is evidence for it or not. That replicas have
-    /// been stopped with a higher one shows only that somebody is about to be promoted.
+    /// Highest term that an instance is known to have led, whether or not there is evidence for it. A higher
+    /// minimum term of stopped replicas does not count: it only shows that a promotion is being prepared.
     pub fn highest_led(&self) -> Term {
-        self.term.max(self.led)
+        self.term.max(self.highest_led_otherwise)
     }
 
-    /// The node gives its evidence up, and takes no other of this term, until the replacement that
-    /// is under way is over. Evidence of the successor's term counts, unless the node knows no term
-    /// yet: then nothing does.
+    /// Revokes the evidence, and accepts no other evidence of the current term, until the running replacement has
+    /// finished. Evidence of the successor's term counts, unless the node knows no term yet: then no
+    /// evidence counts.
     pub fn revoke(&mut self, id: ReplacementId) {
-        if self.given_up.is_none_or(|(known, _)| known != id) {
-            self.given_up = Some((id, self.term));
-            self.unreplaced = None;
+        if self.revoked.is_none_or(|(known, _)| known != id) {
+            self.revoked = Some((id, self.term));
+            self.no_replacement_at = None;
         }
     }
 
-    /// A connection to the group broke: the process that showed the evidence may be gone. A primary
-    /// that died may return and read before a replacement has ended that did not wait for evidence,
-    /// since the primary refused connections. What is seen from now on counts.
+    /// Discards the evidence because a connection to the group broke: the process that gave the evidence may be
+    /// gone. A primary that crashed may return and serve reads while a replacement is running that did not
+    /// wait for evidence to expire because the primary refused connections. New evidence counts.
     pub fn discard(&mut self) {
-        self.commit = None;
+        self.last_commit = None;
         self.replicas.clear();
-        self.unreplaced = None;
+        self.no_replacement_at = None;
     }
 
-    /// The replacement is over: what is seen from now on counts.
+    /// The replacement has finished: new evidence counts.
     pub fn end_revocation(&mut self) {
-        if self.given_up.take().is_some() {
+        if self.revoked.take().is_some() {
             self.discard();
         }
     }
 
-    /// Whether a primary that is known to lead `leads` is an old one: a higher term has been seen. Replicas
-    /// refuse its commits as a rule, but one that has started again with nothing has forgotten that term.
-    pub fn is_outdated(&self, leads: Option<Term>) -> bool {
-        leads.is_some_and(|leads| leads < self.term().max(self.led))
+    /// Whether a primary that is known to lead `term` is an old one, because a higher term was seen. Replicas
+    /// usually reject its commits, but a replica that restarted without its log no longer knows the higher term.
+    pub fn is_outdated(&self, term: Option<Term>) -> bool {
+        term.is_some_and(|term| term < self.term().max(self.highest_led_otherwise))
     }
 
-    /// An instance has started again: what the process before showed says nothing of this one.
+    /// An instance was restarted: the report of its previous process no longer counts.
     pub fn on_restart(&mut self, instance: &InstanceName) {
         self.replicas.remove(instance);
     }
 
-    /// The replacement for which evidence has been given up.
+    /// The replacement for which evidence was revoked.
     pub fn revoked_for(&self) -> Option<ReplacementId> {
-        self.given_up.map(|(id, _)| id)
+        self.revoked.map(|(id, _)| id)
     }
 
-    /// Until when arrivals are covered, at the primary of `term` in a group of such a kind, if evidence
-    /// lasts for `life`.
-    pub fn covers_until(&self, term: Term, group: Replication, life: Duration) -> Option<Instant> {
-        if !self.counts_for(term) {
+    /// Until when evidence with the given lifetime covers reads that arrive at the primary of `term`; `None` if
+    /// there is no evidence for that primary.
+    pub fn covers_until(
+        &self,
+        term: Term,
+        group: Replication,
+        lifetime: Duration,
+    ) -> Option<Instant> {
+        if !self.may_cover(term) {
             return None;
         }
-        let by_commit = self.commit.filter(|_| group.synchronous > 0 && term == self.term);
-        by_commit.max(self.shown_at(term, group)).map(|seen| seen + life)
+        let by_commit = self.last_commit.filter(|_| group.synchronous > 0 && term == self.term);
+        by_commit.max(self.confirmed_by_replicas_at(term, group)).map(|seen| seen + lifetime)
     }
 
-    /// Whether a commit that the primary of `term` had answered at `answered` is known to be in no danger: replicas,
-    /// asked after that, show that nobody was about to be promoted. For a node that nobody tells of replacements.
+    /// Whether a commit that the primary of `term` acknowledged at `answered` is known to be safe: replicas that were
+    /// queried after that show that no promotion was being prepared. For nodes that are not notified of
+    /// replacements.
     pub fn confirms_commit(&self, term: Term, group: Replication, answered: Instant) -> bool {
-        self.counts_for(term) && self.shown_at(term, group).is_some_and(|asked| asked >= answered)
+        self.may_cover(term)
+            && self.confirmed_by_replicas_at(term, group).is_some_and(|asked| asked >= answered)
     }
 
-    /// When the replicas were asked whose word shows that nobody else leads.
-    fn shown_at(&self, term: Term, group: Replication) -> Option<Instant> {
-        let by_all = self.oldest_of(group.replicas(), term, |_| true);
-        let by_some =
-            self.oldest_of(group.replicas_needed(), term, |shown| self.is_confirmed(shown));
-        by_all.max(by_some)
+    /// When the replicas were queried whose reports show that there is no other primary.
+    fn confirmed_by_replicas_at(&self, term: Term, group: Replication) -> Option<Instant> {
+        let by_all = self.oldest_of_newest(group.replicas(), term, |_| true);
+        let by_enough = self.oldest_of_newest(group.replicas_needed(), term, |report| {
+            self.is_confirmed_by_store(report)
+        });
+        by_all.max(by_enough)
     }
 
-    /// Until when arrivals would be covered if the store said now that nobody replaces the primary.
+    /// Until when arriving reads would be covered if the store confirmed now that no replacement is running.
     pub fn would_cover_until(
         &self,
         term: Term,
         group: Replication,
-        life: Duration,
+        lifetime: Duration,
     ) -> Option<Instant> {
-        if !self.counts_for(term) {
+        if !self.may_cover(term) {
             return None;
         }
-        self.oldest_of(group.replicas_needed(), term, |_| true).map(|seen| seen + life)
+        self.oldest_of_newest(group.replicas_needed(), term, |_| true).map(|seen| seen + lifetime)
     }
 
-    /// Whether there may be evidence for `term`: no higher one is known, and it has not been given up.
-    fn counts_for(&self, term: Term) -> bool {
+    /// Whether evidence for `term` can count: no higher term is known and the evidence was not revoked.
+    fn may_cover(&self, term: Term) -> bool {
         let unknown = Term::default();
-        let is_given_up = self.given_up.is_some_and(|(_, until)| term <= until || until == unknown);
-        term >= self.term.max(self.led) && !is_given_up
+        let is_revoked = self.revoked.is_some_and(|(_, until)| term <= until || until == unknown);
+        term >= self.term.max(self.highest_led_otherwise) && !is_revoked
     }
 
-    /// Whether no replacement can have released the replica before it answered.
-    fn is_confirmed(&self, shown: &Shown) -> bool {
-        self.unreplaced.is_some_and(|asked| shown.answered <= asked + MIN_PROMOTION_TIME)
+    /// Whether the store's confirmation shows that no replacement can have released the replica before it
+    /// answered.
+    fn is_confirmed_by_store(&self, report: &ReplicaReport) -> bool {
+        self.no_replacement_at.is_some_and(|asked| report.answered <= asked + MIN_PROMOTION_TIME)
     }
 
-    /// When the oldest was asked of the `count` replicas that were asked last, among those that count
-    /// for `term`; `None` if they are fewer.
-    fn oldest_of(
+    /// Of the `count` most recently queried replicas that are evidence for `term`, the time of the oldest query;
+    /// `None` if there are fewer.
+    fn oldest_of_newest(
         &self,
         count: usize,
         term: Term,
-        counts: impl Fn(&Shown) -> bool,
+        accepts: impl Fn(&ReplicaReport) -> bool,
     ) -> Option<Instant> {
-        let shown = self.replicas.values().filter(|shown| shown.term <= term && counts(shown));
-        let mut asked: Vec<Instant> = shown.map(|shown| shown.asked).collect();
-        asked.sort_unstable_by(|one, other| other.cmp(one));
+        let reports =
+            self.replicas.values().filter(|report| report.term <= term && accepts(report));
+        let mut asked: Vec<Instant> = reports.map(|report| report.asked).collect();
+        asked.sort_unstable_by(|left, right| right.cmp(left));
         asked.get(count.checked_sub(1)?).copied()
     }
 }
@@ -274,31 +286,31 @@
 /// How a group replicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Replication {
-    /// Replicas that must have received a commit before the primary answers it.
+    /// Number of replicas that must have received a commit before the primary acknowledges it.
     pub synchronous: u32,
-    /// Its instances.
+    /// Number of instances, including the primary.
     pub instances: usize,
 }
 
 impl Replication {
-    /// How many replicas there are beside the primary.
+    /// Number of instances other than the primary.
     pub fn replicas(&self) -> usize {
         self.instances.saturating_sub(1)
     }
 
-    /// How many replicas must show that no other primary answers commits. As many as are synchronous,
-    /// so that whoever promotes stops one of them; and so many that no other primary finds enough
-    /// replicas beside them and itself, since one that does not hear of it follows the old one.
+    /// How many replicas must show that no other primary acknowledges commits. At least as many as are
+    /// synchronous, so that a coordinator has to stop one of them; and so many that another primary does not find
+    /// enough replicas among the rest, since a replica that does not learn of it follows the old primary.
     pub fn replicas_needed(&self) -> usize {
         let synchronous = self.synchronous as usize;
         self.replicas().saturating_sub(synchronous).max(synchronous).max(1)
     }
 }
 
-/// What a session's transaction has written: tells which answers show that a primary has answered a
-/// commit that wrote.
+/// Tracks whether a session's transaction has written, to tell which answers acknowledge a commit of writes.
 ///
-/// One that wrote nothing waits for no replica: an old primary answers it, and it shows nothing.
+/// Only such a commit is evidence. A commit without writes waits for no replica, so an old primary acknowledges it
+/// as well.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransactionWrites {
     in_transaction: bool,
@@ -306,22 +318,22 @@
 }
 
 impl TransactionWrites {
-    /// An exchange was answered, after which a transaction is open or not. Returns whether it shows
-    /// a commit that wrote.
+    /// An exchange was answered; `open` tells whether a transaction is open after it. Returns whether the answer
+    /// acknowledges a commit of writes.
     pub fn on_answer(&mut self, class: StatementClass, failed: bool, open: bool) -> bool {
         let writes = class == StatementClass::Write && !failed;
         let commits = class == StatementClass::Commit && !failed;
         let wrote_before = self.in_transaction && self.wrote;
-        let shows = match (self.in_transaction, open) {
+        let commits_writes = match (self.in_transaction, open) {
             (_, true) => false,
             (false, false) => writes,
             (true, false) => commits && wrote_before,
         };
         *self = Self { in_transaction: open, wrote: open && (writes || wrote_before) };
-        shows
+        commits_writes
     }
 
-    /// Whether an exchange of this class commits something that wrote, if it succeeds.
+    /// Whether an exchange of this class commits writes if it succeeds.
     pub fn would_commit(&self, class: StatementClass) -> bool {
         match self.in_transaction {
             true => class == StatementClass::Commit && self.wrote,
@@ -329,7 +341,7 @@
         }
     }
 
-    /// The transaction, if one was open, is lost.
+    /// The open transaction, if there was one, is lost.
     pub fn on_lost(&mut self) {
         *self = Self::default();
     }
--- a/crates/core/src/primary_samples.rs
+++ b/crates/core/src/primary_samples.rs
@@ -1,17 +1,17 @@
-//! Positions of a group's primary, as its own answers told them, and what they say of replicas.
+//! Positions that a group's primary reported, from which the position that a read requires is derived.
 //!
-//! A position that the primary told in answer to a question sent at T covers every commit that was
-//! acknowledged before T. So a read that may be D old and arrived at A may run wherever the log has
-//! reached a position asked for at A - D or later.
+//! A position that the primary reported in answer to a query sent at T covers every commit that was acknowledged
+//! before T. So a read that arrived at A and may be up to D stale can run on any instance whose log has reached a
+//! position that was queried at A - D or later.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use crate::position::{Position, Term};
 
-/// Positions that are remembered.
+/// Number of positions that are kept.
 const MAX_SAMPLES: usize = 128;
-/// Shortest time between two of them, so that frequent answers do not shorten the memory.
+/// Shortest time between two kept positions, so that frequent answers do not shorten the time that they span.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(40);
 
 #[derive(Clone, Copy, Debug)]
@@ -29,7 +29,7 @@
 }
 
 impl PrimarySamples {
-    /// The primary told `position` in answer to a question sent at `asked`.
+    /// The primary reported `position` in answer to a query that was sent at `asked`.
     pub fn record(&mut self, asked: Instant, position: Position) {
         if position.term < self.term {
             return;
@@ -52,25 +52,25 @@
         }
     }
 
-    /// The lowest position known to cover every commit acknowledged before `moment`, told by a
-    /// primary for which evidence covers arrivals until `covered`.
-    pub fn covering(&self, moment: Instant, covered: Instant) -> Option<Position> {
+    /// The lowest known position that covers every commit acknowledged before `moment`, reported by a primary for
+    /// which evidence covers arrivals until `covered_until`.
+    pub fn covering(&self, moment: Instant, covered_until: Instant) -> Option<Position> {
         let mut samples = self.samples.iter();
-        let sample = samples.find(|sample| sample.asked >= moment && sample.asked <= covered);
+        let sample = samples.find(|sample| sample.asked >= moment && sample.asked <= covered_until);
         sample.map(|sample| sample.position)
     }
 
-    /// The highest position that was told.
+    /// The highest position that was reported.
     pub fn highest(&self) -> Option<Position> {
         self.highest
     }
 
-    /// Term of the primary that told them.
+    /// Term of the primary that reported the positions.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// When the newest position was asked for.
+    /// When the query for the newest position was sent.
     pub fn newest(&self) -> Option<Instant> {
         self.samples.back().map(|sample| sample.asked)
     }
--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -1,5 +1,4 @@
-//! The state machine of one attempt: its steps, one after the other. What each does is in the modules
-//! below.
+//! The state machine of one attempt: which phase follows which. The submodules implement the phases.
 
 mod events;
 mod incarnations;
@@ -12,9 +11,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use incarnations::Starts;
-use old_primary::FormerWord;
-use other_primaries::{OtherLeaders, leading};
+use incarnations::KnownIncarnations;
+use old_primary::OldPrimaryState;
+use other_primaries::{OtherPrimaries, claimed_primaries};
 use releases::Releases;
 
 use super::{
@@ -27,8 +26,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Stopped {
     received: Position,
-    /// When the question was sent to which it last said that it is stopped.
-    said: Instant,
+    /// When the query was sent to which it last answered that it is stopped.
+    confirmed_at: Instant,
 }
 
 /// One attempt on one group.
@@ -40,138 +39,148 @@
     phase: Phase,
     /// Members at whose addresses other instances answer.
     displaced: BTreeSet<InstanceName>,
-    /// Members that were leaving, whose entries have gone, and that refuse connections: they have ended, and
-    /// what they held with them.
+    /// Members that were leaving, whose entries have disappeared, and that refuse connections: they have
+    /// terminated, and their logs are lost.
     ended: BTreeSet<InstanceName>,
-    /// Others that say they lead.
-    leaders: OtherLeaders,
-    /// The intent that was last given to be recorded; whoever does so repeats it.
-    given: Option<Intent>,
-    /// What the store says of it.
+    /// Other members that report that they are primary.
+    other_primaries: OtherPrimaries,
+    /// The intent that was last submitted to the store; the caller retries the write.
+    submitted: Option<Intent>,
+    /// The intent that is in the store.
     recorded: Option<Intent>,
-    /// Promotions that have been sent, by this holder or an earlier one, and that the platform has not
-    /// refused: each may be carried out.
+    /// Number of promotions that this coordinator or an earlier one has sent and the platform has not
+    /// refused. Each may still take effect.
     sent_promotions: u32,
-    wanted: bool,
+    still_needed: bool,
     /// Highest term seen.
-    highest: Term,
-    /// Term with which replicas are stopped.
-    term: Term,
-    /// Replicas that have said how they stand: none is stopped before, so that one that somebody
-    /// else stopped with the same term does not pass for stopped.
-    told: BTreeSet<InstanceName>,
+    highest_term: Term,
+    /// The minimum term of stopped replicas, which is the term of the promotion.
+    stop_term: Term,
+    /// Replicas that have reported their status. A replica is only stopped after that, so that a replica which
+    /// another coordinator stopped with the same term does not count as stopped by this attempt.
+    reported: BTreeSet<InstanceName>,
     stopped: BTreeMap<InstanceName, Stopped>,
-    /// Whether the last primary is one of the replicas, where none is named.
-    last_primary_follows: bool,
-    /// What is known of instances that have started again.
-    starts: Starts,
-    /// Replicas that may have been stopped, and those that receive again.
+    /// Whether the last primary is now one of the replicas, if no old primary is known.
+    last_primary_is_replica: bool,
+    /// What is known about restarted instances.
+    incarnations: KnownIncarnations,
+    /// Replicas that may have been stopped, and those that have been released.
     releases: Releases,
-    /// When enough replicas had been stopped.
-    complete: Option<Instant>,
-    /// Since when nothing is missing for a promotion but that the replicas say once more that they are stopped.
+    /// When enough replicas were stopped; `None` while too few are.
+    stopped_since: Option<Instant>,
+    /// When the last check began, in which the replicas confirm that they are still stopped.
     checks_since: Option<Instant>,
-    /// What the old primary has said.
-    former_word: FormerWord,
-    /// Whether every node has given its evidence up.
-    given_up: bool,
-    /// Replicas that did not run when they were to be promoted, and when that was said.
+    /// What is known about the old primary.
+    old_primary_state: OldPrimaryState,
+    /// Whether every node has revoked its evidence.
+    evidence_revoked: bool,
+    /// Replicas that did not run when they were to be promoted, and when the platform reported that.
     not_running: BTreeMap<InstanceName, Instant>,
     chosen: Option<InstanceName>,
-    /// The chosen one, once it has said itself that it leads: the store may be down.
-    leads_by_its_word: Option<Successor>,
-    /// Whether another one was chosen before: replicas are stopped with a higher term than it took,
-    /// should it lead after all.
-    chosen_again: bool,
-    last_sent: BTreeMap<(InstanceName, Repeated), Instant>,
+    /// The chosen instance, once it has reported itself that it is primary. The store may be down, and then
+    /// cannot show that.
+    reported_successor: Option<Successor>,
+    /// Whether this attempt chose another instance earlier. If that instance becomes primary after all, the
+    /// replicas are stopped with a minimum term above its term and do not follow it until they are released.
+    target_changed: bool,
+    last_sent: BTreeMap<(InstanceName, RetriedCommand), Instant>,
 }
 
-/// Commands to one instance that are given again until it answers.
+/// Commands to one instance that are repeated until it answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Repeated {
-    Ask,
+enum RetriedCommand {
+    QueryStatus,
     Stop,
     Demote,
     Release,
 }
 
 impl Attempt {
-    /// An attempt that begins because of `need`; `highest` is the highest term known of the group.
+    /// An attempt that begins because of `need`; `highest_term` is the highest term known of the group.
     pub fn new(
-        holder: NodeName,
+        coordinator: NodeName,
         id: ReplacementId,
         need: &Need,
         members: Members,
-        highest: Term,
+        highest_term: Term,
         timing: Timing,
     ) -> Self {
         let Need {
             reason,
             old_primary: former,
-            has_begun: others_stopped,
+            has_begun: earlier_attempt_stopped,
             may_have_promoted: promoting,
             ..
         } = need.clone();
-        let last_primary_follows = need.last_primary_is_replica;
-        // Whoever leads may be the one that the earlier holder had promoted.
+        let last_primary_is_replica = need.last_primary_is_replica;
+        // An instance that reports to be primary may be the one that the earlier coordinator had promoted.
         let outdated = match promoting || reason == Reason::Unfinished {
             true => BTreeSet::new(),
-            false => leading(&members, former.as_ref()),
+            false => claimed_primaries(&members, former.as_ref()),
         };
         Self {
-            intent: Intent { holder, id, reason, former, called_off: false, promoting },
-            last_primary_follows,
-            starts: Starts::default(),
-            releases: Releases::after(others_stopped),
+            intent: Intent {
+                holder: coordinator,
+                id,
+                reason,
+                former,
+                called_off: false,
+                promoting,
+            },
+            last_primary_is_replica,
+            incarnations: KnownIncarnations::default(),
+            releases: Releases::after(earlier_attempt_stopped),
             members,
             displaced: BTreeSet::new(),
             ended: BTreeSet::new(),
-            leaders: OtherLeaders::new(outdated),
+            other_primaries: OtherPrimaries::new(outdated),
             timing,
             phase: Phase::Recording,
-            given: None,
+            submitted: None,
             recorded: None,
             sent_promotions: u32::from(promoting),
-            wanted: true,
-            highest,
-            term: Term(highest.0 + 1),
-            told: BTreeSet::new(),
+            still_needed: true,
+            highest_term,
+            stop_term: Term(highest_term.0 + 1),
+            reported: BTreeSet::new(),
             stopped: BTreeMap::new(),
-            complete: None,
+            stopped_since: None,
             checks_since: None,
-            former_word: FormerWord::default(),
-            given_up: false,
+            old_primary_state: OldPrimaryState::default(),
+            evidence_revoked: false,
             not_running: BTreeMap::new(),
             chosen: None,
-            leads_by_its_word: None,
-            chosen_again: false,
+            reported_successor: None,
+            target_changed: false,
             last_sent: BTreeMap::new(),
         }
     }
 
-    /// Which replacement it is.
+    /// Which replacement the attempt belongs to.
     pub fn id(&self) -> ReplacementId {
         self.intent.id
     }
 
-    /// What nodes are to be told: the intent as it stands in the store, while the attempt is under way.
+    /// The intent as it is in the store, until the attempt has finished. Nodes are notified of it.
     pub fn recorded_intent(&self) -> Option<&Intent> {
         self.recorded.as_ref().filter(|_| self.phase != Phase::Over)
     }
 
-    /// The term that the successor has said it leads.
+    /// The term that the successor has reported that it leads.
     pub fn successor_term(&self) -> Option<Term> {
         let chosen = self.chosen.as_ref();
-        let said = self.leads_by_its_word.as_ref();
-        said.filter(|said| chosen == Some(&said.instance)).and_then(|said| said.term)
+        let reported = self.reported_successor.as_ref();
+        reported
+            .filter(|reported| chosen == Some(&reported.instance))
+            .and_then(|reported| reported.term)
     }
 
-    /// How far it is.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// The old primary.
+    /// The old primary, if it is known.
     pub fn old_primary(&self) -> Option<&InstanceName> {
         self.intent.former.as_ref()
     }
@@ -182,16 +191,16 @@
     }
 
     /// Whether an instance has been chosen.
-    fn is_committed(&self) -> bool {
+    fn has_chosen(&self) -> bool {
         self.chosen.is_some()
     }
 
-    /// Whether a promotion may be carried out, or have been: the attempt cannot be called off.
+    /// Whether a promotion may take effect or have taken effect, so that the attempt cannot be cancelled.
     fn may_have_promoted(&self) -> bool {
         self.sent_promotions > 0
     }
 
-    /// Moves on as far as what is known allows, and says what to do.
+    /// Advances through as many phases as the current knowledge allows, and returns the commands to carry out.
     pub fn step(&mut self, now: Instant) -> Vec<Command> {
         let mut commands = Vec::new();
         loop {
@@ -207,32 +216,33 @@
         let successor = self.successor();
         match self.phase {
             Phase::Recording => {
-                if self.given.is_none() {
-                    self.record(commands);
+                if self.submitted.is_none() {
+                    self.record_intent(commands);
                 }
             }
             Phase::Over => {}
             Phase::Settling { until } => self.settle(until, now, commands),
             Phase::Cancelling { until } => self.cancel(until, now, commands),
-            // Whoever has been promoted, by this holder or an earlier one, leads from now on.
+            // The instance that this coordinator or an earlier one had promoted is the primary from now on.
             _ if successor.is_some() => {
                 self.chosen = successor;
                 commands.extend(self.chosen.clone().map(Command::RecordSuccessor));
                 self.phase = Phase::Settling { until: now + self.timing.demotion_timeout };
             }
             Phase::Promoting { again } => {
-                self.question_other_leaders(now, commands);
-                // One that was away when the promotion was sent may be back as a primary at any time until the
-                // successor leads, and would answer commits through replicas that the promotion releases.
-                self.demote_former(now, commands);
-                self.question_former_if_chosen(now, commands);
-                // Replicas may have restarted meanwhile, and have forgotten that they were stopped.
+                self.query_other_primaries(now, commands);
+                // An old primary that was unreachable when the promotion was sent may return as a primary at any
+                // time until the successor is primary, and would acknowledge commits through replicas that the
+                // promotion releases.
+                self.demote_old_primary(now, commands);
+                self.query_old_primary_if_chosen(now, commands);
+                // Replicas may have restarted meanwhile, and a restarted replica is no longer stopped.
                 if now >= again {
-                    self.set_complete(Some(now));
+                    self.set_stopped_since(Some(now));
                     self.phase = Phase::Checking;
                 }
             }
-            _ if !self.wanted && !self.may_have_promoted() => {
+            _ if !self.still_needed && !self.may_have_promoted() => {
                 self.phase = Phase::Cancelling { until: now + self.timing.release_timeout };
             }
             Phase::Draining { until } => {
@@ -242,12 +252,12 @@
             }
             Phase::Stopping { since } => self.stop(since, now, commands),
             Phase::Lapsing { since } => {
-                let life = match self.given_up {
+                let lifetime = match self.evidence_revoked {
                     true => self.timing.unlisted_evidence_lifetime,
                     false => self.timing.evidence_lifetime,
                 };
-                let wait = life.saturating_sub(self.timing.min_promotion_time);
-                if now >= since + wait || self.nobody_reads_there() {
+                let wait = lifetime.saturating_sub(self.timing.min_promotion_time);
+                if now >= since + wait || self.old_primary_refuses_connections() {
                     self.phase = Phase::Checking;
                 }
             }
@@ -255,25 +265,25 @@
         }
     }
 
-    /// Enough replicas have been stopped, or not any more.
-    fn set_complete(&mut self, complete: Option<Instant>) {
-        self.complete = complete;
+    /// Sets since when enough replicas are stopped; `None` if too few are.
+    fn set_stopped_since(&mut self, stopped_since: Option<Instant>) {
+        self.stopped_since = stopped_since;
         self.checks_since = None;
     }
 
-    /// Gives the intent to be recorded, unless that has been done.
-    fn record(&mut self, commands: &mut Vec<Command>) {
-        if self.given.as_ref() != Some(&self.intent) {
-            self.given = Some(self.intent.clone());
+    /// Submits the intent to the store, unless it was submitted in this form already.
+    fn record_intent(&mut self, commands: &mut Vec<Command>) {
+        if self.submitted.as_ref() != Some(&self.intent) {
+            self.submitted = Some(self.intent.clone());
             commands.push(Command::RecordIntent(self.intent.clone()));
         }
     }
 
-    /// The replicas that may run, the old primary among them once it follows. One at whose address another
-    /// member answers has ended: what it held is gone, or is held by that one.
+    /// The replicas that may run, including the old primary once it is a replica. A member at whose address
+    /// another member answers has terminated: its log is lost, or that member has it.
     fn replicas(&self) -> Vec<Member> {
-        let leading = self.old_primary().filter(|_| !self.former_word.follows);
-        let replicas = self.members.replicas(leading);
+        let primary = self.old_primary().filter(|_| !self.old_primary_state.is_replica);
+        let replicas = self.members.replicas(primary);
         replicas.filter(|member| !self.has_ended(member)).cloned().collect()
     }
 
@@ -282,22 +292,25 @@
         is_displaced || self.ended.contains(&member.name)
     }
 
-    /// How many of them must be stopped, whether the old primary is one of them or not: no more than still have
-    /// their logs. An old primary that is gone for good, or has lost its log as well, is not waited for.
-    fn needed(&self) -> usize {
+    /// How many replicas must be stopped, whether or not the old primary is one of them. Never more than still
+    /// have their logs: the attempt does not wait for an old primary that is permanently gone or has lost its
+    /// log as well.
+    fn required_stops(&self) -> usize {
         let replicas = self.replicas();
-        let beside_it = match self.old_primary() {
-            Some(former) => replicas.iter().filter(|member| member.name != *former).count(),
-            None => replicas.len().saturating_sub(usize::from(self.last_primary_follows)),
+        let other_replicas = match self.old_primary() {
+            Some(old_primary) => {
+                replicas.iter().filter(|member| member.name != *old_primary).count()
+            }
+            None => replicas.len().saturating_sub(usize::from(self.last_primary_is_replica)),
         };
-        self.members.required_stops(beside_it).min(self.logs_left()).max(1)
+        self.members.required_stops(other_replicas).min(self.usable_log_count()).max(1)
     }
 
-    /// Sends a command to an instance unless it was sent a moment ago.
+    /// Sends a command to an instance, unless the same kind was sent within the retry interval.
     fn send(
         &mut self,
         instance: &InstanceName,
-        kind: Repeated,
+        kind: RetriedCommand,
         now: Instant,
         commands: &mut Vec<Command>,
         command: impl FnOnce(InstanceName) -> Command,
--- a/crates/core/src/promotion/attempt/events.rs
+++ b/crates/core/src/promotion/attempt/events.rs
@@ -1,8 +1,8 @@
-//! Takes in what instances and the platform say.
+//! Processes the events of an attempt: reports of the instances, the platform, the store and the nodes.
 
 use std::time::Instant;
 
-use super::{Attempt, Repeated, Stopped, leading};
+use super::{Attempt, RetriedCommand, Stopped, claimed_primaries};
 use crate::ids::{InstanceName, NodeName};
 use crate::incarnation::has_started_again;
 use crate::position::Term;
@@ -12,7 +12,7 @@
 use crate::routing::Role;
 
 impl Attempt {
-    /// Takes an event in.
+    /// Updates the attempt's knowledge with an event. The next [`Attempt::step`] acts on it.
     pub fn on_event(&mut self, event: Event, now: Instant) {
         match event {
             Event::IntentRecorded(intent) => {
@@ -21,8 +21,8 @@
                     self.on_recorded(now);
                 }
             }
-            Event::StatusReported { instance, status: standing, sent } => {
-                self.on_standing(instance, standing, sent)
+            Event::StatusReported { instance, status, sent } => {
+                self.on_status(instance, status, sent)
             }
             Event::NoAnswer(_) => {}
             Event::Refused { instance, sent } => self.on_not_running(instance, sent),
@@ -32,44 +32,46 @@
             }
             Event::Promoted { instance, answer } => self.on_promoted(&instance, answer, now),
             Event::Members(members) => {
-                let leading = leading(&members, self.old_primary());
-                self.leaders.outdated.retain(|name| leading.contains(name));
-                self.forget_ended_processes(&members, now);
+                let primaries = claimed_primaries(&members, self.old_primary());
+                self.other_primaries.outdated.retain(|name| primaries.contains(name));
+                self.forget_restarted(&members, now);
                 self.ended.retain(|name| members.get(name).is_some_and(|member| member.has_left));
                 self.members = members;
             }
             Event::Released(instance) => {
-                let is_ending =
+                let is_finishing =
                     matches!(self.phase, Phase::Settling { .. } | Phase::Cancelling { .. });
-                match is_ending {
+                match is_finishing {
                     true => self.releases.on_released(instance),
-                    // It was released to refill.
-                    false => self.releases.on_not_stopped(&instance),
+                    // The attempt continues: the replica was released to receive its lost log again.
+                    false => self.releases.on_released_early(&instance),
                 }
             }
-            Event::Incarnations { by_instance: told, asked } => self.starts.on_told(told, asked),
-            Event::IncarnationsUnavailable => self.starts.on_unknown(now),
-            Event::Refilled(refilled) => self.starts.on_refilled(refilled),
-            Event::ReportsCombined(heard) => self.starts.on_heard_by_all(heard),
-            Event::EvidenceRevoked => self.given_up = true,
-            Event::StillNeeded(wanted) => self.wanted = wanted,
+            Event::Incarnations { by_instance, asked } => {
+                self.incarnations.on_stored(by_instance, asked)
+            }
+            Event::IncarnationsUnavailable => self.incarnations.on_unavailable(now),
+            Event::Refilled(refilled) => self.incarnations.on_refilled(refilled),
+            Event::ReportsCombined(report) => self.incarnations.on_combined_report(report),
+            Event::EvidenceRevoked => self.evidence_revoked = true,
+            Event::StillNeeded(still_needed) => self.still_needed = still_needed,
         }
     }
 
-    /// Takes in what `nodes`, those that may read at the old primary, have said so far. Before the intent has been
-    /// recorded the holder does not know all of them: its own list may be old, and lack a node that has entered
-    /// itself since and relies on being waited for.
-    pub fn on_reports(&mut self, witnesses: &RestartReports, nodes: &[NodeName], now: Instant) {
+    /// Processes the reports received so far; `nodes` are those that may read at the old primary. Ignored until
+    /// the intent is recorded, because the coordinator's list of nodes may be stale before that: it may lack a node
+    /// that has registered since, and that relies on the coordinator to wait for its evidence to expire.
+    pub fn on_reports(&mut self, reports: &RestartReports, nodes: &[NodeName], now: Instant) {
         if self.phase == Phase::Recording {
             return;
         }
-        for refilled in witnesses.refilled() {
+        for refilled in reports.refilled() {
             self.on_event(Event::Refilled(refilled), now);
         }
-        if let Some(heard) = witnesses.combined(nodes) {
-            self.on_event(Event::ReportsCombined(heard), now);
+        if let Some(combined) = reports.combined(nodes) {
+            self.on_event(Event::ReportsCombined(combined), now);
         }
-        if !nodes.is_empty() && witnesses.includes_all(nodes) {
+        if !nodes.is_empty() && reports.includes_all(nodes) {
             self.on_event(Event::EvidenceRevoked, now);
         }
     }
@@ -83,97 +85,101 @@
         };
     }
 
-    /// An instance that has started again holds nothing of what it said before, and has forgotten that it
-    /// was stopped.
-    fn forget_ended_processes(&mut self, members: &Members, now: Instant) {
+    /// Discards what restarted instances reported before: they have lost their logs and are no longer stopped.
+    fn forget_restarted(&mut self, members: &Members, now: Instant) {
         let before = |name| self.members.get(name).and_then(|before| before.incarnation);
-        let started_again: Vec<InstanceName> = members
+        let restarted: Vec<InstanceName> = members
             .all
             .iter()
             .filter(|member| has_started_again(before(&member.name), member.incarnation))
             .map(|member| member.name.clone())
             .collect();
-        for name in &started_again {
-            self.told.remove(name);
+        for name in &restarted {
+            self.reported.remove(name);
             self.stopped.remove(name);
             let was_promoted = self.chosen.as_ref() == Some(name);
             if was_promoted && !matches!(self.phase, Phase::Settling { .. } | Phase::Over) {
-                // The process that was to take over is gone, with what made it the best. It may have led:
-                // nodes that ended this here would let the old primary answer commits after a promotion.
-                self.choose_again(now);
+                // The process that was to be promoted is gone, and with it the log for which it was chosen. It
+                // may have been primary, so the attempt must not end here: nodes would let the old primary
+                // acknowledge commits after a promotion.
+                self.discard_choice(now);
             }
         }
     }
 
     fn on_not_running(&mut self, instance: InstanceName, sent: Instant) {
         if self.old_primary() == Some(&instance) {
-            self.former_word.refused = Some(sent);
+            self.old_primary_state.last_refused = Some(sent);
         }
         if self.members.get(&instance).is_some_and(|member| member.has_left) {
             self.ended.insert(instance.clone());
         }
-        // A replica that does not run has forgotten that it was stopped when it returns.
+        // A replica that does not run is no longer stopped when it returns.
         if matches!(self.phase, Phase::Settling { .. } | Phase::Cancelling { .. }) {
             self.releases.on_released(instance);
         }
     }
 
-    fn on_standing(&mut self, instance: InstanceName, standing: ReplicationStatus, sent: Instant) {
+    fn on_status(&mut self, instance: InstanceName, status: ReplicationStatus, sent: Instant) {
         self.displaced.remove(&instance);
-        self.compare_with_heard(&instance, &standing);
-        let seen = standing.term.max(standing.min_term).max(standing.received.term);
-        self.highest = self.highest.max(seen);
-        let leads = standing.role == Role::Primary;
-        if leads && self.chosen.as_ref() == Some(&instance) {
-            self.on_chosen_leads(instance, standing.term, sent);
+        self.compare_with_combined_report(&instance, &status);
+        let seen = status.term.max(status.min_term).max(status.received.term);
+        self.highest_term = self.highest_term.max(seen);
+        let is_primary = status.role == Role::Primary;
+        if is_primary && self.chosen.as_ref() == Some(&instance) {
+            self.on_chosen_is_primary(instance, status.term, sent);
             return;
         }
         if self.old_primary() == Some(&instance) {
-            self.on_former(&standing, sent);
-            if leads {
+            self.on_old_primary_status(&status, sent);
+            if is_primary {
                 return;
             }
         } else {
-            self.judge_other_leader(&instance, &standing);
-        }
-        // One that answers a while after the platform had said so runs again.
-        let pause = self.timing.retry_interval;
-        self.not_running.retain(|name, said| *name != instance || sent < *said + pause);
-        // A stop with a term that somebody has led is none: the replica receives on.
-        let led = standing.term.max(standing.received.term);
-        let stopped_before = self.told.insert(instance.clone()) && standing.min_term >= self.term;
-        if (led >= self.term || stopped_before) && !self.is_committed() {
-            self.stop_with_a_higher_term();
-        }
-        let is_stopped = standing.min_term >= self.term && standing.role == Role::Replica;
+            self.classify_other_primary(&instance, &status);
+        }
+        // An instance runs again if it answers a query that was sent some time after the platform reported that
+        // it did not run.
+        let delay = self.timing.retry_interval;
+        self.not_running.retain(|name, reported| *name != instance || sent < *reported + delay);
+        // A stop has no effect if a primary leads its minimum term: the replica still accepts replication.
+        let led = status.term.max(status.received.term);
+        let stopped_before =
+            self.reported.insert(instance.clone()) && status.min_term >= self.stop_term;
+        if (led >= self.stop_term || stopped_before) && !self.has_chosen() {
+            self.raise_stop_term();
+        }
+        let is_stopped = status.min_term >= self.stop_term && status.role == Role::Replica;
         if is_stopped {
-            let stopped = Stopped { received: standing.received, said: sent };
+            let stopped = Stopped { received: status.received, confirmed_at: sent };
             if let Some(before) = self.stopped.insert(instance.clone(), stopped) {
-                self.starts.on_position(&instance, before.received, standing.received);
+                self.incarnations.on_position(&instance, before.received, status.received);
             }
         } else {
             self.stopped.remove(&instance);
-            // Somebody else stopped it with a term as high.
-            if standing.min_term > self.term && !self.is_committed() {
-                self.stop_with_a_higher_term();
+            // Another coordinator stopped it with a higher term.
+            if status.min_term > self.stop_term && !self.has_chosen() {
+                self.raise_stop_term();
             }
         }
     }
 
-    /// The chosen one says that it leads. The old primary, if that is the chosen one, may have said so before it
-    /// stepped down.
-    fn on_chosen_leads(&mut self, instance: InstanceName, term: Term, sent: Instant) {
-        let is_newest = self.former_word.answered.is_none_or(|answered| sent >= answered);
-        let leads_again = self.former_word.follows && is_newest;
-        if self.old_primary() != Some(&instance) || leads_again {
-            self.leads_by_its_word = Some(Successor { instance, term: Some(term) });
+    /// The chosen instance reports that it is primary. If the old primary was chosen, the report counts only if
+    /// it is newer than the one that showed it as a replica: it may be from before the old primary stepped down.
+    fn on_chosen_is_primary(&mut self, instance: InstanceName, term: Term, sent: Instant) {
+        let is_newest =
+            self.old_primary_state.last_answered.is_none_or(|answered| sent >= answered);
+        let is_primary_again = self.old_primary_state.is_replica && is_newest;
+        if self.old_primary() != Some(&instance) || is_primary_again {
+            self.reported_successor = Some(Successor { instance, term: Some(term) });
         }
     }
 
-    pub(super) fn stop_with_a_higher_term(&mut self) {
-        self.term = Term(self.highest.0 + 1);
+    /// Stops all replicas again, with a term above every term seen.
+    pub(super) fn raise_stop_term(&mut self) {
+        self.stop_term = Term(self.highest_term.0 + 1);
         self.stopped.clear();
-        self.last_sent.retain(|(_, kind), _| *kind != Repeated::Stop);
+        self.last_sent.retain(|(_, kind), _| *kind != RetriedCommand::Stop);
     }
 
     fn on_promoted(&mut self, instance: &InstanceName, answer: PromotionAnswer, now: Instant) {
@@ -186,12 +192,12 @@
                 self.phase = Phase::Promoting { again: now + self.timing.announcement_timeout };
             }
             PromotionAnswer::NotRunning => {
-                // It has not been promoted and will not be: another one may be.
+                // It has not been promoted and will not be, so another replica may be promoted.
                 self.sent_promotions = self.sent_promotions.saturating_sub(1);
                 self.stopped.remove(instance);
                 self.not_running.insert(instance.clone(), now);
                 self.chosen = None;
-                self.set_complete(None);
+                self.set_stopped_since(None);
                 self.phase = Phase::Stopping { since: now };
             }
             PromotionAnswer::Unknown => {
--- a/crates/core/src/promotion/attempt/incarnations.rs
+++ b/crates/core/src/promotion/attempt/incarnations.rs
@@ -1,8 +1,8 @@
-//! Which instances still have their logs, as far as that shows.
+//! Decides which instances still have their logs.
 //!
-//! An instance that has started again holds nothing of what it had received. The copy of the store that the
-//! holder goes by may not say so yet; so the store is asked once enough replicas have been stopped, and an
-//! instance that says less than before has lost its log whatever the store says.
+//! A restarted instance has lost the log that it had received. The coordinator's copy of the store may not show
+//! the restart yet, so the store is read again once enough replicas have been stopped. An instance that reports
+//! a lower position than before has lost its log, whatever the store shows.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -13,119 +13,134 @@
 use crate::position::Position;
 use crate::promotion::{CombinedReport, Command, Member, ObservedRestart, ReplicationStatus};
 
-/// Time after which an answer of the store is not waited for any more: its calls are given up before.
-const STORE_ANSWERS_WITHIN: Duration = Duration::from_secs(3);
+/// Time after which an attempt no longer waits for an answer of the store. Store requests time out earlier.
+const STORE_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What is known of starts, beside what the members tell.
+/// What is known about restarts, in addition to the members' entries.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Starts {
-    /// What the store said last when it was asked.
-    told: BTreeMap<InstanceName, InstanceIncarnation>,
-    /// When it was asked for that.
-    asked: Option<Instant>,
-    /// When it was last asked, if it has not answered.
-    waiting: Option<Instant>,
-    /// When it last did not answer.
-    failed: Option<Instant>,
-    /// Instances that said a lower position than before while they were stopped.
-    went_back: BTreeSet<InstanceName>,
-    /// Starts since which an instance has received everything, as nodes have seen it.
+pub(super) struct KnownIncarnations {
+    /// The incarnations that the store returned last.
+    stored: BTreeMap<InstanceName, InstanceIncarnation>,
+    /// When the request was sent that the store last answered.
+    requested_at: Option<Instant>,
+    /// When the last request was sent, if the store has not answered it.
+    pending_since: Option<Instant>,
+    /// When a request last failed.
+    failed_at: Option<Instant>,
+    /// Instances that reported a lower position than before while they were stopped.
+    regressed: BTreeSet<InstanceName>,
+    /// Incarnations in which nodes have seen an instance receive everything again.
     refilled: BTreeMap<InstanceName, InstanceIncarnation>,
-    /// What all nodes have heard of the primary.
-    heard: Option<CombinedReport>,
+    /// The combined reports of all nodes.
+    combined_report: Option<CombinedReport>,
 }
 
-impl Starts {
-    /// The store has said it.
-    pub fn on_told(&mut self, told: BTreeMap<InstanceName, InstanceIncarnation>, asked: Instant) {
-        self.told = told;
-        self.asked = self.asked.max(Some(asked));
-        self.waiting = None;
+impl KnownIncarnations {
+    /// The store answered a request that was sent at `asked`.
+    pub fn on_stored(
+        &mut self,
+        stored: BTreeMap<InstanceName, InstanceIncarnation>,
+        asked: Instant,
+    ) {
+        self.stored = stored;
+        self.requested_at = self.requested_at.max(Some(asked));
+        self.pending_since = None;
     }
 
-    /// The store has not said it.
-    pub fn on_unknown(&mut self, now: Instant) {
-        self.waiting = None;
-        self.failed = Some(now);
+    /// The store did not answer.
+    pub fn on_unavailable(&mut self, now: Instant) {
+        self.pending_since = None;
+        self.failed_at = Some(now);
     }
 
-    /// A node has seen an instance receive everything since a start.
+    /// A node has seen an instance receive everything again after a restart.
     pub fn on_refilled(&mut self, refilled: ObservedRestart) {
         self.refilled.insert(refilled.instance, refilled.incarnation);
     }
 
-    /// All nodes have said what they have heard.
-    pub fn on_heard_by_all(&mut self, heard: CombinedReport) {
-        self.heard = Some(heard);
+    /// All nodes have sent their reports.
+    pub fn on_combined_report(&mut self, report: CombinedReport) {
+        self.combined_report = Some(report);
     }
 
-    /// A stopped instance that had received `before` says that it has received `now`.
+    /// A stopped instance that had reported the position `before` reports `now`.
     pub fn on_position(&mut self, instance: &InstanceName, before: Position, now: Position) {
         if (now.term, now.offset) < (before.term, before.offset) {
-            self.went_back.insert(instance.clone());
+            self.regressed.insert(instance.clone());
         }
     }
 }
 
 impl Attempt {
-    /// Whether the store has been asked since enough replicas were stopped, and has answered. If not, it is asked.
-    pub(super) fn knows_starts(&mut self, now: Instant, commands: &mut Vec<Command>) -> bool {
-        let since = self.complete.unwrap_or(now);
-        if self.starts.asked.is_some_and(|asked| asked >= since) {
+    /// Whether the store has answered a request that was sent after enough replicas were stopped. If not, a
+    /// request is sent, unless one is pending.
+    pub(super) fn has_current_incarnations(
+        &mut self,
+        now: Instant,
+        commands: &mut Vec<Command>,
+    ) -> bool {
+        let since = self.stopped_since.unwrap_or(now);
+        if self.incarnations.requested_at.is_some_and(|asked| asked >= since) {
             return true;
         }
-        let pause = self.timing.store_retry_interval;
-        let is_early = self.starts.failed.is_some_and(|failed| now < failed + pause);
-        let is_waiting =
-            self.starts.waiting.is_some_and(|asked| now < asked + STORE_ANSWERS_WITHIN);
+        let delay = self.timing.store_retry_interval;
+        let is_early = self.incarnations.failed_at.is_some_and(|failed| now < failed + delay);
+        let is_waiting = self
+            .incarnations
+            .pending_since
+            .is_some_and(|asked| now < asked + STORE_REQUEST_TIMEOUT);
         if !is_waiting && !is_early {
-            self.starts.waiting = Some(now);
+            self.incarnations.pending_since = Some(now);
             commands.push(Command::ReadIncarnations);
         }
         false
     }
 
-    /// Whether an instance still has every commit that it has received, or has received again what it lost.
-    pub(super) fn has_its_log(&self, name: &InstanceName) -> bool {
-        self.members.get(name).is_some_and(|member| self.keeps_log(member) || self.no_log_is_left())
+    /// Whether an instance's position can be compared: it still has every commit that it received, or has received
+    /// again what it lost, or all instances have lost their logs.
+    pub(super) fn has_usable_log(&self, name: &InstanceName) -> bool {
+        self.members
+            .get(name)
+            .is_some_and(|member| self.has_intact_log(member) || self.all_logs_lost())
     }
 
-    /// An instance whose start all nodes have seen holds everything if it has received what any of them has heard:
-    /// none has passed on a commit beyond that.
-    pub(super) fn compare_with_heard(
+    /// Marks an instance whose restart all nodes have observed as refilled once it has received the log up to the
+    /// highest position that any node knows: no node has acknowledged a commit beyond that position.
+    pub(super) fn compare_with_combined_report(
         &mut self,
         instance: &InstanceName,
-        standing: &ReplicationStatus,
+        status: &ReplicationStatus,
     ) {
-        let Some(heard) = &self.starts.heard else { return };
+        let Some(report) = &self.incarnations.combined_report else { return };
         let member = self.members.get(instance);
-        let Some(start) = member.and_then(|member| member.incarnation) else { return };
-        let seen = ObservedRestart { instance: instance.clone(), incarnation: start };
-        let received = (standing.received.term, standing.received.offset);
-        let has_received = received >= (heard.highest_position.term, heard.highest_position.offset);
-        if has_received && heard.started_again.contains(&seen) {
-            self.starts.on_refilled(seen);
+        let Some(incarnation) = member.and_then(|member| member.incarnation) else { return };
+        let restart = ObservedRestart { instance: instance.clone(), incarnation };
+        let received = (status.received.term, status.received.offset);
+        let has_received =
+            received >= (report.highest_position.term, report.highest_position.offset);
+        if has_received && report.started_again.contains(&restart) {
+            self.incarnations.on_refilled(restart);
         }
     }
 
     /// How many instances still have their logs, whether they can be reached or not.
-    pub(super) fn logs_left(&self) -> usize {
+    pub(super) fn usable_log_count(&self) -> usize {
         let may_run = |member: &&Member| !self.has_ended(member);
         let left = self.members.all.iter().filter(may_run);
-        left.filter(|member| self.has_its_log(&member.name)).count()
+        left.filter(|member| self.has_usable_log(&member.name)).count()
     }
 
-    /// Whether all instances have lost their logs: what they held is gone, and nothing is gained by waiting.
-    fn no_log_is_left(&self) -> bool {
-        !self.members.all.iter().any(|member| self.keeps_log(member))
+    /// Whether all instances have lost their logs. The lost commits cannot be recovered by waiting.
+    fn all_logs_lost(&self) -> bool {
+        !self.members.all.iter().any(|member| self.has_intact_log(member))
     }
 
-    fn keeps_log(&self, member: &Member) -> bool {
-        let told = self.starts.told.get(&member.name);
-        let is_same_start = told.is_none_or(|told| member.incarnation == Some(*told));
-        let refilled = self.starts.refilled.get(&member.name).copied();
+    fn has_intact_log(&self, member: &Member) -> bool {
+        let stored = self.incarnations.stored.get(&member.name);
+        let is_same_incarnation = stored.is_none_or(|stored| member.incarnation == Some(*stored));
+        let refilled = self.incarnations.refilled.get(&member.name).copied();
         let is_refilled = refilled.is_some() && refilled == member.incarnation;
-        let is_whole = !member.is_refilling || is_refilled;
-        is_same_start && is_whole && !self.starts.went_back.contains(&member.name)
+        let is_complete = !member.is_refilling || is_refilled;
+        is_same_incarnation && is_complete && !self.incarnations.regressed.contains(&member.name)
     }
 }
--- a/crates/core/src/promotion/attempt/old_primary.rs
+++ b/crates/core/src/promotion/attempt/old_primary.rs
@@ -1,73 +1,85 @@
-//! The old primary: what it has said, and what it is told.
+//! What an attempt knows about the old primary, and the commands that it sends there.
 
 use std::time::Instant;
 
-use super::{Attempt, Repeated};
+use super::{Attempt, RetriedCommand};
 use crate::promotion::{Command, Reason, ReplicationStatus};
 use crate::routing::Role;
 
-/// What the old primary has said.
+/// What the old primary has reported.
 #[derive(Clone, Debug, Default)]
-pub(super) struct FormerWord {
+pub(super) struct OldPrimaryState {
     /// When it last refused a connection.
-    pub refused: Option<Instant>,
-    /// Whether it said last that it follows somebody: then it is one of the replicas, and holds whatever it has
-    /// answered.
-    pub follows: bool,
-    /// When the question was sent that it last answered.
-    pub answered: Option<Instant>,
+    pub last_refused: Option<Instant>,
+    /// Whether it last reported that it is a replica. It then counts as one of the replicas, and has every commit
+    /// that it acknowledged.
+    pub is_replica: bool,
+    /// When the query was sent that it last answered.
+    pub last_answered: Option<Instant>,
 }
 
 impl Attempt {
-    /// The old primary that is promoted again has to say itself that it leads: what the platform tells of it may
-    /// be from before it stepped down.
-    pub(super) fn question_former_if_chosen(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        let former = self.intent.former.clone();
-        if let Some(former) = former.filter(|former| self.chosen.as_ref() == Some(former)) {
-            self.send(&former, Repeated::Ask, now, commands, Command::QueryStatus);
+    /// Queries the old primary if it was chosen again. It has to report itself that it is primary, since the role
+    /// that the platform shows may be from before it stepped down.
+    pub(super) fn query_old_primary_if_chosen(
+        &mut self,
+        now: Instant,
+        commands: &mut Vec<Command>,
+    ) {
+        let old_primary = self.intent.former.clone();
+        if let Some(chosen) = old_primary.filter(|name| self.chosen.as_ref() == Some(name)) {
+            self.send(&chosen, RetriedCommand::QueryStatus, now, commands, Command::QueryStatus);
         }
     }
 
     /// Whether the old primary has refused a connection since enough replicas were stopped.
-    pub(super) fn nobody_reads_there(&self) -> bool {
-        let Some(complete) = self.complete else { return false };
-        self.former_word.refused.is_some_and(|refused| refused >= complete)
+    pub(super) fn old_primary_refuses_connections(&self) -> bool {
+        let Some(stopped_since) = self.stopped_since else { return false };
+        self.old_primary_state.last_refused.is_some_and(|refused| refused >= stopped_since)
     }
 
-    /// It has answered.
-    pub(super) fn on_former(&mut self, standing: &ReplicationStatus, sent: Instant) {
-        self.former_word.follows = standing.role == Role::Replica;
-        self.former_word.answered = Some(sent);
-        // An old primary that answers again does not refuse any more.
-        if self.former_word.refused.is_some_and(|refused| sent > refused) {
-            self.former_word.refused = None;
+    /// The old primary reported its status in answer to a query or command that was sent at `sent`.
+    pub(super) fn on_old_primary_status(&mut self, status: &ReplicationStatus, sent: Instant) {
+        self.old_primary_state.is_replica = status.role == Role::Replica;
+        self.old_primary_state.last_answered = Some(sent);
+        // An old primary that answers again no longer refuses connections.
+        if self.old_primary_state.last_refused.is_some_and(|refused| sent > refused) {
+            self.old_primary_state.last_refused = None;
         }
-        if standing.term >= self.term && !self.is_committed() {
-            self.stop_with_a_higher_term();
+        if status.term >= self.stop_term && !self.has_chosen() {
+            self.raise_stop_term();
         }
     }
 
-    /// Whether the old primary may lead. One that has refused a connection since its successor led
-    /// returns as a replica.
-    pub(super) fn former_still_leads(&self, since: Instant) -> bool {
-        let former = self.old_primary().and_then(|name| self.members.get(name));
-        let is_down = self.former_word.refused.is_some_and(|refused| refused >= since);
-        // One that has vanished tells nobody whether it leads.
+    /// Whether the old primary may still be primary. If it has refused a connection after `since`, when the
+    /// successor was known, it returns as a replica.
+    pub(super) fn old_primary_may_lead(&self, since: Instant) -> bool {
+        let old_primary = self.old_primary().and_then(|name| self.members.get(name));
+        let is_down = self.old_primary_state.last_refused.is_some_and(|refused| refused >= since);
+        // The platform does not show the role of an old primary whose entry has disappeared.
         let may_lead =
-            former.is_some_and(|member| member.leads || self.intent.reason == Reason::Missing);
-        may_lead && !self.former_word.follows && !is_down
+            old_primary.is_some_and(|member| member.leads || self.intent.reason == Reason::Missing);
+        may_lead && !self.old_primary_state.is_replica && !is_down
     }
 
-    pub(super) fn demote_former(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        let Some(former) = self.intent.former.clone().filter(|_| !self.former_word.follows) else {
+    pub(super) fn demote_old_primary(&mut self, now: Instant, commands: &mut Vec<Command>) {
+        let Some(old_primary) =
+            self.intent.former.clone().filter(|_| !self.old_primary_state.is_replica)
+        else {
             return;
         };
-        self.demote(&former, now, commands);
+        self.demote(&old_primary, now, commands);
     }
 
-    pub(super) fn ask_former(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        if let Some(former) = self.intent.former.clone() {
-            self.send(&former, Repeated::Ask, now, commands, Command::QueryStatus);
+    pub(super) fn query_old_primary(&mut self, now: Instant, commands: &mut Vec<Command>) {
+        if let Some(old_primary) = self.intent.former.clone() {
+            self.send(
+                &old_primary,
+                RetriedCommand::QueryStatus,
+                now,
+                commands,
+                Command::QueryStatus,
+            );
         }
     }
 }
--- a/crates/core/src/promotion/attempt/other_primaries.rs
+++ b/crates/core/src/promotion/attempt/other_primaries.rs
@@ -1,89 +1,94 @@
-//! Members other than the old primary that say they lead: the successor, or primaries of before.
+//! Members other than the old primary that report to be primary: the successor, or earlier primaries.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-use super::{Attempt, Repeated};
+use super::{Attempt, RetriedCommand};
 use crate::ids::InstanceName;
 use crate::promotion::{Command, Members, ReplicationStatus};
 use crate::routing::Role;
 
-/// What is known of those that say they lead and have not been chosen.
+/// What is known of the members that report to be primary and have not been chosen.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OtherLeaders {
-    /// Those that said at the beginning that they lead: they led before the old primary did, and are not its
-    /// successor unless they stop saying so.
+pub(super) struct OtherPrimaries {
+    /// Members that reported to be primary when the attempt began. They were primary before the old primary was,
+    /// and cannot be its successor until they have stopped reporting so.
     pub outdated: BTreeSet<InstanceName>,
-    /// Those that said, after a promotion was sent, that they lead a term at least as high as replicas are stopped
-    /// with: the platform has promoted them.
+    /// Members that reported, after a promotion was sent, that they lead a term not below the one that the replicas
+    /// are stopped with: the platform has promoted them.
     promoted: BTreeSet<InstanceName>,
-    /// Those that said then that they lead a lower term: old primaries that have started again under other names.
+    /// Members that reported then that they lead a lower term: old primaries that restarted under other names.
     pub returned: BTreeSet<InstanceName>,
 }
 
-impl OtherLeaders {
-    /// At the beginning.
+impl OtherPrimaries {
+    /// The state when an attempt begins.
     pub fn new(outdated: BTreeSet<InstanceName>) -> Self {
         Self { outdated, ..Self::default() }
     }
 }
 
 impl Attempt {
-    /// The member that leads in place of the old primary.
+    /// The member that is primary in place of the old primary.
     pub(super) fn successor(&self) -> Option<InstanceName> {
-        let leading = leading(&self.members, self.old_primary());
-        let may_be =
-            |name: &InstanceName| !self.leaders.outdated.contains(name) && self.may_succeed(name);
-        let told = leading.into_iter().find(may_be);
-        told.or_else(|| Some(self.leads_by_its_word.clone()?.instance))
+        let primaries = claimed_primaries(&self.members, self.old_primary());
+        let may_be = |name: &InstanceName| {
+            !self.other_primaries.outdated.contains(name) && self.may_succeed(name)
+        };
+        let member = primaries.into_iter().find(may_be);
+        member.or_else(|| Some(self.reported_successor.clone()?.instance))
     }
 
-    /// Whether a member that says it leads can be the successor. Once a promotion has been sent, its own
-    /// one is; another one only if it shows a term that it got by a promotion: an old primary that has
-    /// started again under another name would answer writes that the promotion rolls back.
+    /// Whether a member that reports to be primary can be the successor. Once an instance has been chosen, this
+    /// is the chosen one, or another one whose term shows that it was promoted. An old primary that
+    /// restarted under another name must not be taken for the successor: it would acknowledge writes that the
+    /// promotion rolls back.
     fn may_succeed(&self, name: &InstanceName) -> bool {
         match &self.chosen {
-            Some(chosen) => chosen == name || self.leaders.promoted.contains(name),
+            Some(chosen) => chosen == name || self.other_primaries.promoted.contains(name),
             None => true,
         }
     }
 
-    /// Asks members other than the chosen one that say they lead which term that is, and has those step
-    /// down that lead an old one.
-    pub(super) fn question_other_leaders(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        let leading = leading(&self.members, self.old_primary());
+    /// Queries the term of members other than the chosen one that report to be primary, and demotes those that
+    /// lead an old term.
+    pub(super) fn query_other_primaries(&mut self, now: Instant, commands: &mut Vec<Command>) {
+        let primaries = claimed_primaries(&self.members, self.old_primary());
         let other = |name: &&InstanceName| {
-            self.chosen.as_ref() != Some(*name) && !self.leaders.outdated.contains(*name)
+            self.chosen.as_ref() != Some(*name) && !self.other_primaries.outdated.contains(*name)
         };
-        let others: Vec<InstanceName> = leading.iter().filter(other).cloned().collect();
+        let others: Vec<InstanceName> = primaries.iter().filter(other).cloned().collect();
         for name in others {
-            if self.leaders.returned.contains(&name) {
+            if self.other_primaries.returned.contains(&name) {
                 self.demote(&name, now, commands);
             } else {
-                self.send(&name, Repeated::Ask, now, commands, Command::QueryStatus);
+                self.send(&name, RetriedCommand::QueryStatus, now, commands, Command::QueryStatus);
             }
         }
     }
 
-    /// What an instance that is neither the old primary nor the chosen one says of leading.
-    pub(super) fn judge_other_leader(
+    /// Processes the status of an instance that is neither the old primary nor the chosen one.
+    pub(super) fn classify_other_primary(
         &mut self,
         instance: &InstanceName,
-        standing: &ReplicationStatus,
+        status: &ReplicationStatus,
     ) {
-        if !self.is_committed() || standing.role == Role::Replica {
-            self.leaders.returned.remove(instance);
+        if !self.has_chosen() || status.role == Role::Replica {
+            self.other_primaries.returned.remove(instance);
             return;
         }
-        match standing.term >= self.term {
-            true => self.leaders.promoted.insert(instance.clone()),
-            false => self.leaders.returned.insert(instance.clone()),
+        match status.term >= self.stop_term {
+            true => self.other_primaries.promoted.insert(instance.clone()),
+            false => self.other_primaries.returned.insert(instance.clone()),
         };
     }
 }
 
-/// Members other than the old primary that say they lead.
-pub(super) fn leading(members: &Members, former: Option<&InstanceName>) -> BTreeSet<InstanceName> {
-    let leading = members.replicas(former).filter(|member| member.leads);
-    leading.map(|member| member.name.clone()).collect()
+/// Members other than the old primary that report to be primary.
+pub(super) fn claimed_primaries(
+    members: &Members,
+    old_primary: Option<&InstanceName>,
+) -> BTreeSet<InstanceName> {
+    let primaries = members.replicas(old_primary).filter(|member| member.leads);
+    primaries.map(|member| member.name.clone()).collect()
 }
--- a/crates/core/src/promotion/attempt/settling.rs
+++ b/crates/core/src/promotion/attempt/settling.rs
@@ -1,69 +1,73 @@
-//! Puts the group in order after a promotion, or as it was if nobody is promoted.
+//! Completes an attempt: after a promotion, or without one if the attempt is cancelled.
 
 use std::time::Instant;
 
-use super::{Attempt, Repeated};
+use super::{Attempt, RetriedCommand};
 use crate::ids::InstanceName;
 use crate::position::Term;
 use crate::promotion::{Command, Phase, Successor};
 
 impl Attempt {
-    /// The old primary first, then the replicas: one that receives again while the old primary still
-    /// leads, and that cannot hear of the successor, would follow it and say so.
+    /// Demotes the old primary first and then releases the replicas: a replica that is released while the old
+    /// primary is still primary, and that cannot reach the successor, would follow the old primary and report
+    /// that.
     pub(super) fn settle(&mut self, until: Instant, now: Instant, commands: &mut Vec<Command>) {
         let since = until - self.timing.demotion_timeout;
-        let is_in_order = !self.former_still_leads(since) && self.leaders.returned.is_empty();
-        if is_in_order || self.chosen_again {
+        let all_demoted =
+            !self.old_primary_may_lead(since) && self.other_primaries.returned.is_empty();
+        if all_demoted || self.target_changed {
             self.release(now, commands);
         }
-        if !is_in_order {
-            self.demote_former(now, commands);
-            for name in self.leaders.returned.clone() {
+        if !all_demoted {
+            self.demote_old_primary(now, commands);
+            for name in self.other_primaries.returned.clone() {
                 self.demote(&name, now, commands);
             }
         }
-        let successor = self.chosen.clone().map(|instance| self.with_its_term(instance));
+        let successor = self.chosen.clone().map(|instance| self.with_reported_term(instance));
         let has_term = successor.as_ref().is_none_or(|successor| successor.term.is_some());
-        if now >= until || (is_in_order && has_term && self.all_released()) {
+        if now >= until || (all_demoted && has_term && self.all_released()) {
             commands.push(Command::Finish { id: self.intent.id, successor });
             self.phase = Phase::Over;
         } else if let (false, Some(instance)) = (has_term, self.chosen.clone()) {
-            self.send(&instance, Repeated::Ask, now, commands, Command::QueryStatus);
+            self.send(&instance, RetriedCommand::QueryStatus, now, commands, Command::QueryStatus);
         }
     }
 
-    /// A successor with the term that it said it leads: by that nodes tell old primaries that come back later.
-    fn with_its_term(&self, instance: InstanceName) -> Successor {
-        let told = self.leads_by_its_word.clone().filter(|told| told.instance == instance);
-        told.unwrap_or(Successor { instance, term: None })
+    /// The successor with the term that it reported. By this term nodes recognize old primaries that return
+    /// later.
+    fn with_reported_term(&self, instance: InstanceName) -> Successor {
+        let reported =
+            self.reported_successor.clone().filter(|reported| reported.instance == instance);
+        reported.unwrap_or(Successor { instance, term: None })
     }
 
-    /// Has an old primary step down.
+    /// Tells an old primary to step down.
     pub(super) fn demote(&mut self, old: &InstanceName, now: Instant, commands: &mut Vec<Command>) {
-        let term = Term(self.highest.0.max(self.term.0));
-        self.send(old, Repeated::Demote, now, commands, |instance| Command::Demote {
+        let term = Term(self.highest_term.0.max(self.stop_term.0));
+        self.send(old, RetriedCommand::Demote, now, commands, |instance| Command::Demote {
             instance,
             term,
         });
     }
 
-    /// Releases the replicas. Where that takes a while, because one cannot be reached, nodes are told
-    /// to go on with the old primary meanwhile.
+    /// Releases the replicas. If that takes long, because a replica cannot be reached, the intent is recorded as
+    /// cancelled, so that nodes continue with the old primary meanwhile.
     pub(super) fn cancel(&mut self, until: Instant, now: Instant, commands: &mut Vec<Command>) {
         self.release(now, commands);
         let since = until - self.timing.release_timeout;
-        // One change of the store at a time.
-        let mut is_changing = self.given != self.recorded;
+        // At most one write to the store is pending at a time.
+        let mut is_write_pending = self.submitted != self.recorded;
         if !self.all_released()
             && now >= since + self.timing.cancellation_notice_delay
-            && !is_changing
+            && !is_write_pending
         {
             self.intent.called_off = true;
             self.intent.promoting = false;
-            self.record(commands);
-            is_changing = self.given != self.recorded;
+            self.record_intent(commands);
+            is_write_pending = self.submitted != self.recorded;
         }
-        if !is_changing && (now >= until || self.all_released()) {
+        if !is_write_pending && (now >= until || self.all_released()) {
             commands.push(Command::Finish { id: self.intent.id, successor: None });
             self.phase = Phase::Over;
         }
--- a/crates/core/src/promotion/coordination.rs
+++ b/crates/core/src/promotion/coordination.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other, through the store, about replacing primaries.
+//! What nodes publish in the store about primary replacements.
 
 use std::collections::BTreeMap;
 
@@ -10,51 +10,51 @@
 use crate::store_era::StoreEra;
 use crate::suspicion::Cause;
 
-/// A node's suspicion of one group's primary.
+/// A node's published suspicion of one group's primary.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
-    /// The primary.
+    /// The suspected primary.
     pub instance: InstanceName,
-    /// Why it is suspected.
+    /// Why the node suspects it.
     pub cause: Cause,
 }
 
-/// What one node suspects.
+/// The votes of one node, by group.
 pub type NodeVotes = BTreeMap<GroupName, Vote>;
 
-/// The instance of a group that was promoted last.
+/// The most recently promoted instance of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Successor {
     /// The instance.
     pub instance: InstanceName,
-    /// The term that it led, by its own word, if it said so before the replacement was over.
+    /// The term that it leads, if it reported that before the replacement finished.
     pub term: Option<Term>,
 }
 
-/// Who holds the right to act.
+/// The holder of the coordinator lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Coordinator {
     /// The node.
     pub node: NodeName,
-    /// Its fence.
+    /// Its fencing token.
     pub fence: u64,
 }
 
-/// What the store says, as far as this node has heard.
+/// This node's copy of the coordination data in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CoordinationView {
-    /// Era of the store; the holder and the votes are those of this era.
+    /// Era of the store; the coordinator and the votes are those of this era.
     pub era: StoreEra,
-    /// Revision of the store; zero before the first.
+    /// Revision of the store; zero before the first copy was read.
     pub revision: u64,
-    /// Who acts.
+    /// The coordinator, if the coordinator lease is held.
     pub coordinator: Option<Coordinator>,
-    /// Attempts under way, or left unfinished.
+    /// Intents of attempts that are running or were left unfinished.
     pub intents: BTreeMap<GroupName, Intent>,
-    /// What nodes suspect.
+    /// The suspicions that each node has published.
     pub votes: BTreeMap<NodeName, NodeVotes>,
-    /// The instance of each group that was promoted last.
+    /// The most recently promoted instance of each group.
     pub promoted: BTreeMap<GroupName, Successor>,
-    /// Nodes that have entered themselves.
+    /// Nodes that have registered themselves in the store.
     pub nodes: Vec<NodeName>,
 }
--- a/crates/core/src/promotion/electorate.rs
+++ b/crates/core/src/promotion/electorate.rs
@@ -1,23 +1,23 @@
-//! The nodes whose word counts when a primary is suspected.
+//! Decides which nodes count as voters when a primary is suspected.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 use crate::ids::NodeName;
 
-/// Time without a sign of life after which a listed node does not count any more: longer than a
-/// restart or a cut usually lasts, since a node that is cut off must not take itself for most of them.
-const GONE_AFTER: Duration = Duration::from_secs(20);
+/// Time after which a listed node that has not been live no longer counts. Longer than a restart or a network
+/// partition usually lasts, so that an isolated node does not consider itself the majority.
+const LIVENESS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Remembers when each listed node last lived, by this node's own knowledge.
+/// Tracks when this node last saw each listed node live.
 #[derive(Clone, Debug, Default)]
 pub struct Electorate {
-    seen: HashMap<NodeName, Instant>,
+    last_live: HashMap<NodeName, Instant>,
 }
 
 impl Electorate {
-    /// The nodes that count: of those `listed` the ones that live, or did a while ago. A machine that
-    /// was lost for good stays in the list, and would otherwise count for ever.
+    /// The nodes of `listed` that are live or were live recently. A permanently lost machine stays in the
+    /// list and would otherwise count forever.
     pub fn eligible(
         &mut self,
         listed: &[NodeName],
@@ -26,14 +26,14 @@
     ) -> Vec<NodeName> {
         let (listed_names, live): (HashSet<_>, HashSet<_>) =
             (listed.iter().collect(), live.iter().collect());
-        self.seen.retain(|node, _| listed_names.contains(node));
+        self.last_live.retain(|node, _| listed_names.contains(node));
         for node in listed {
-            let seen = self.seen.entry(node.clone()).or_insert(now);
+            let seen = self.last_live.entry(node.clone()).or_insert(now);
             if live.contains(node) {
                 *seen = now;
             }
         }
-        let counts = |node: &&NodeName| now < self.seen[*node] + GONE_AFTER;
+        let counts = |node: &&NodeName| now < self.last_live[*node] + LIVENESS_TIMEOUT;
         listed.iter().filter(counts).cloned().collect()
     }
 }
--- a/crates/core/src/promotion/known_replacements.rs
+++ b/crates/core/src/promotion/known_replacements.rs
@@ -1,7 +1,7 @@
-//! Replacements under way as one node has heard of them: from the store, and from whoever carries them out.
+//! The running replacements that one node knows of, from the store and from the coordinator.
 //!
-//! A node that does not reach the store would go on at the old primary. So whoever replaces a primary tells the
-//! nodes that serve its group besides, again and again until the replacement is over.
+//! A node that cannot reach the store would continue to use the old primary. So the coordinator also notifies
+//! the nodes that serve the group directly, and repeats the notification until the replacement has finished.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,64 +9,68 @@
 use super::{Intent, Reason, ReplacementId, Timing};
 use crate::ids::{GroupName, InstanceName};
 
-/// Time between two messages about a replacement to one node.
+/// Interval between two notifications of a replacement to one node.
 pub const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a replacement counts as under way that its holder told of last and the store does not show: the holder
-/// may be gone.
-const TOLD_FOR: Duration = Duration::from_millis(1_000);
-/// How long an old primary's answers to commits count once its replicas are being stopped: those that were given
-/// before are under way yet. Half of what whoever promotes waits at least before it checks the replicas
-/// for the last time, so that a replica that has forgotten its stop since then lets no commit be acknowledged.
-const ANSWERS_COUNT_FOR: Duration = Duration::from_millis(50);
+/// How long a replacement that the store does not show counts as running after the coordinator's last
+/// notification: the coordinator may have failed.
+const NOTIFICATION_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long acknowledgements of the old primary are still accepted once its replicas are being stopped, since
+/// acknowledgements that it sent before that are still in transit. Half of the shortest time that a
+/// coordinator waits before it checks the replicas for the last time, so that no commit is acknowledged through a
+/// replica that has lost its stop since then.
+const COMMIT_GRACE_PERIOD: Duration = Duration::from_millis(50);
 
-/// What a holder has told of a replacement.
+/// The coordinator's last notification of a replacement.
 #[derive(Clone, Debug)]
-struct Told {
+struct Notification {
     intent: Intent,
+    /// When the node received it.
     at: Instant,
 }
 
-/// Since when a replacement has been under way.
+/// When a replacement began.
 #[derive(Clone, Copy, Debug)]
-struct Begun {
+struct Started {
     id: ReplacementId,
-    /// When its holder knew it to be recorded, after which it begins; where nobody has told that, when it was first
-    /// heard of.
+    /// When the coordinator learned that the intent was recorded, after which it begins. Without a notification,
+    /// when this node first learned of the replacement.
     at: Instant,
-    is_told: bool,
+    /// Whether the time is from a notification of the coordinator.
+    from_coordinator: bool,
 }
 
-/// Replacements that a node has heard of.
+/// The replacements that one node knows of.
 #[derive(Clone, Debug, Default)]
 pub struct KnownReplacements {
     in_store: BTreeMap<GroupName, Intent>,
-    told: BTreeMap<GroupName, Told>,
-    /// When the newest of each group began.
-    began: BTreeMap<GroupName, Begun>,
-    /// The newest of each group that is known to be over.
-    over: BTreeMap<GroupName, ReplacementId>,
+    notified: BTreeMap<GroupName, Notification>,
+    /// When the newest replacement of each group began.
+    started: BTreeMap<GroupName, Started>,
+    /// The newest replacement of each group that is known to have finished.
+    finished: BTreeMap<GroupName, ReplacementId>,
 }
 
 impl KnownReplacements {
-    /// The store shows `intents` now.
+    /// Processes the intents that the store shows now.
     pub fn update_from_store(&mut self, intents: &BTreeMap<GroupName, Intent>, now: Instant) {
-        let gone: Vec<(GroupName, ReplacementId)> = self
+        let removed: Vec<(GroupName, ReplacementId)> = self
             .in_store
             .iter()
             .filter(|(group, known)| intents.get(*group).is_none_or(|intent| intent.id > known.id))
             .map(|(group, known)| (group.clone(), known.id))
             .collect();
-        for (group, id) in gone {
+        for (group, id) in removed {
             self.on_finished(&group, id);
         }
         for (group, intent) in intents {
-            let begun = Begun { id: intent.id, at: now, is_told: false };
-            self.note_begun(group, begun);
+            let started = Started { id: intent.id, at: now, from_coordinator: false };
+            self.record_start(group, started);
         }
         self.in_store.clone_from(intents);
     }
 
-    /// The holder of a replacement says that it is under way, and has known it to be recorded for `age`.
+    /// The coordinator notifies this node that a replacement is running, and that it learned `age` ago that the
+    /// intent was recorded.
     pub fn on_notification(
         &mut self,
         group: &GroupName,
@@ -74,48 +78,51 @@
         age: Duration,
         now: Instant,
     ) {
-        let is_over = self.over.get(group).is_some_and(|over| intent.id <= *over);
-        let is_old = self.told.get(group).is_some_and(|told| intent.id < told.intent.id);
-        if is_over || is_old {
+        let has_finished = self.finished.get(group).is_some_and(|over| intent.id <= *over);
+        let is_outdated =
+            self.notified.get(group).is_some_and(|notification| intent.id < notification.intent.id);
+        if has_finished || is_outdated {
             return;
         }
         let at = now.checked_sub(age).unwrap_or(now);
-        self.note_begun(group, Begun { id: intent.id, at, is_told: true });
-        self.told.insert(group.clone(), Told { intent, at: now });
+        self.record_start(group, Started { id: intent.id, at, from_coordinator: true });
+        self.notified.insert(group.clone(), Notification { intent, at: now });
     }
 
-    /// A replacement is over, and so are earlier ones of its group.
+    /// A replacement has finished, and so have the earlier ones of its group.
     pub fn on_finished(&mut self, group: &GroupName, id: ReplacementId) {
-        let newest = self.over.entry(group.clone()).or_insert(id);
+        let newest = self.finished.entry(group.clone()).or_insert(id);
         *newest = id.max(*newest);
         let newest = *newest;
-        self.told.retain(|name, told| name != group || told.intent.id > newest);
+        self.notified.retain(|name, notification| name != group || notification.intent.id > newest);
     }
 
-    /// Drops what a holder has not told again for a while; whether there was any.
+    /// Drops replacements of which the coordinator has sent no notification within [`NOTIFICATION_TIMEOUT`].
+    /// Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let before = self.told.len();
-        self.told.retain(|_, told| now < told.at + TOLD_FOR);
-        self.told.len() < before
+        let before = self.notified.len();
+        self.notified.retain(|_, notification| now < notification.at + NOTIFICATION_TIMEOUT);
+        self.notified.len() < before
     }
 
-    /// Those under way, also those that have been called off.
+    /// The intents of all running replacements, including cancelled ones.
     pub fn intents(&self) -> BTreeMap<GroupName, Intent> {
         let mut intents = self.in_store.clone();
-        for (group, told) in &self.told {
-            let is_newer = |shown: &Intent| told.intent.id > shown.id;
+        for (group, notification) in &self.notified {
+            let is_newer = |shown: &Intent| notification.intent.id > shown.id;
             if intents.get(group).is_none_or(is_newer) {
-                intents.insert(group.clone(), told.intent.clone());
+                intents.insert(group.clone(), notification.intent.clone());
             }
         }
         intents
     }
 
-    /// Whether a commit counts that `instance` answered: not if it is being replaced, and has been for so long that
-    /// somebody else may have been chosen without that commit.
+    /// Whether a commit that `instance` acknowledged at `now` is accepted. It is rejected if the instance has been
+    /// under replacement for so long that another instance without that commit may have been chosen.
     pub fn accepts_commit(&self, group: &GroupName, instance: &InstanceName, now: Instant) -> bool {
-        let told = self.told.get(group).map(|told| &told.intent);
-        let newest = self.in_store.get(group).into_iter().chain(told).max_by_key(|one| one.id);
+        let notification = self.notified.get(group).map(|notification| &notification.intent);
+        let newest =
+            self.in_store.get(group).into_iter().chain(notification).max_by_key(|intent| intent.id);
         let Some(intent) = newest.filter(|intent| !intent.called_off) else { return true };
         if intent.former.as_ref() != Some(instance) {
             return true;
@@ -124,21 +131,21 @@
             Reason::Leaving => Timing::default().drain_time,
             Reason::Suspected | Reason::Missing | Reason::Unfinished => Duration::ZERO,
         };
-        let begun = self.began.get(group).filter(|begun| begun.id == intent.id);
-        begun.is_none_or(|begun| now <= begun.at + drain + ANSWERS_COUNT_FOR)
+        let started = self.started.get(group).filter(|started| started.id == intent.id);
+        started.is_none_or(|started| now <= started.at + drain + COMMIT_GRACE_PERIOD)
     }
 
-    /// What the holder tells counts rather than when the node heard of it; of several messages the one that took
-    /// least.
-    fn note_begun(&mut self, group: &GroupName, begun: Begun) {
-        let known = self.began.entry(group.clone()).or_insert(begun);
-        let is_better = match (known.is_told, begun.is_told) {
+    /// Records when a replacement began. A time from the coordinator takes precedence over the time at which this
+    /// node learned of it. Of several notifications the earliest time counts, from the one with the lowest latency.
+    fn record_start(&mut self, group: &GroupName, started: Started) {
+        let known = self.started.entry(group.clone()).or_insert(started);
+        let is_better = match (known.from_coordinator, started.from_coordinator) {
             (false, true) => true,
             (true, false) => false,
-            _ => begun.at < known.at,
+            _ => started.at < known.at,
         };
-        if known.id < begun.id || (known.id == begun.id && is_better) {
-            *known = begun;
+        if known.id < started.id || (known.id == started.id && is_better) {
+            *known = started;
         }
     }
 }
--- a/crates/core/src/promotion/members.rs
+++ b/crates/core/src/promotion/members.rs
@@ -1,37 +1,36 @@
-//! The instances that an attempt deals with.
+//! The instances that an attempt works with.
 
 use crate::ids::InstanceName;
 use crate::incarnation::InstanceIncarnation;
 
-/// One instance that may hold answered commits.
+/// One instance that may have acknowledged commits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// The instance.
     pub name: InstanceName,
-    /// Whether it is being taken out of use, or its zone is.
+    /// Whether the instance or its zone is being taken out of use.
     pub leaving: bool,
-    /// Whether it was leaving when its entry went: it has ended, or it is cut off from the store and goes on,
-    /// receives commits and lets the primary answer them.
+    /// Whether it was leaving when its entry disappeared. It has either terminated, or is cut off from the
+    /// store and still receives commits, so that the primary can acknowledge them.
     pub has_left: bool,
-    /// Whether it says that it is the primary.
+    /// Whether it reports that it is the primary.
     pub leads: bool,
-    /// Whether another member is told at its address: one of the two has ended.
+    /// Whether another member is registered at the same address: one of the two has terminated.
     pub shares_address: bool,
-    /// Which start of its process is told.
+    /// Incarnation of its process, if the platform reports it.
     pub incarnation: Option<InstanceIncarnation>,
-    /// Whether it has started again: what it held before is gone, and it may not have received all of that
-    /// again.
+    /// Whether it was restarted, which loses its log, and may not have received the lost part again.
     pub is_refilling: bool,
 }
 
-/// The instances of a group as the platform tells them.
+/// The instances of a group as the platform reports them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members {
-    /// All of them, the old primary among them if it is still told.
+    /// All instances, including the old primary if it is still reported.
     pub all: Vec<Member>,
-    /// Replicas that must have received a commit before the primary answers it.
+    /// Number of replicas that must have received a commit before the primary acknowledges it.
     pub synchronous: u32,
-    /// Whether this node has watched them for long enough to know which of them have started again.
+    /// Whether this node has observed them for long enough to know which of them were restarted.
     pub knows_restarts: bool,
 }
 
@@ -44,15 +43,16 @@
     /// Every member but the old primary.
     pub fn replicas<'a>(
         &'a self,
-        former: Option<&'a InstanceName>,
+        old_primary: Option<&'a InstanceName>,
     ) -> impl Iterator<Item = &'a Member> {
-        self.all.iter().filter(move |member| former != Some(&member.name))
+        self.all.iter().filter(move |member| old_primary != Some(&member.name))
     }
 
-    /// How many instances must be stopped in a group of `replicas` replicas and a primary, so that it can
-    /// answer no further commit and one of those stopped holds every commit that was answered. A commit was
-    /// held by the primary and `synchronous` replicas when it was answered; it does not matter which instances
-    /// are stopped, the primary once it follows among them, if only they still have their logs.
+    /// How many instances must be stopped in a group of `replicas` replicas and a primary, so that the primary
+    /// cannot acknowledge another commit and at least one stopped instance has every acknowledged commit. A
+    /// commit is on the primary and on `synchronous` replicas when it is acknowledged. It does not matter
+    /// which instances are stopped, as long as they still have their logs; the old primary counts as well
+    /// once it is a replica.
     pub fn required_stops(&self, replicas: usize) -> usize {
         let spare = (self.synchronous as usize).saturating_sub(1);
         replicas.saturating_sub(spare).max(1)
--- a/crates/core/src/promotion/mod.rs
+++ b/crates/core/src/promotion/mod.rs
@@ -1,25 +1,28 @@
-//! Replacing a group's primary where the group does not elect by itself.
+//! Replaces the primary of a group that does not elect its primary itself.
 //!
-//! One node acts at a time: the holder of a lease in the store. Its attempt on one group is the
-//! state machine [`Attempt`]; it takes events and gives commands, and knows neither sockets nor
-//! clocks. Its steps:
+//! Only the coordinator, the node that holds the coordinator lease in the store, replaces primaries. Its
+//! attempt on one group is the state machine [`Attempt`], which consumes events and emits commands and
+//! uses neither sockets nor clocks. Its steps:
 //!
-//! 1. *Record*: the intent goes into the store, so that the next holder finds what a dead one began,
-//!    and nodes hold new writes back.
-//! 2. *Drain* (planned replacements only): what is under way gets time to end.
-//! 3. *Stop*: replicas are told to receive nothing below a new term, until so many have been stopped
-//!    that the primary can answer no further commit and one of them holds every commit answered
-//!    so far: all but `synchronous - 1` of them.
-//! 4. *Lapse*: evidence of the old primary lapses (`primary_evidence`), unless the old primary
-//!    refuses connections, so that nobody can read there, or every node has given its evidence up. The
-//!    record says meanwhile that a promotion may be sent.
-//! 5. *Check*: the replicas say once more that they are stopped; one that was restarted is not. The store
-//!    says which of them have started again, and so have lost what they held: this node's copy may be old.
-//! 6. *Promote*: the one with the highest position, again and again until the platform says so.
-//! 7. *Settle*: the old primary is demoted, then the other replicas released, the record taken back.
+//! 1. *Record*: write the intent to the store, so that the next coordinator finds an attempt that its
+//!    predecessor began, and nodes delay new writes.
+//! 2. *Drain* (planned replacements only): give open work time to finish.
+//! 3. *Stop*: make replicas reject replication below a new term, until so many are stopped that the
+//!    primary cannot acknowledge another commit and at least one stopped replica has every commit
+//!    acknowledged so far: all but `synchronous - 1` of them.
+//! 4. *Lapse*: wait until evidence of the old primary has expired (`primary_evidence`). The wait is skipped
+//!    if the old primary refuses connections, so that no client can read there, and shortened if every node has
+//!    revoked its evidence. Meanwhile the recorded intent says that a promotion may be sent.
+//! 5. *Check*: the replicas confirm again that they are stopped, since a restarted replica is not. The
+//!    store tells which of them were restarted, and so have lost their logs, because this node's copy
+//!    of the store may be stale.
+//! 6. *Promote*: have the platform promote the replica with the highest position, and repeat the request
+//!    until the platform shows a new primary.
+//! 7. *Settle*: demote the old primary, then release the other replicas, then remove the record.
 //!
-//! Before the promotion is sent the attempt can be called off; after that it goes on to the end, by the next
-//! holder if need be: somebody may have led, so that the old primary must not go on.
+//! An attempt can be cancelled until the promotion is sent. From then on it has to be completed, by the
+//! next coordinator if necessary: another instance may have been primary, so the old primary must not
+//! continue.
 
 mod attempt;
 mod coordination;
@@ -58,74 +61,74 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// It is leaving as planned, and works until then.
+    /// Planned: the primary, or its zone, is being taken out of use. The primary works until then.
     Leaving,
-    /// Nodes suspect it.
+    /// Enough nodes suspect the primary.
     Suspected,
-    /// No instance says that it is one.
+    /// No instance reports that it is the primary.
     Missing,
-    /// An earlier holder has begun and not finished.
+    /// An earlier coordinator began a replacement and did not finish it.
     Unfinished,
 }
 
-/// Names one replacement; rises with each of a group.
+/// Identifies one replacement. Ids of a group's replacements increase.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ReplacementId {
-    /// Number of the holder's right to act; rises with each holder.
+    /// The coordinator's fencing token, which increases with each coordinator.
     pub fence: u64,
-    /// Number of the attempt under that.
+    /// Number of the attempt under that fencing token.
     pub attempt: u32,
 }
 
-/// What the store keeps of an attempt while it is under way.
+/// The record of an attempt in the store, kept until the attempt has finished.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// Node that acts.
+    /// The coordinator that carries out the attempt.
     pub holder: NodeName,
     /// Which replacement this is.
     pub id: ReplacementId,
-    /// Why.
+    /// Why the primary is replaced.
     pub reason: Reason,
-    /// The primary that is replaced, if one is known.
+    /// The old primary, if it is known.
     pub former: Option<InstanceName>,
-    /// Whether nobody will be promoted any more: work goes on as if there was no attempt, and
-    /// whoever acts only releases the replicas that were stopped.
+    /// Whether the attempt has been cancelled: no instance will be promoted, nodes continue as if there were
+    /// no attempt, and the coordinator only releases the stopped replicas.
     #[serde(default)]
     pub called_off: bool,
-    /// Whether a promotion may have been sent, by this holder or an earlier one: then somebody has to be
-    /// promoted, since the old primary is not the only one that has led.
+    /// Whether this coordinator or an earlier one may have sent a promotion. An instance then has to be
+    /// promoted, since the old primary may not be the only instance that has been primary.
     #[serde(default)]
     pub promoting: bool,
 }
 
-/// The attempts that nodes heed: those that have not been called off.
+/// The active intents: those of attempts that have not been cancelled.
 pub fn active_intents(intents: &BTreeMap<GroupName, Intent>) -> BTreeMap<GroupName, Intent> {
     let heeded = intents.iter().filter(|(_, intent)| !intent.called_off);
     heeded.map(|(group, intent)| (group.clone(), intent.clone())).collect()
 }
 
-/// What an instance says of itself when it is asked, stopped or demoted.
+/// What an instance reports of itself when it is queried, stopped or demoted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicationStatus {
     /// Its role.
     pub role: Role,
-    /// Term that it follows or leads.
+    /// Term that it follows, or leads as the primary.
     pub term: Term,
-    /// Position that it has received.
+    /// Position up to which it has received the log.
     pub received: Position,
-    /// Term below which it receives nothing, if it has been stopped.
+    /// Lowest term from which it accepts replication, if it has been stopped.
     pub min_term: Term,
 }
 
 /// What the platform answered to a promotion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromotionAnswer {
-    /// The instance takes over, or has.
+    /// The instance is being promoted, or has been.
     Accepted,
-    /// The instance does not run.
+    /// The instance does not run, so it has not been promoted.
     NotRunning,
-    /// No answer, or one that leaves it open: it may take over.
+    /// No answer, or an inconclusive one: the instance may be promoted.
     Unknown,
 }
--- a/crates/core/src/promotion/needs.rs
+++ b/crates/core/src/promotion/needs.rs
@@ -1,7 +1,8 @@
-//! Which primaries are to be replaced now, by what all nodes say.
+//! Decides which primaries have to be replaced now, from the catalog, the votes of all nodes and the recorded
+//! intents.
 //!
-//! Groups whose primary is there, does not leave and is suspected by nobody need nothing, whatever the time:
-//! they are looked at when the catalog changes, the others at each look.
+//! A group whose primary is present, is not leaving and is not suspected needs no replacement, however much time
+//! passes. Such groups are evaluated only when the catalog changes, the others each time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -12,91 +13,96 @@
 use crate::routing::Role;
 use crate::suspicion::Votes;
 
-/// Time without a primary, where one was seen before, after which one is promoted.
-const MISSING_FOR: Duration = Duration::from_millis(300);
-/// The same where none was ever seen: instances may still be entering themselves.
-const NEVER_SEEN_FOR: Duration = Duration::from_secs(2);
-/// Time after an attempt that was called off before the next one.
-const PAUSE: Duration = Duration::from_secs(1);
+/// How long a group has to be without a primary, after one was seen, before a replica is promoted.
+const MISSING_DELAY: Duration = Duration::from_millis(300);
+/// The same if no primary was ever seen: instances may still be registering themselves.
+const NEVER_SEEN_DELAY: Duration = Duration::from_secs(2);
+/// Delay between a cancelled attempt and the next one.
+const CANCELLATION_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A primary that is to be replaced.
+/// A primary that has to be replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Need {
-    /// Why.
+    /// Why the primary has to be replaced.
     pub reason: Reason,
-    /// The primary, if one is known.
+    /// The primary to be replaced, if it is known.
     pub old_primary: Option<InstanceName>,
-    /// Whether the reason still holds; an attempt that was left unfinished is finished in any case.
+    /// Whether there is still a reason for a replacement. An unfinished attempt is completed in any case.
     pub is_current: bool,
-    /// Whether an attempt has been begun: replicas may be stopped.
+    /// Whether an attempt was begun earlier, so that replicas may be stopped.
     pub has_begun: bool,
-    /// Whether a promotion may have been sent by whoever began it.
+    /// Whether the coordinator of the earlier attempt may have sent a promotion.
     pub may_have_promoted: bool,
-    /// Whether the last primary is one of the instances that are told, as a replica by now.
+    /// Whether the last primary is still reported by the platform and is a replica now.
     pub last_primary_is_replica: bool,
 }
 
 impl Need {
-    /// Whether it calls for somebody to act, rather than for whoever acts to go on.
+    /// Whether a node has to become the coordinator for this need. Otherwise it only concerns a coordinator that
+    /// already runs an attempt on the group.
     pub fn needs_coordinator(&self) -> bool {
         self.is_current || self.may_have_promoted || self.reason == Reason::Unfinished
     }
 }
 
-/// What is remembered of one group.
+/// What the evaluator remembers of one group.
 #[derive(Clone, Debug, Default)]
 struct History {
-    /// The primary that was last told.
+    /// The last known primary.
     primary: Option<InstanceName>,
     missing_since: Option<Instant>,
-    third_since: Option<Instant>,
-    paused_until: Option<Instant>,
+    at_least_third_since: Option<Instant>,
+    retry_not_before: Option<Instant>,
 }
 
 impl History {
-    /// The last primary, if it is not there any more: it may still run. One that is told as a replica
-    /// has stepped down.
+    /// The last primary, if the group no longer lists it: it may still run. A last primary that is listed as a
+    /// replica has stepped down.
     fn vanished(&self, group: &Group) -> Option<InstanceName> {
         self.primary.clone().filter(|primary| group.instance(primary).is_none())
     }
 }
 
-/// Judges all groups.
+/// Evaluates which groups need a replacement of their primary.
 #[derive(Clone, Debug, Default)]
 pub struct NeedsEvaluator {
     groups: HashMap<GroupName, History>,
-    /// Groups of the catalog that need something, or may once time has passed.
+    /// Groups of the catalog that need a replacement, or may need one once time has passed.
     unsettled: BTreeSet<GroupName>,
-    judged: u64,
+    evaluation_count: u64,
 }
 
-/// What needs are judged by.
+/// The input of [`NeedsEvaluator::evaluate`].
 #[derive(Clone, Copy, Debug)]
 pub struct NeedsInput<'a> {
-    /// The configuration.
+    /// The active catalog.
     pub catalog: &'a IndexedCatalog,
-    /// What the store says.
+    /// This node's copy of the coordination data in the store.
     pub view: &'a CoordinationView,
-    /// This node and what it suspects, which the store may not say yet.
+    /// This node and its votes, which the store may not show yet.
     pub own: (&'a NodeName, &'a NodeVotes),
-    /// Nodes that live.
+    /// The live nodes.
     pub live: &'a [NodeName],
-    /// Nodes that the machine list names; none before it was read. A node that knows of few others,
-    /// because it has just started or is cut off, must not take itself for most of them.
+    /// The nodes in the machine list; empty until the list was read. A node that knows few other nodes, because it
+    /// has just started or is isolated, must not consider itself the majority.
     pub listed: &'a [NodeName],
-    /// The time.
+    /// The current time.
     pub now: Instant,
 }
 
 impl NeedsEvaluator {
-    /// Takes in a catalog that has come into force. To be called before the judgement goes by it.
+    /// Processes a newly activated catalog. Has to be called before [`Self::evaluate`] uses that catalog.
     pub fn apply_catalog(&mut self, catalog: &IndexedCatalog) {
-        let led = catalog.groups.iter().filter(|(_, group)| group.elector == Elector::Proxy);
+        let proxy_elected =
+            catalog.groups.iter().filter(|(_, group)| group.elector == Elector::Proxy);
         self.unsettled.clear();
-        for (name, group) in led {
+        for (name, group) in proxy_elected {
             let history = self.groups.entry(name.clone()).or_default();
-            match group.leader(None).filter(|primary| !is_to_go(primary, group, catalog)) {
-                Some(primary) if history.third_since.is_none() => {
+            match group
+                .leader(None)
+                .filter(|primary| !needs_planned_replacement(primary, group, catalog))
+            {
+                Some(primary) if history.at_least_third_since.is_none() => {
                     history.primary = Some(primary.name.clone());
                     history.missing_since = None;
                 }
@@ -106,18 +112,18 @@
         self.groups.retain(|name, _| catalog.groups.contains_key(name));
     }
 
-    /// Needs by group.
-    pub fn evaluate(&mut self, evidence: &NeedsInput) -> BTreeMap<GroupName, Need> {
+    /// The groups whose primaries have to be replaced now.
+    pub fn evaluate(&mut self, input: &NeedsInput) -> BTreeMap<GroupName, Need> {
         let mut needs = BTreeMap::new();
-        for name in self.in_question(evidence) {
-            let Some(group) = evidence.catalog.groups.get(&name) else { continue };
+        for name in self.groups_to_evaluate(input) {
+            let Some(group) = input.catalog.groups.get(&name) else { continue };
             if group.elector != Elector::Proxy {
                 continue;
             }
-            self.judged += 1;
+            self.evaluation_count += 1;
             let history = self.groups.entry(name.clone()).or_default();
-            let need = need_of(&name, group, history, evidence);
-            if history.third_since.is_some() {
+            let need = need_of(&name, group, history, input);
+            if history.at_least_third_since.is_some() {
                 self.unsettled.insert(name.clone());
             }
             needs.extend(need.map(|need| (name, need)));
@@ -125,28 +131,29 @@
         needs
     }
 
-    /// The groups that may need something.
-    fn in_question(&self, evidence: &NeedsInput) -> BTreeSet<GroupName> {
-        let others = evidence.view.votes.values();
-        let voted = others.chain([evidence.own.1]).flat_map(|votes| votes.keys());
-        let replaced = evidence.view.intents.keys();
+    /// The groups that may need a replacement.
+    fn groups_to_evaluate(&self, input: &NeedsInput) -> BTreeSet<GroupName> {
+        let others = input.view.votes.values();
+        let voted = others.chain([input.own.1]).flat_map(|votes| votes.keys());
+        let replaced = input.view.intents.keys();
         self.unsettled.iter().chain(voted).chain(replaced).cloned().collect()
     }
 
-    /// How many judgements of single groups have been made so far.
+    /// How often single groups have been evaluated so far.
     pub fn evaluation_count(&self) -> u64 {
-        self.judged
+        self.evaluation_count
     }
 
-    /// An attempt was called off: the next one waits a while.
+    /// An attempt was cancelled: the next one is delayed.
     pub fn on_cancelled(&mut self, group: &GroupName, now: Instant) {
-        self.groups.entry(group.clone()).or_default().paused_until = Some(now + PAUSE);
+        self.groups.entry(group.clone()).or_default().retry_not_before =
+            Some(now + CANCELLATION_RETRY_DELAY);
     }
 }
 
-/// Whether a primary is to be replaced as planned: it is leaving, or its zone is drained and an instance
-/// elsewhere can lead.
-fn is_to_go(primary: &Instance, group: &Group, catalog: &IndexedCatalog) -> bool {
+/// Whether a primary needs a planned replacement: it is leaving, or its zone is drained and an instance in
+/// another zone can be primary.
+fn needs_planned_replacement(primary: &Instance, group: &Group, catalog: &IndexedCatalog) -> bool {
     let may_lead = |instance: &Instance| catalog.takes_work(instance);
     primary.leaving || (!may_lead(primary) && group.instances.iter().any(may_lead))
 }
@@ -155,22 +162,22 @@
     name: &GroupName,
     group: &Group,
     history: &mut History,
-    evidence: &NeedsInput,
+    input: &NeedsInput,
 ) -> Option<Need> {
-    let now = evidence.now;
-    let current = current_need(name, group, history, evidence);
-    let is_paused = history.paused_until.is_some_and(|until| now < until);
-    match (evidence.view.intents.get(name), current) {
-        // Whoever began this is gone, or it is this node: what was begun is brought to an end.
+    let now = input.now;
+    let current = current_need(name, group, history, input);
+    let is_delayed = history.retry_not_before.is_some_and(|until| now < until);
+    match (input.view.intents.get(name), current) {
+        // The attempt was begun by this node, or by a coordinator that has failed: it has to be completed.
         (Some(intent), current) => Some(Need {
             reason: current.as_ref().map_or(Reason::Unfinished, |need| need.reason),
             old_primary: intent.former.clone(),
             is_current: current.is_some(),
             has_begun: true,
             may_have_promoted: intent.promoting,
-            last_primary_is_replica: last_primary_follows(group, history),
+            last_primary_is_replica: last_primary_is_replica(group, history),
         }),
-        (None, Some(_)) if is_paused => None,
+        (None, Some(_)) if is_delayed => None,
         (None, current) => current,
     }
 }
@@ -179,47 +186,47 @@
     name: &GroupName,
     group: &Group,
     history: &mut History,
-    evidence: &NeedsInput,
+    input: &NeedsInput,
 ) -> Option<Need> {
-    let now = evidence.now;
-    let last_primary_follows = last_primary_follows(group, history);
-    let need = |reason, former| {
-        let (wanted, begun, promoting) = (true, false, false);
+    let now = input.now;
+    let last_primary_is_replica = last_primary_is_replica(group, history);
+    let need = |reason, old_primary| {
+        let (is_current, has_begun, may_have_promoted) = (true, false, false);
         Some(Need {
             reason,
-            old_primary: former,
-            is_current: wanted,
-            has_begun: begun,
-            may_have_promoted: promoting,
-            last_primary_is_replica: last_primary_follows,
+            old_primary,
+            is_current,
+            has_begun,
+            may_have_promoted,
+            last_primary_is_replica,
         })
     };
-    let intent = evidence.view.intents.get(name);
-    let former = intent.and_then(|intent| intent.former.as_ref());
-    let Some(primary) = group.leader(former) else {
+    let intent = input.view.intents.get(name);
+    let old_primary = intent.and_then(|intent| intent.former.as_ref());
+    let Some(primary) = group.leader(old_primary) else {
         let since = *history.missing_since.get_or_insert(now);
-        let limit = if history.primary.is_some() { MISSING_FOR } else { NEVER_SEEN_FOR };
-        let missing = !group.instances.is_empty() && now >= since + limit;
-        return if missing { need(Reason::Missing, history.vanished(group)) } else { None };
+        let limit = if history.primary.is_some() { MISSING_DELAY } else { NEVER_SEEN_DELAY };
+        let is_missing = !group.instances.is_empty() && now >= since + limit;
+        return if is_missing { need(Reason::Missing, history.vanished(group)) } else { None };
     };
     history.primary = Some(primary.name.clone());
     history.missing_since = None;
-    if is_to_go(primary, group, evidence.catalog) {
+    if needs_planned_replacement(primary, group, input.catalog) {
         return need(Reason::Leaving, Some(primary.name.clone()));
     }
-    let votes = votes_against(name, group, &primary.name, history, evidence);
+    let votes = votes_against(name, group, &primary.name, history, input);
     match votes.are_sufficient(now) {
         true => need(Reason::Suspected, Some(primary.name.clone())),
         false => None,
     }
 }
 
-/// Whether the instance that led last, as far as this node knows, is told as a replica: it has stepped down, and
-/// holds what it has answered.
-fn last_primary_follows(group: &Group, history: &History) -> bool {
+/// Whether the platform reports the last primary that this node knows as a replica. It has then stepped down, and
+/// has every commit that it acknowledged.
+fn last_primary_is_replica(group: &Group, history: &History) -> bool {
     let last = history.primary.as_ref().or(group.promoted.as_ref());
-    let told = last.and_then(|last| group.instance(last));
-    told.is_some_and(|told| told.announced_role == Some(Role::Replica))
+    let instance = last.and_then(|last| group.instance(last));
+    instance.is_some_and(|instance| instance.announced_role == Some(Role::Replica))
 }
 
 fn votes_against(
@@ -227,23 +234,23 @@
     group: &Group,
     primary: &InstanceName,
     history: &mut History,
-    evidence: &NeedsInput,
+    input: &NeedsInput,
 ) -> Votes {
-    let (own, own_votes) = evidence.own;
+    let (own, own_votes) = input.own;
     let against = |votes: &NodeVotes| votes.get(name).is_some_and(|vote| vote.instance == *primary);
-    // Few nodes vote, and many live: the votes are gone through.
-    let others = evidence.view.votes.iter().filter(|(node, votes)| *node != own && against(votes));
-    let suspecting = others.filter(|(node, _)| evidence.live.contains(*node)).count()
+    // Few nodes vote and many are live, so this iterates over the votes.
+    let others = input.view.votes.iter().filter(|(node, votes)| *node != own && against(votes));
+    let suspecting = others.filter(|(node, _)| input.live.contains(*node)).count()
         + usize::from(against(own_votes));
-    // Only owners send the primary anything, so only they can suspect it.
-    let nodes = evidence.live.len().max(evidence.listed.len());
+    // Only owners send exchanges to the primary, so only they can suspect it.
+    let nodes = input.live.len().max(input.listed.len());
     let voters = group.owner_count(nodes);
-    if evidence.listed.is_empty() {
+    if input.listed.is_empty() {
         return Votes::default();
     }
-    history.third_since = match Votes::reaches_third(suspecting, voters) {
-        true => history.third_since.or(Some(evidence.now)),
+    history.at_least_third_since = match Votes::reaches_third(suspecting, voters) {
+        true => history.at_least_third_since.or(Some(input.now)),
         false => None,
     };
-    Votes { suspecting, voters, at_least_third_since: history.third_since }
+    Votes { suspecting, voters, at_least_third_since: history.at_least_third_since }
 }
--- a/crates/core/src/promotion/refill.rs
+++ b/crates/core/src/promotion/refill.rs
@@ -1,9 +1,10 @@
-//! An instance that has started again, and when it holds everything again.
+//! Decides when a restarted instance has every acknowledged commit again.
 //!
-//! It lost what it had received, so a commit that it had let the primary answer may stand at the primary alone.
-//! Whatever was answered by then the primary holds: once the instance has received as much as the primary had at
-//! any time after the start, it holds that too. How long it has run says nothing: it may receive nothing, or
-//! there may be no primary to receive from.
+//! A restart loses the log that the instance had received, so a commit that the primary acknowledged because
+//! this instance had received it may now exist on the primary only. The primary has every commit that was
+//! acknowledged before the restart. So once the instance has received the log up to a position that the primary
+//! reported after the restart, it has all of those commits as well. The time since the restart proves nothing:
+//! the instance may receive nothing, or there may be no primary to receive from.
 
 use std::time::Instant;
 
@@ -11,38 +12,39 @@
 use crate::position::{Position, Term};
 use crate::routing::Role;
 
-/// What an instance that has lost its log has to receive.
+/// What a restarted instance has to receive.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Refill {
-    /// When its start was first seen.
-    seen: Instant,
-    /// What the primary had received after that, and the term that it led.
+    /// When the restart was first seen.
+    restart_seen: Instant,
+    /// Term and position that the primary reported after that.
     primary: Option<(Term, Position)>,
 }
 
 impl Refill {
-    /// Its start has been seen.
-    pub fn since(seen: Instant) -> Self {
-        Self { seen, primary: None }
+    /// Begins at the moment when the restart was seen.
+    pub fn since(restart_seen: Instant) -> Self {
+        Self { restart_seen, primary: None }
     }
 
-    /// The primary was asked at `asked` how it stands. The first answer will do; one of a newer term replaces
-    /// it, since commits of that term may have been answered before the start.
-    pub fn on_primary(&mut self, standing: &ReplicationStatus, asked: Instant) {
-        let is_newer = self.primary.is_none_or(|(term, _)| standing.term > term);
-        if standing.role == Role::Primary && asked >= self.seen && is_newer {
-            self.primary = Some((standing.term, standing.received));
+    /// Processes a status that was requested at `asked` from another instance of the group. The first status
+    /// of a primary after the restart suffices. A status of a newer term replaces it, since commits of that
+    /// term may have been acknowledged before the restart.
+    pub fn on_primary(&mut self, status: &ReplicationStatus, asked: Instant) {
+        let is_newer = self.primary.is_none_or(|(term, _)| status.term > term);
+        if status.role == Role::Primary && asked >= self.restart_seen && is_newer {
+            self.primary = Some((status.term, status.received));
         }
     }
 
-    /// Whether the instance, by its own word, has received all of that from that primary.
-    pub fn is_complete(&self, standing: &ReplicationStatus, asked: Instant) -> bool {
+    /// Whether the instance reports that it has received everything from that primary.
+    pub fn is_complete(&self, status: &ReplicationStatus, asked: Instant) -> bool {
         let order = |position: Position| (position.term, position.offset);
         let has_received = |(term, received): (Term, Position)| {
-            standing.term == term && order(standing.received) >= order(received)
+            status.term == term && order(status.received) >= order(received)
         };
-        standing.role == Role::Replica
-            && asked >= self.seen
+        status.role == Role::Replica
+            && asked >= self.restart_seen
             && self.primary.is_some_and(has_received)
     }
 }
--- a/crates/core/src/promotion/restart_reports.rs
+++ b/crates/core/src/promotion/restart_reports.rs
@@ -1,9 +1,10 @@
-//! What nodes know of a group that tells whether an instance that has started again holds everything.
+//! Reports of the nodes that show whether a restarted instance has every acknowledged commit again.
 //!
-//! Each node says so, with its word that it has given its evidence up, to whoever replaces the primary. Two
-//! things show that such an instance is whole: a node has seen it receive everything ([`super::refill`]); or all
-//! nodes have seen the start, and it has received as much as the primary has told any of them, since none of them
-//! has passed on a commit beyond that.
+//! A restarted instance has lost its log. Each node sends its report to the coordinator together with the
+//! confirmation that it has revoked its evidence. Two observations show that the instance is complete again:
+//! a node has seen it receive everything ([`super::refill`]); or all nodes have seen the restart, and the instance
+//! has received the log up to the highest position that the primary reported to any of them, since no node has
+//! acknowledged a commit beyond that position to a client.
 
 use std::collections::BTreeMap;
 
@@ -13,38 +14,38 @@
 use crate::incarnation::InstanceIncarnation;
 use crate::position::{LogOffset, Position, Term};
 
-/// An instance that a node has seen start again.
+/// A restart of an instance that a node has observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservedRestart {
     /// The instance.
     pub instance: InstanceName,
-    /// The start of its process.
+    /// Incarnation of the process that the restart began.
     #[serde(rename = "start")]
     pub incarnation: InstanceIncarnation,
 }
 
-/// What one node knows.
+/// What one node knows about restarts in a group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RestartReport {
-    /// Instances that have started again while it watched; none before it has watched for a while.
+    /// Restarts that it has observed; empty until it has observed the group for long enough.
     pub started_again: Vec<ObservedRestart>,
-    /// Those that it has seen receive everything since.
+    /// Restarts after which it has seen the instance receive everything again.
     pub refilled: Vec<ObservedRestart>,
-    /// The highest position that the group's primary has told it.
+    /// The highest position that the group's primary has reported to it.
     #[serde(rename = "heard")]
     pub primary_position: Option<Position>,
 }
 
-/// What all nodes together have heard of the primary.
+/// The reports of all nodes combined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CombinedReport {
-    /// Starts that each of them has seen.
+    /// Restarts that every node has observed.
     pub started_again: Vec<ObservedRestart>,
-    /// The highest position that the primary has told any of them.
+    /// The highest position that the primary has reported to any node.
     pub highest_position: Position,
 }
 
-/// What nodes have said about one replacement.
+/// The reports that nodes have sent for one replacement.
 #[derive(Clone, Debug, Default)]
 pub struct RestartReports {
     by_node: BTreeMap<NodeName, RestartReport>,
@@ -55,20 +56,20 @@
 }
 
 impl RestartReports {
-    /// A node has said what it knows.
-    pub fn add(&mut self, node: &NodeName, witness: RestartReport) {
-        self.by_node.insert(node.clone(), witness);
+    /// Adds the report of a node, in place of its previous one.
+    pub fn add(&mut self, node: &NodeName, report: RestartReport) {
+        self.by_node.insert(node.clone(), report);
     }
 
-    /// Whether all of `nodes` have spoken.
+    /// Whether all of `nodes` have sent a report.
     pub fn includes_all(&self, nodes: &[NodeName]) -> bool {
         nodes.iter().all(|node| self.by_node.contains_key(node))
     }
 
-    /// Starts since which an instance has received everything, as some node has seen it.
+    /// Restarts after which at least one node has seen the instance receive everything again.
     pub fn refilled(&self) -> Vec<ObservedRestart> {
         let mut starts: Vec<ObservedRestart> = Vec::new();
-        for start in self.by_node.values().flat_map(|witness| &witness.refilled) {
+        for start in self.by_node.values().flat_map(|report| &report.refilled) {
             if !starts.contains(start) {
                 starts.push(start.clone());
             }
@@ -76,16 +77,17 @@
         starts
     }
 
-    /// What all of `nodes` have heard, if all of them have spoken and one at least has heard the primary.
+    /// The combined report of all `nodes`; `None` unless all of them have sent a report and at least one of them
+    /// knows a position of the primary.
     pub fn combined(&self, nodes: &[NodeName]) -> Option<CombinedReport> {
-        let spoken: Option<Vec<&RestartReport>> =
+        let reports: Option<Vec<&RestartReport>> =
             nodes.iter().map(|node| self.by_node.get(node)).collect();
-        let spoken = spoken?;
+        let reports = reports?;
         let highest =
-            spoken.iter().filter_map(|witness| witness.primary_position).max_by_key(order)?;
-        let seen = spoken.first()?.started_again.iter();
+            reports.iter().filter_map(|report| report.primary_position).max_by_key(order)?;
+        let seen = reports.first()?.started_again.iter();
         let by_all = |start: &&ObservedRestart| {
-            spoken.iter().all(|witness| witness.started_again.contains(start))
+            reports.iter().all(|report| report.started_again.contains(start))
         };
         Some(CombinedReport {
             started_again: seen.filter(by_all).cloned().collect(),
--- a/crates/core/src/promotion/steps.rs
+++ b/crates/core/src/promotion/steps.rs
@@ -1,4 +1,4 @@
-//! What an attempt is told, what it asks for, and how far it is.
+//! The phases of an attempt, the commands that it emits and the events that it consumes.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,119 +11,120 @@
 use crate::incarnation::InstanceIncarnation;
 use crate::position::Term;
 
-/// How far an attempt is.
+/// The phase that an attempt has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The intent is being recorded.
     Recording,
-    /// What is under way gets time to end.
+    /// Open work is given time to finish.
     Draining {
-        /// When that is over.
+        /// When that time ends.
         until: Instant,
     },
     /// Replicas are being stopped.
     Stopping {
-        /// Since when.
+        /// When the phase began.
         since: Instant,
     },
-    /// Evidence of the old primary lapses.
+    /// The attempt waits until evidence of the old primary has expired.
     Lapsing {
-        /// Since when.
+        /// When the phase began.
         since: Instant,
     },
-    /// The replicas are asked once more.
+    /// The replicas are queried again to confirm that they are still stopped.
     Checking,
-    /// The promotion is under way.
+    /// The promotion has been sent.
     Promoting {
-        /// When it is sent again unless a successor shows.
+        /// When the replicas are checked and the promotion is sent again, unless a successor appears.
         again: Instant,
     },
-    /// A successor leads: the rest is put in order.
+    /// A successor is primary: the old primary is demoted and the replicas are released.
     Settling {
-        /// When that is given up.
+        /// When the attempt finishes even if that is incomplete.
         until: Instant,
     },
-    /// It is called off: the replicas are released.
+    /// The attempt is cancelled: the replicas are released.
     Cancelling {
-        /// When that is given up.
+        /// When the attempt finishes even if that is incomplete.
         until: Instant,
     },
-    /// Nothing is left to do.
+    /// The attempt has finished.
     Over,
 }
 
-/// What the holder is to do.
+/// What the coordinator has to do for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Record the intent in the store.
+    /// Write the intent to the store.
     RecordIntent(Intent),
-    /// Ask the store which starts of their processes the instances tell, and say [`Event::Starts`] or
-    /// [`Event::StartsUnknown`].
+    /// Read the incarnations of the instances from the store and answer with [`Event::Incarnations`] or
+    /// [`Event::IncarnationsUnavailable`].
     ReadIncarnations,
-    /// Ask an instance how it stands.
+    /// Query the replication status of an instance.
     QueryStatus(InstanceName),
-    /// Tell a replica to receive nothing below `term`.
+    /// Stop a replica: it rejects replication below `term`.
     Stop {
         /// The replica.
         instance: InstanceName,
-        /// Above every term seen.
+        /// The minimum term, which is above every term seen.
         term: Term,
     },
-    /// Tell a primary of a lower term to step down.
+    /// Demote a primary of a lower term.
     Demote {
         /// The old primary.
         instance: InstanceName,
         /// The new term.
         term: Term,
     },
-    /// Tell a replica to receive again.
+    /// Release a replica: it accepts replication again.
     Release(InstanceName),
     /// Have the platform promote an instance.
     Promote(InstanceName),
-    /// Record the successor, so that nodes follow it while the old primary still says it leads.
+    /// Write the successor to the store, so that nodes use it while the old primary still reports that it is
+    /// the primary.
     RecordSuccessor(InstanceName),
-    /// Take the record back; the successor, if there is one, is recorded in its place.
+    /// Remove the intent from the store and record the successor, if there is one, in its place.
     Finish {
-        /// Whose record it is.
+        /// The replacement whose intent is removed.
         id: ReplacementId,
-        /// The new primary.
+        /// The new primary, if an instance was promoted.
         successor: Option<Successor>,
     },
 }
 
-/// What has happened.
+/// What an attempt learns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// This intent is recorded.
+    /// This intent is in the store.
     IntentRecorded(Intent),
-    /// The store, asked at `asked`, said which starts of their processes the instances tell.
+    /// The store returned the incarnations of the instances.
     Incarnations {
-        /// By instance.
+        /// Incarnation of each instance.
         by_instance: BTreeMap<InstanceName, InstanceIncarnation>,
-        /// When the store was asked.
+        /// When the request was sent to the store.
         asked: Instant,
     },
-    /// The store did not say it.
+    /// The store did not return the incarnations.
     IncarnationsUnavailable,
-    /// An instance answered a question or a command that was sent at `sent`.
+    /// An instance answered a query or a command with its replication status.
     StatusReported {
         /// The instance.
         instance: InstanceName,
-        /// What it said.
+        /// The status that it reported.
         status: ReplicationStatus,
-        /// When it was asked.
+        /// When the query or command was sent.
         sent: Instant,
     },
     /// An instance did not answer.
     NoAnswer(InstanceName),
-    /// An instance refused the connection: nothing runs at its address.
+    /// An instance refused the connection: no process listens at its address.
     Refused {
         /// The instance.
         instance: InstanceName,
         /// When the connection was tried.
         sent: Instant,
     },
-    /// Another instance answered at the instance's address: it has ended.
+    /// Another instance answered at the instance's address, so the instance has terminated.
     Displaced {
         /// The instance.
         instance: InstanceName,
@@ -132,21 +133,21 @@
     },
     /// The platform answered a promotion.
     Promoted {
-        /// The instance that was to take over.
+        /// The instance to be promoted.
         instance: InstanceName,
         /// The answer.
         answer: PromotionAnswer,
     },
-    /// The instances as the platform tells them now.
+    /// The instances as the platform reports them now.
     Members(Members),
-    /// A replica that was told to receive again has answered.
+    /// A replica confirmed that it has been released.
     Released(InstanceName),
-    /// A node has seen an instance start again, and receive since whatever was answered before.
+    /// A node has seen an instance restart and since then receive every commit acknowledged before the restart.
     Refilled(ObservedRestart),
-    /// What all nodes have heard of the primary.
+    /// The combined reports of all nodes on restarts and on the primary's position.
     ReportsCombined(CombinedReport),
-    /// Every node that may read at the old primary has given its evidence up.
+    /// Every node that may read at the old primary has revoked its evidence.
     EvidenceRevoked,
-    /// Whether there still is a reason.
+    /// Whether there is still a reason to replace the primary.
     StillNeeded(bool),
 }
--- a/crates/core/src/promotion/store_eras.rs
+++ b/crates/core/src/promotion/store_eras.rs
@@ -1,59 +1,63 @@
-//! What a node may do once the store has come back from an older copy.
+//! What a node may do after the store was restored from an older copy.
 //!
-//! The copy may lack the hold of whoever replaces primaries, and what it has recorded. That node goes on until it
-//! hears of the return or its hold ends, and what it has sent takes effect, while the store would give the right
-//! to another one, and shows that nothing is replaced. So for as long as such a hold may last nobody else takes
-//! the right, and the store's word that nobody replaces a primary counts for nothing.
+//! The copy may lack the current coordinator lease and the intents that the coordinator has recorded. That
+//! coordinator continues until it learns of the restore or its lease expires, and commands that it has sent
+//! take effect. Meanwhile the restored store would grant the lease to another node, and shows no replacement.
+//! So while a lease of the earlier era may still be valid, no other node acquires the lease, and an absent
+//! intent in the store does not prove that no replacement is running.
 
 use std::time::{Duration, Instant};
 
 use crate::store_era::StoreEra;
 
-/// How long a hold lasts from its last renewal on.
+/// How long the coordinator lease is valid after its last renewal.
 pub const COORDINATOR_LEASE_DURATION: Duration = Duration::from_secs(3);
-/// Time after a return in which the instances write again what they say of themselves.
-const INSTANCES_WRITE_AGAIN: Duration = Duration::from_secs(2);
-/// Time in which a promotion that was sent at the end of a hold is answered, and takes effect.
-const PROMOTION_SETTLES: Duration = Duration::from_secs(1);
+/// Time after a restore within which the instances write their reports to the store again.
+const INSTANCE_REPORT_TIME: Duration = Duration::from_secs(2);
+/// Time within which a promotion that was sent at the end of a lease is answered and takes effect.
+const PROMOTION_SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// The store's era, as a node has seen it.
+/// The store's era as one node has observed it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreEraTracker {
     era: Option<StoreEra>,
-    /// When it was first seen. A store that tells no era has never come back from a copy, as far as anybody knows.
-    since: Option<Instant>,
-    /// Whether this node has seen an earlier one.
-    has_come_back: bool,
+    /// When this era was first seen; `None` for a store that reports no era, which cannot show a restore.
+    first_seen: Option<Instant>,
+    /// Whether this node has seen an earlier era.
+    saw_restore: bool,
 }
 
 impl StoreEraTracker {
-    /// Takes in what the store says now. Returns whether it has come back since it was last followed.
+    /// Processes the era that the store reports now. Returns whether the store was restored since the
+    /// last observation.
     pub fn observe(&mut self, era: StoreEra, now: Instant) -> bool {
         if self.era.is_some_and(|known| era <= known) {
             return false;
         }
         let has_come_back = self.era.is_some();
         let since = (era != StoreEra::default()).then_some(now);
-        *self = Self { era: Some(era), since, has_come_back };
+        *self = Self { era: Some(era), first_seen: since, saw_restore: has_come_back };
         has_come_back
     }
 
-    /// Whether a hold of an earlier era may last. This node may have started just after the return.
+    /// Whether a coordinator lease of an earlier era may still be valid. This also holds for the first era
+    /// that this node sees, since the node may have started just after a restore.
     pub fn earlier_lease_may_be_valid(&self, now: Instant) -> bool {
-        self.since.is_some_and(|since| now < since + COORDINATOR_LEASE_DURATION)
+        self.first_seen.is_some_and(|since| now < since + COORDINATOR_LEASE_DURATION)
     }
 
-    /// Whether the store may tell starts of instances that are over: one that has started again may not have written
-    /// that yet, and have lost its log.
+    /// Whether the store may show outdated incarnations: a restarted instance, which has lost its log, may not
+    /// have written its new incarnation yet.
     pub fn incarnations_may_be_stale(&self, now: Instant) -> bool {
-        self.since.is_some_and(|since| now < since + INSTANCES_WRITE_AGAIN)
+        self.first_seen.is_some_and(|since| now < since + INSTANCE_REPORT_TIME)
     }
 
-    /// Whether a replacement may be under way that was recorded in an earlier era, and that the store has lost.
-    /// A node that has just started would serve nothing of a group with a silent replica for that time; what it
-    /// reads by then it rarely reads within a moment of a return.
+    /// Whether a replacement that was recorded in an earlier era, and that the store has lost, may still be
+    /// running. Does not hold for the first era that this node sees: otherwise a node that has just started could
+    /// not serve a group with a silent replica during that time, while it is rare that a node starts and
+    /// serves reads right after a restore.
     pub fn replacement_may_be_lost(&self, now: Instant) -> bool {
-        let lasts = |since| now < since + COORDINATOR_LEASE_DURATION + PROMOTION_SETTLES;
-        self.has_come_back && self.since.is_some_and(lasts)
+        let lasts = |since| now < since + COORDINATOR_LEASE_DURATION + PROMOTION_SETTLE_TIME;
+        self.saw_restore && self.first_seen.is_some_and(lasts)
     }
 }
--- a/crates/core/src/promotion/timing.rs
+++ b/crates/core/src/promotion/timing.rs
@@ -1,36 +1,36 @@
-//! Times that an attempt takes.
+//! Durations that control an attempt.
 
 use std::time::Duration;
 
 use crate::primary_evidence::{EVIDENCE_LIFETIME, MIN_PROMOTION_TIME, UNLISTED_EVIDENCE_LIFETIME};
 
-/// Times that an attempt takes.
+/// Durations that control an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// What a planned replacement gives to what is under way.
+    /// Time that a planned replacement gives open work to finish.
     pub drain_time: Duration,
-    /// How long evidence of the old primary lasts once the replicas have been stopped.
+    /// How long evidence of the old primary can remain valid after the replicas have been stopped.
     pub evidence_lifetime: Duration,
-    /// The same for nodes that are not known yet, and so cannot be asked to give it up.
+    /// The same for nodes that are not known yet and so cannot be asked to revoke it.
     pub unlisted_evidence_lifetime: Duration,
-    /// Least time that the platform takes to promote.
+    /// Shortest time that the platform takes to promote an instance.
     pub min_promotion_time: Duration,
-    /// Time between two commands of a kind to one instance.
+    /// Interval between two commands of the same kind to one instance.
     pub retry_interval: Duration,
-    /// Time between two questions to a store that does not answer.
+    /// Interval between two requests to a store that does not answer.
     pub store_retry_interval: Duration,
-    /// Time for which a successor is waited for before the promotion is sent again.
+    /// How long to wait for a successor before the promotion is sent again.
     pub announcement_timeout: Duration,
-    /// Time after which a replacement that cannot stop enough replicas is called off if the old
-    /// primary leaves as planned, or answers: it works, but for those that have been stopped.
+    /// Time after which an attempt that cannot stop enough replicas is cancelled, if the replacement is
+    /// planned or the old primary answers: the old primary then works, apart from the stopped replicas.
     pub stopping_timeout: Duration,
-    /// Time after which the old primary is no longer told to step down: it does so by itself once
-    /// it can reach its successor.
+    /// Time after which demoting the old primary is no longer retried: it steps down by itself once it can
+    /// reach its successor.
     pub demotion_timeout: Duration,
-    /// Time after which nodes are told that an attempt was called off whose replicas have not all
-    /// been released.
+    /// Time after which the store records that an attempt is cancelled, if not all of its stopped replicas
+    /// have been released by then.
     pub cancellation_notice_delay: Duration,
-    /// Time after which replicas of an attempt that was called off are no longer released.
+    /// Time after which a cancelled attempt no longer tries to release its replicas.
     pub release_timeout: Duration,
 }
 
--- a/crates/core/src/store_era.rs
+++ b/crates/core/src/store_era.rs
@@ -1,37 +1,37 @@
 //! Positions in the history of the platform's store.
 //!
-//! The store may come back from an older copy of itself. It then gives revisions out again that it had given
-//! out before, for other changes. It says so by its *era*, which rises by one each time. A position is era and
-//! revision in one number: whatever orders by it (what is in force, what is known of other nodes, fences) needs
-//! to know nothing of eras, and no two changes ever have the same.
+//! When the store is restored from an older copy, it reuses revisions for other changes. Its *era*, which
+//! increases by one with each restore, tells them apart. A position combines era and revision in one number. Code
+//! that orders by positions (the active configuration, knowledge about other nodes, fencing tokens) does not have
+//! to handle eras, and no two changes have the same position.
 
 use std::fmt;
 
-/// Revisions of one era, more than a store gives out in a lifetime. A power of ten, so that a position in a log line
-/// reads as the era followed by the revision.
-const REVISIONS_OF_AN_ERA: u64 = 1_000_000_000_000;
+/// Number of revisions per era, more than a store assigns in its lifetime. A power of ten, so that a position in a log
+/// line reads as the era followed by the revision.
+const REVISIONS_PER_ERA: u64 = 1_000_000_000_000;
 
-/// How often the store has come back from a copy. Zero: it does not say.
+/// Counter of the store's restores from an older copy. The first era is one; zero if the store does not report an era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreEra(pub u64);
 
 impl StoreEra {
-    /// Era of a position.
+    /// The era of a position.
     pub fn of(position: u64) -> Self {
-        Self(position / REVISIONS_OF_AN_ERA)
+        Self(position / REVISIONS_PER_ERA)
     }
 
-    /// Whether the store has come back from a copy at some time: the first era is one.
+    /// Whether the store was ever restored from a copy: the first era is one.
     pub fn has_been_restored(self) -> bool {
         self > Self(1)
     }
 
-    /// Position of a revision of this era; `None` for a number that no store arrives at.
+    /// The position of a revision of this era; `None` for a number beyond those that a store can reach.
     pub fn position(self, revision: u64) -> Option<u64> {
-        if revision >= REVISIONS_OF_AN_ERA {
+        if revision >= REVISIONS_PER_ERA {
             return None;
         }
-        self.0.checked_mul(REVISIONS_OF_AN_ERA)?.checked_add(revision)
+        self.0.checked_mul(REVISIONS_PER_ERA)?.checked_add(revision)
     }
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The revision of a position, as the store of its era knows it.
+/// The revision of a position, as the store assigned it in that era.
 pub fn revision_of(position: u64) -> u64 {
-    position % REVISIONS_OF_AN_ERA
+    position % REVISIONS_PER_ERA
 }
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -1,18 +1,19 @@
-//! When a node suspects a primary, and when enough nodes do.
+//! Decides when a node suspects a primary, and when enough nodes suspect it to replace it.
 //!
-//! Suspicion is about benefit, never about safety: replacing a primary that is well costs a gap in
-//! writes and nothing else. So no single node's word moves a primary: it may only be cut off itself.
+//! Suspicion affects availability, never safety: replacing a healthy primary only interrupts writes. To avoid such
+//! interruptions, a single node's suspicion does not cause a replacement, since that node may itself be cut off.
 
 use std::time::{Duration, Instant};
 
-/// Time without any answer, while something waits for one, after which a primary is silent.
-const SILENCE: Duration = Duration::from_millis(350);
-/// Time for which commits may wait while the primary answers other things, and no commit.
-const COMMIT_SILENCE: Duration = Duration::from_millis(500);
-/// Time for which a part of the nodes must suspect it, if the others do not.
+/// Time without any answer, while a request waits for one, after which a primary is considered silent.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(350);
+/// How long a commit may wait while the primary answers other requests but acknowledges no commit.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long at least a third of the voters must suspect a primary, if the majority does not.
 pub const MINORITY_SUSPICION_DURATION: Duration = Duration::from_millis(1_000);
-/// A node that did not run for so long knows nothing of what was silent meanwhile.
-const LONGEST_STEP: Duration = Duration::from_millis(150);
+/// Longest interval between two ticks. After a longer one the node itself did not run, so it cannot tell whether the
+/// primary was silent meanwhile.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Why a node suspects a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
@@ -20,128 +21,139 @@
 pub enum Cause {
     /// It refuses connections.
     Refuses,
-    /// It answers nothing.
+    /// It does not answer.
     Silent,
-    /// It answers, but no commits.
+    /// It answers, but acknowledges no commits.
     CannotCommit,
-    /// It leads a term lower than one that has been seen.
+    /// It leads a lower term than the highest one seen.
     Outdated,
 }
 
-/// How long requests that were given up go on to show that an instance is silent.
+/// How long abandoned requests still count as a sign that an instance is silent.
 pub const ABANDONED_REQUEST_VALIDITY: Duration = Duration::from_millis(2_000);
 
-/// Requests to an instance that were given up without an answer. They show its silence as well as
-/// those that still wait: otherwise whatever ends the work on a silent primary, a replacement above
-/// all, would end the suspicion of it too.
+/// Requests to an instance that were abandoned without an answer. They show that the instance is silent just like
+/// requests that still wait. Otherwise anything that ends the work on a silent primary, most of all its replacement,
+/// would also end the suspicion against it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AbandonedRequests {
+    /// When the oldest abandoned request was sent.
     oldest: Option<Instant>,
-    newest_end: Option<Instant>,
+    /// When a request was last abandoned.
+    last_abandoned: Option<Instant>,
 }
 
 impl AbandonedRequests {
-    /// A request that was sent at `sent` was given up at `now`.
+    /// A request that was sent at `sent` was abandoned at `now`.
     pub fn on_abandoned(&mut self, sent: Instant, now: Instant) {
         self.oldest = Some(self.oldest_sent(now).map_or(sent, |oldest| oldest.min(sent)));
-        self.newest_end = Some(now);
+        self.last_abandoned = Some(now);
     }
 
-    /// The instance has answered something.
+    /// The instance answered a request.
     pub fn on_answer(&mut self) {
         *self = Self::default();
     }
 
-    /// When the oldest one was sent, as long as they count.
+    /// When the oldest abandoned request was sent, as long as abandoned requests count.
     pub fn oldest_sent(&self, now: Instant) -> Option<Instant> {
-        let counts = |end: Instant| now.saturating_duration_since(end) < ABANDONED_REQUEST_VALIDITY;
-        self.oldest.filter(|_| self.newest_end.is_some_and(counts))
+        let is_valid =
+            |end: Instant| now.saturating_duration_since(end) < ABANDONED_REQUEST_VALIDITY;
+        self.oldest.filter(|_| self.last_abandoned.is_some_and(is_valid))
     }
 }
 
-/// What a node's own exchanges with a primary show.
+/// What a node's own exchanges show about the health of a primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthSignals {
-    /// Since when it refuses connections, if none was made or answered on since.
+    /// Since when it refuses connections, if no connection succeeded and nothing was answered since.
     pub refused_since: Option<Instant>,
-    /// When the oldest exchange was sent that waits for an answer, or was given up without one a
-    /// moment ago ([`AbandonedRequests`]).
+    /// When the oldest exchange was sent that waits for an answer or was recently abandoned without one
+    /// ([`AbandonedRequests`]).
     pub oldest_request: Option<Instant>,
-    /// When the oldest commit was sent that waits for an answer, or was given up without one a
-    /// moment ago.
+    /// When the oldest commit was sent that waits for an answer or was recently abandoned without one.
     pub oldest_commit: Option<Instant>,
-    /// When it last answered a commit that wrote.
+    /// When it last acknowledged a commit of writes.
     pub last_commit: Option<Instant>,
-    /// When it last answered anything.
+    /// When it last answered any request.
     pub last_answer: Option<Instant>,
-    /// Whether a higher term has been seen than the one that it leads: nothing is sent there, so that
-    /// nothing else would show that it must be replaced.
+    /// Whether a higher term was seen than the one that it leads. Nothing is sent to an outdated primary, so nothing
+    /// else would show that it has to be replaced.
     pub is_outdated: bool,
 }
 
-/// Judges signs, and remembers when this node last did so.
+/// Derives suspicions from health signals, and ignores the time during which this node itself did not run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureDetector {
-    last: Option<Instant>,
-    /// Signs from before this moment do not count: the node itself stood still.
-    since: Option<Instant>,
+    last_tick: Option<Instant>,
+    /// Time before this moment does not count, because the node itself did not run.
+    running_since: Option<Instant>,
 }
 
 impl FailureDetector {
-    /// Time passes. Call it at least every 100 ms.
+    /// Has to be called at least every 100 ms.
     pub fn tick(&mut self, now: Instant) {
-        let stood_still =
-            self.last.is_some_and(|last| now.saturating_duration_since(last) > LONGEST_STEP);
-        if stood_still || self.last.is_none() {
-            self.since = Some(now);
+        let was_suspended = self
+            .last_tick
+            .is_some_and(|last| now.saturating_duration_since(last) > MAX_TICK_INTERVAL);
+        if was_suspended || self.last_tick.is_none() {
+            self.running_since = Some(now);
         }
-        self.last = Some(now);
+        self.last_tick = Some(now);
     }
 
-    /// Why the node suspects the primary that shows `signs`, if it does.
-    pub fn suspect(&self, signs: &HealthSignals, now: Instant) -> Option<Cause> {
-        let counted = |moment: Instant| self.since.map_or(moment, |since| moment.max(since));
+    /// Why the node suspects the primary with these signals, if it does.
+    pub fn suspect(&self, signals: &HealthSignals, now: Instant) -> Option<Cause> {
+        let running =
+            |moment: Instant| self.running_since.map_or(moment, |since| moment.max(since));
         let lasts = |since: Option<Instant>, limit: Duration| {
-            since.is_some_and(|since| now.saturating_duration_since(counted(since)) > limit)
+            since.is_some_and(|since| now.saturating_duration_since(running(since)) > limit)
         };
-        if signs.refused_since.is_some_and(|at| self.since.is_none_or(|since| at >= since)) {
+        if signals
+            .refused_since
+            .is_some_and(|at| self.running_since.is_none_or(|since| at >= since))
+        {
             return Some(Cause::Refuses);
         }
-        if signs.is_outdated {
+        if signals.is_outdated {
             return Some(Cause::Outdated);
         }
-        let silent_since =
-            signs.oldest_request.max(signs.last_answer.filter(|_| signs.oldest_request.is_some()));
-        if lasts(silent_since, SILENCE) {
+        let silent_since = signals
+            .oldest_request
+            .max(signals.last_answer.filter(|_| signals.oldest_request.is_some()));
+        if lasts(silent_since, SILENCE_TIMEOUT) {
             return Some(Cause::Silent);
         }
-        let stuck_since =
-            signs.oldest_commit.max(signs.last_commit.filter(|_| signs.oldest_commit.is_some()));
-        lasts(stuck_since, COMMIT_SILENCE).then_some(Cause::CannotCommit)
+        let stuck_since = signals
+            .oldest_commit
+            .max(signals.last_commit.filter(|_| signals.oldest_commit.is_some()));
+        lasts(stuck_since, COMMIT_TIMEOUT).then_some(Cause::CannotCommit)
     }
 }
 
 /// How many nodes suspect a primary, and since when.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Votes {
-    /// Nodes that suspect it.
+    /// Number of nodes that suspect the primary.
     pub suspecting: usize,
-    /// Nodes that could.
+    /// Number of nodes that can suspect it.
     pub voters: usize,
-    /// Since when at least a third has suspected it without a break.
+    /// Since when at least a third of the voters has suspected it without interruption.
     pub at_least_third_since: Option<Instant>,
 }
 
 impl Votes {
-    /// Whether the primary is to be replaced: most nodes suspect it, or a third has for a while.
+    /// Whether the primary has to be replaced: a majority of the voters suspects it, or at least a third has
+    /// suspected it for [`MINORITY_SUSPICION_DURATION`].
     pub fn are_sufficient(&self, now: Instant) -> bool {
-        let most = self.suspecting * 2 > self.voters.max(1);
-        most || self
-            .at_least_third_since
-            .is_some_and(|since| now >= since + MINORITY_SUSPICION_DURATION)
+        let is_majority = self.suspecting * 2 > self.voters.max(1);
+        is_majority
+            || self
+                .at_least_third_since
+                .is_some_and(|since| now >= since + MINORITY_SUSPICION_DURATION)
     }
 
-    /// Whether at least a third of those that could suspects it.
+    /// Whether at least a third of the voters suspects the primary.
     pub fn reaches_third(suspecting: usize, voters: usize) -> bool {
         suspecting > 0 && suspecting * 3 >= voters.max(1)
     }
