--- a/crates/core/src/promotion/restart_reports.rs
+++ b/crates/core/src/promotion/restart_reports.rs
@@ -68,13 +68,13 @@
 
     /// Restarts after which at least one node has seen the instance receive everything again.
     pub fn refilled(&self) -> Vec<ObservedRestart> {
-        let mut starts: Vec<ObservedRestart> = Vec::new();
-        for start in self.by_node.values().flat_map(|report| &report.refilled) {
-            if !starts.contains(start) {
-                starts.push(start.clone());
+        let mut restarts: Vec<ObservedRestart> = Vec::new();
+        for restart in self.by_node.values().flat_map(|report| &report.refilled) {
+            if !restarts.contains(restart) {
+                restarts.push(restart.clone());
             }
         }
-        starts
+        restarts
     }
 
     /// The combined report of all `nodes`; `None` unless all of them have sent a report and at least one of them
@@ -85,12 +85,12 @@
         let reports = reports?;
         let highest =
             reports.iter().filter_map(|report| report.primary_position).max_by_key(order)?;
-        let seen = reports.first()?.started_again.iter();
-        let by_all = |start: &&ObservedRestart| {
-            reports.iter().all(|report| report.started_again.contains(start))
+        let observed = reports.first()?.started_again.iter();
+        let by_all = |restart: &&ObservedRestart| {
+            reports.iter().all(|report| report.started_again.contains(restart))
         };
         Some(CombinedReport {
-            started_again: seen.filter(by_all).cloned().collect(),
+            started_again: observed.filter(by_all).cloned().collect(),
             highest_position: highest,
         })
     }
--- a/crates/core/tests/promotion/main.rs
+++ b/crates/core/tests/promotion/main.rs
@@ -1,4 +1,4 @@
-//! One attempt at replacing a primary: what it does in which order, and what it waits for.
+//! One attempt at replacing a primary: the order of its steps and the conditions that it waits for.
 
 mod lost_logs;
 mod old_primaries;
--- a/crates/core/tests/promotion/sent_promotions.rs
+++ b/crates/core/tests/promotion/sent_promotions.rs
@@ -1,4 +1,4 @@
-//! A promotion that may have been carried out is followed by a successor, whoever goes on with the attempt.
+//! An attempt that may have promoted an instance ends with a successor, whichever coordinator completes it.
 
 use std::time::{Duration, Instant};
 
@@ -11,11 +11,11 @@
 
 use crate::support::*;
 
-/// The three instances, with the start of the process of each.
-fn members_started_at(leading: &[&str], starts: [u64; 3]) -> Members {
-    let mut members = members(leading);
-    for (member, start) in members.all.iter_mut().zip(starts) {
-        member.incarnation = Some(InstanceIncarnation(start));
+/// The three instances with the given incarnations.
+fn members_with_incarnations(primaries: &[&str], incarnations: [u64; 3]) -> Members {
+    let mut members = members(primaries);
+    for (member, incarnation) in members.all.iter_mut().zip(incarnations) {
+        member.incarnation = Some(InstanceIncarnation(incarnation));
     }
     members
 }
@@ -24,96 +24,99 @@
     commands.iter().any(|command| matches!(command, Command::Finish { successor: None, .. }))
 }
 
-/// The promoted instance led for 142 ms, which nobody heard of since the store was down and the holder stood
-/// still, and lost its log. When the holder heard of its new start it ended the attempt as one that had promoted
-/// nobody, and nodes went on at the old primary, which answered a commit two seconds later (simulation of
-/// replacements, up to nine faults, seed 5976: led at 2,226 ms, gone at 2,368, ended without a successor at
-/// 3,774, commit of the old primary at 4,521).
+/// Guards against an attempt that ends without a successor although an instance was primary. The promoted instance
+/// was primary for 142 ms, unnoticed because the store was down and the coordinator was suspended, and then lost its
+/// log. The coordinator learned of its restart and ended the attempt as if no instance had been promoted. Nodes
+/// continued at the old primary, which acknowledged a commit (simulation of replacements, up to nine faults,
+/// seed 5976).
 #[test]
-fn an_attempt_whose_chosen_instance_has_started_again_promotes_another_one() {
+fn promotes_another_instance_if_the_chosen_one_restarts() {
     let mut now = Instant::now();
-    let mut attempt = attempt(Reason::Suspected, members_started_at(&["a"], [1, 1, 1]));
-    begin(&mut attempt, now);
-    let chosen = promotes(&mut attempt, &mut now, &[("b", 10), ("c", 11)]);
+    let mut attempt = attempt(Reason::Suspected, members_with_incarnations(&["a"], [1, 1, 1]));
+    record_intent(&mut attempt, now);
+    let chosen = run_to_promotion(&mut attempt, &mut now, &[("b", 10), ("c", 11)]);
     assert_eq!(chosen, Some(name("c")));
     let accepted = Event::Promoted { instance: name("c"), answer: PromotionAnswer::Accepted };
     attempt.on_event(accepted, now);
-    let mut started_again = members_started_at(&["a"], [1, 1, 2]);
-    started_again.all[2].is_refilling = true;
-    attempt.on_event(Event::Members(started_again), now);
-    // The reason to replace the old primary is gone as well: it is back.
+    let mut restarted = members_with_incarnations(&["a"], [1, 1, 2]);
+    restarted.all[2].is_refilling = true;
+    attempt.on_event(Event::Members(restarted), now);
+    // The old primary has returned, so there is no reason to replace it any more.
     attempt.on_event(Event::StillNeeded(false), now);
-    let commands = steps(&mut attempt, &mut now, Duration::from_secs(2));
+    let commands = run_for(&mut attempt, &mut now, Duration::from_secs(2));
     assert!(!ends_without_a_successor(&commands), "{commands:?}");
-    let chosen = promotes(&mut attempt, &mut now, &[("a", 11), ("b", 10)]);
-    assert_eq!(chosen, Some(name(FORMER)), "the only one that still holds what was answered");
+    let chosen = run_to_promotion(&mut attempt, &mut now, &[("a", 11), ("b", 10)]);
+    assert_eq!(chosen, Some(name(OLD_PRIMARY)), "only it still has every acknowledged commit");
 }
 
-/// The holder died between the promotion and its record. The promoted one led for 0.43 s and lost its log; the
-/// next holder found an attempt that nothing called for any more and ended it as one that had promoted nobody
-/// (seed 17708: led at 1,477 ms, gone at 1,905, ended without a successor at 4,183).
+/// Guards against a next coordinator that cancels an attempt whose promotion took effect. The previous coordinator
+/// crashed between the promotion and recording it. The promoted instance was primary for 0.43 s and lost its
+/// log. The next coordinator found no reason for the attempt any more and ended it without a successor
+/// (simulation of replacements, seed 17708).
 #[test]
-fn the_next_holder_brings_a_promotion_that_may_have_been_sent_to_its_end() {
+fn next_coordinator_completes_an_attempt_that_may_have_sent_a_promotion() {
     let need = Need { is_current: false, may_have_promoted: true, ..need(Reason::Unfinished) };
     assert!(need.needs_coordinator());
     let id = ReplacementId { fence: 9, attempt: 1 };
-    let holder = NodeName::new("next");
-    let mut attempt = Attempt::new(holder, id, &need, members(&["a"]), Term(1), Timing::default());
+    let coordinator = NodeName::new("next");
+    let mut attempt =
+        Attempt::new(coordinator, id, &need, members(&["a"]), Term(1), Timing::default());
     let mut now = Instant::now();
-    begin(&mut attempt, now);
+    record_intent(&mut attempt, now);
     attempt.on_event(Event::StillNeeded(false), now);
-    let commands = steps(&mut attempt, &mut now, Duration::from_secs(2));
+    let commands = run_for(&mut attempt, &mut now, Duration::from_secs(2));
     assert!(!ends_without_a_successor(&commands), "{commands:?}");
-    let told = |command: &Command| matches!(command, Command::Demote { .. });
-    assert!(commands.iter().any(told), "the old primary is not told to step down");
-    assert!(promotes(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).is_some());
+    let is_demotion = |command: &Command| matches!(command, Command::Demote { .. });
+    assert!(commands.iter().any(is_demotion), "the old primary is not demoted");
+    assert!(run_to_promotion(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).is_some());
 }
 
-/// The store says that a promotion may be sent before it is.
+/// The intent in the store says that a promotion may have been sent, before the promotion is sent.
 #[test]
-fn nothing_is_promoted_before_the_store_says_that_it_may_be() {
+fn does_not_promote_before_the_store_records_the_pending_promotion() {
     let mut now = Instant::now();
     let mut attempt = attempt(Reason::Suspected, members(&["a"]));
-    begin(&mut attempt, now);
+    record_intent(&mut attempt, now);
     let mut promoted = false;
     let mut recorded = None;
-    let mut held = Term(0);
+    let mut min_term = Term(0);
     for _ in 0..400 {
         now += STEP;
         for command in attempt.step(now) {
             match command {
                 Command::Promote(_) => promoted = true,
                 Command::RecordIntent(intent) => recorded = Some(intent),
-                Command::ReadIncarnations => attempt.on_event(no_starts(now), now),
-                Command::Stop { term, .. } => held = term,
+                Command::ReadIncarnations => attempt.on_event(no_restarts(now), now),
+                Command::Stop { term, .. } => min_term = term,
                 _ => {}
             }
         }
-        attempt.on_event(stands("b", 10, held, now), now);
-        attempt.on_event(stands("c", 10, held, now), now);
+        attempt.on_event(replica_status("b", 10, min_term, now), now);
+        attempt.on_event(replica_status("c", 10, min_term, now), now);
     }
     assert!(!promoted);
-    let recorded = recorded.expect("it is given to be recorded");
+    let recorded = recorded.expect("the attempt submits its intent");
     assert!(recorded.promoting);
     attempt.on_event(Event::IntentRecorded(recorded), now);
-    assert!(promotes(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).is_some());
+    assert!(run_to_promotion(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).is_some());
 }
 
-/// A promotion that the platform has refused is not carried out: the attempt may end without a successor.
+/// A promotion that the platform refused does not take effect, so the attempt may end without a successor.
 #[test]
-fn an_attempt_whose_promotion_was_refused_can_be_called_off() {
+fn can_be_cancelled_after_the_platform_refused_the_promotion() {
     let mut now = Instant::now();
     let mut attempt = attempt(Reason::Suspected, members(&["a"]));
-    begin(&mut attempt, now);
-    let chosen = promotes(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).expect("one is chosen");
+    record_intent(&mut attempt, now);
+    let chosen = run_to_promotion(&mut attempt, &mut now, &[("b", 10), ("c", 10)])
+        .expect("an instance is chosen");
     let refused = Event::Promoted { instance: chosen, answer: PromotionAnswer::NotRunning };
     attempt.on_event(refused, now);
     attempt.on_event(Event::StillNeeded(false), now);
     attempt.on_event(Event::Released(name("b")), now);
     attempt.on_event(Event::Released(name("c")), now);
-    let mut commands = steps(&mut attempt, &mut now, Duration::from_millis(20));
+    let mut commands = run_for(&mut attempt, &mut now, Duration::from_millis(20));
     attempt.on_event(Event::Released(name("b")), now);
     attempt.on_event(Event::Released(name("c")), now);
-    commands.extend(steps(&mut attempt, &mut now, Duration::from_millis(200)));
+    commands.extend(run_for(&mut attempt, &mut now, Duration::from_millis(200)));
     assert!(ends_without_a_successor(&commands), "{commands:?}");
 }
