--- a/crates/core/tests/confirmation.rs
+++ b/crates/core/tests/confirmation.rs
@@ -1,4 +1,4 @@
-//! Confirmation against a model of a group: elections, divergent logs, truncation.
+//! Confirmation of commits, checked against a model of a group with elections, divergent logs and truncation.
 
 use kestrellock_core::confirmation::{
     Confirmation, ConfirmationRule, FlushReport, ProbeNumber, Verdict,
@@ -18,15 +18,15 @@
 #[derive(Clone, Debug, Default)]
 struct Member {
     log: Vec<Entry>,
-    /// Highest term it has voted in or followed.
+    /// Highest term in which it has voted or that it has followed.
     promised: u32,
-    /// Term whose primary it follows or is; `None` between a vote and the first contact.
+    /// Term whose primary it follows or is; `None` between a vote and the first message of the new primary.
     following: Option<u32>,
     primary: bool,
 }
 
 impl Member {
-    /// What elections compare.
+    /// The rank that elections compare: term of the last entry, then length of the log.
     fn rank(&self) -> (u32, usize) {
         (self.log.last().map_or(0, |entry| entry.term), self.log.len())
     }
@@ -96,7 +96,7 @@
         self.settle(None);
     }
 
-    /// The primary sends its log; the receiver drops what differs, then takes over one entry.
+    /// The primary sends its log; the receiver truncates its divergent entries and appends one entry.
     fn ship(&mut self, from: usize, to: usize) {
         let source = self.members[from].clone();
         let Some(term) = source.following else { return };
@@ -112,7 +112,7 @@
         target.primary = false;
     }
 
-    /// `candidate` asks members for votes, beginning at `first`, until a majority has agreed.
+    /// `candidate` requests votes from the members, beginning at `first`, until a majority has agreed.
     fn elect(&mut self, candidate: usize, first: usize) {
         let count = self.members.len();
         let rank = self.members[candidate].rank();
@@ -196,7 +196,7 @@
     #![proptest_config(ProptestConfig { cases: 2000, rng_seed: RngSeed::Fixed(4), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_confirmed_commit_is_never_lost(size in prop_oneof![Just(3_usize), Just(5)], steps in steps()) {
+    fn confirmed_commit_is_never_lost(size in prop_oneof![Just(3_usize), Just(5)], steps in steps()) {
         let mut model = Model::new(size, size / 2 + 1);
         for step in steps {
             model.run(step);
@@ -205,9 +205,9 @@
     }
 }
 
-/// The model can lose a commit: one instance less than a majority is not enough.
+/// The model can lose a commit that fewer instances than a majority have confirmed.
 #[test]
-fn a_commit_acknowledged_by_its_primary_alone_can_be_lost() {
+fn commit_acknowledged_by_its_primary_alone_can_be_lost() {
     let mut model = Model::new(3, 1);
     for step in [Step::Write(0), Step::Elect(1, 2)] {
         model.run(step);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn confirmations_follow_the_rule() {
+fn confirms_according_to_the_rule() {
     let position = Position { term: Term(3), offset: LogOffset(100) };
     let at = |term, offset| Position { term: Term(term), offset: LogOffset(offset) };
     use ConfirmationRule::{Flushed, Term as TermOnly};
--- a/crates/core/tests/failover.rs
+++ b/crates/core/tests/failover.rs
@@ -1,4 +1,4 @@
-//! When a primary may take writes, and how closely a group is watched.
+//! When a primary may receive writes, and how often its group is probed.
 
 use std::time::{Duration, Instant};
 
@@ -8,11 +8,11 @@
 use kestrellock_core::position::Term;
 
 #[test]
-fn a_primary_takes_writes_while_a_majority_has_lately_followed_it() {
+fn primary_receives_writes_while_a_majority_has_recently_followed_it() {
     let now = Instant::now() + Duration::from_secs(60);
     let ago = |milliseconds| now - Duration::from_millis(milliseconds);
     let late = Pace::Active.confirmation_limit().as_millis() as u64 + 1;
-    // Terms and ages of the last reports of three instances, the first one's term in question.
+    // Terms and ages in milliseconds of the last reports of three instances; the first is the primary in question.
     type Reports = [(u32, u64); 3];
     let table: [(Reports, u32, bool); 7] = [
         ([(1, 5), (1, 5), (1, 5)], 1, true),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_group_is_watched_closely_while_it_is_used_and_more_so_while_its_primary_is_lost() {
+fn probe_pace_increases_with_statements_and_with_a_lost_primary() {
     let start = Instant::now();
     let millisecond = Duration::from_millis(1);
     let mut watch = PaceTracker::default();
@@ -44,7 +44,7 @@
     watch.on_primary_lost(start);
     watch.on_primary_lost(start + SEARCH_TIMEOUT);
     assert_eq!(watch.pace(start + SEARCH_TIMEOUT), Pace::Searching);
-    // Losing it again during a search does not make the search endless.
+    // Losing the primary again during a search does not extend the search.
     assert_eq!(watch.pace(start + SEARCH_TIMEOUT + millisecond), Pace::Idle);
     watch.on_primary_found();
     watch.on_primary_lost(start + SEARCH_TIMEOUT);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn silence_is_three_missed_probes_and_short_of_the_time_writes_are_held() {
+fn probe_timeout_is_three_probes_and_below_the_confirmation_limit() {
     for pace in [Pace::Idle, Pace::Active] {
         assert_eq!(pace.probe_timeout(), 3 * pace.probe_interval());
         assert!(pace.confirmation_limit() > pace.probe_timeout());
--- a/crates/core/tests/group_leader.rs
+++ b/crates/core/tests/group_leader.rs
@@ -1,4 +1,4 @@
-//! Which instance of a group leads, and whether one may be an old primary.
+//! Which instance of a group is its primary, and whether it may be an old primary.
 
 use std::net::SocketAddr;
 
@@ -33,21 +33,21 @@
     }
 }
 
-/// Guards against writes at an old primary that is back while the one promoted after it is being replaced.
+/// Guards against writes at an old primary that returns while its successor is being replaced.
 #[test]
-fn an_old_primary_is_not_the_newest_while_its_successor_is_replaced() {
+fn old_primary_is_not_the_newest_while_its_successor_is_replaced() {
     let (old, successor) = (InstanceName::new("old"), InstanceName::new("successor"));
     let both = vec![instance("old", Role::Primary), instance("successor", Role::Primary)];
     let group = group(both, Some("successor"));
-    let leader = group.leader(Some(&successor)).expect("one leads");
+    let leader = group.leader(Some(&successor)).expect("a primary is listed");
     assert_eq!(leader.name, old);
     assert!(!group.is_newest(&old));
     assert!(group.is_newest(&successor));
 }
 
-/// Guards against a group that nobody may write to because whoever was promoted last is gone for good.
+/// Guards against a group that rejects all writes because the last promoted instance is permanently gone.
 #[test]
-fn any_leader_may_be_the_newest_where_the_one_promoted_last_is_gone() {
+fn any_primary_may_be_the_newest_if_the_last_promoted_instance_is_gone() {
     let group = group(vec![instance("old", Role::Primary)], Some("successor"));
     assert!(group.is_newest(&InstanceName::new("old")));
 }
--- a/crates/core/tests/known_replacements.rs
+++ b/crates/core/tests/known_replacements.rs
@@ -1,4 +1,4 @@
-//! Replacements as a node has heard of them: from the store, and from whoever carries them out.
+//! The running replacements that a node knows of, from the store and from notifications of the coordinator.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
     }
 }
 
-fn shown(intent: Intent) -> BTreeMap<GroupName, Intent> {
+fn in_store(intent: Intent) -> BTreeMap<GroupName, Intent> {
     BTreeMap::from([(group(), intent)])
 }
 
@@ -29,82 +29,86 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Guards against a node out of reach of the store that goes on at the old primary.
+/// Guards against a node that cannot reach the store and continues to use the old primary.
 #[test]
-fn a_replacement_that_its_holder_tells_of_is_under_way() {
-    let (mut heard, now) = (KnownReplacements::default(), Instant::now());
-    heard.on_notification(&group(), intent(1, Reason::Suspected), Duration::ZERO, now);
-    assert_eq!(heard.intents(), shown(intent(1, Reason::Suspected)));
+fn replacement_counts_as_running_after_a_notification() {
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.on_notification(&group(), intent(1, Reason::Suspected), Duration::ZERO, now);
+    assert_eq!(known.intents(), in_store(intent(1, Reason::Suspected)));
 }
 
-/// Guards against a group that stays without a primary at a node whose holder died without a word.
+/// Guards against a group that stays without a primary on a node after the coordinator crashed.
 #[test]
-fn a_replacement_whose_holder_is_gone_is_forgotten() {
-    let (mut heard, now) = (KnownReplacements::default(), Instant::now());
-    heard.on_notification(&group(), intent(1, Reason::Suspected), Duration::ZERO, now);
-    assert!(!heard.expire(now + ms(900)));
-    assert!(heard.expire(now + ms(1_000)));
-    assert!(heard.intents().is_empty());
+fn replacement_expires_without_notifications_of_the_coordinator() {
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.on_notification(&group(), intent(1, Reason::Suspected), Duration::ZERO, now);
+    assert!(!known.expire(now + ms(900)));
+    assert!(known.expire(now + ms(1_000)));
+    assert!(known.intents().is_empty());
 }
 
-/// Guards against work held back because a message arrives after the end that it was sent before.
+/// Guards against delayed requests after a notification that arrives once the replacement has finished.
 #[test]
-fn what_is_told_of_a_replacement_that_is_over_counts_no_more() {
-    let (mut heard, now) = (KnownReplacements::default(), Instant::now());
-    heard.on_finished(&group(), ReplacementId { fence: 7, attempt: 1 });
-    heard.on_notification(&group(), intent(1, Reason::Suspected), Duration::ZERO, now);
-    assert!(heard.intents().is_empty());
-    heard.update_from_store(&shown(intent(2, Reason::Suspected)), now);
-    heard.update_from_store(&BTreeMap::new(), now);
-    heard.on_notification(&group(), intent(2, Reason::Suspected), Duration::ZERO, now);
-    assert!(heard.intents().is_empty(), "the store has shown that it is over");
-    heard.on_notification(&group(), intent(3, Reason::Suspected), Duration::ZERO, now);
-    assert_eq!(heard.intents(), shown(intent(3, Reason::Suspected)));
+fn notification_of_a_finished_replacement_is_ignored() {
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.on_finished(&group(), ReplacementId { fence: 7, attempt: 1 });
+    known.on_notification(&group(), intent(1, Reason::Suspected), Duration::ZERO, now);
+    assert!(known.intents().is_empty());
+    known.update_from_store(&in_store(intent(2, Reason::Suspected)), now);
+    known.update_from_store(&BTreeMap::new(), now);
+    known.on_notification(&group(), intent(2, Reason::Suspected), Duration::ZERO, now);
+    assert!(known.intents().is_empty(), "the store has shown that it has finished");
+    known.on_notification(&group(), intent(3, Reason::Suspected), Duration::ZERO, now);
+    assert_eq!(known.intents(), in_store(intent(3, Reason::Suspected)));
 }
 
-/// Guards against a copy of the store that is behind, by which a replacement told of would seem to be none.
+/// Guards against a stale copy of the store, which does not show a running replacement yet.
 #[test]
-fn a_store_that_does_not_show_it_yet_ends_no_replacement() {
-    let (mut heard, now) = (KnownReplacements::default(), Instant::now());
-    heard.update_from_store(&shown(intent(1, Reason::Suspected)), now);
-    heard.on_notification(&group(), intent(2, Reason::Suspected), Duration::ZERO, now);
-    heard.update_from_store(&BTreeMap::new(), now);
-    assert_eq!(heard.intents(), shown(intent(2, Reason::Suspected)));
+fn stale_copy_of_the_store_does_not_finish_a_notified_replacement() {
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.update_from_store(&in_store(intent(1, Reason::Suspected)), now);
+    known.on_notification(&group(), intent(2, Reason::Suspected), Duration::ZERO, now);
+    known.update_from_store(&BTreeMap::new(), now);
+    assert_eq!(known.intents(), in_store(intent(2, Reason::Suspected)));
 }
 
-/// Guards against commits that an old primary answers through a replica that has forgotten its stop.
+/// Guards against commits that an old primary acknowledges through a replica that is no longer stopped.
 #[test]
-fn an_old_primarys_answer_counts_only_while_nobody_can_have_been_chosen() {
+fn accepts_commits_of_the_old_primary_only_until_another_instance_may_be_chosen() {
     let (old, other) = (InstanceName::new("old"), InstanceName::new("other"));
-    let (mut heard, now) = (KnownReplacements::default(), Instant::now());
-    assert!(heard.accepts_commit(&group(), &old, now));
-    heard.on_notification(&group(), intent(1, Reason::Suspected), ms(10), now);
-    assert!(heard.accepts_commit(&group(), &old, now + ms(40)));
-    assert!(!heard.accepts_commit(&group(), &old, now + ms(41)));
-    assert!(heard.accepts_commit(&group(), &other, now + ms(300)), "the successor's count");
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    assert!(known.accepts_commit(&group(), &old, now));
+    known.on_notification(&group(), intent(1, Reason::Suspected), ms(10), now);
+    assert!(known.accepts_commit(&group(), &old, now + ms(40)));
+    assert!(!known.accepts_commit(&group(), &old, now + ms(41)));
+    assert!(
+        known.accepts_commit(&group(), &other, now + ms(300)),
+        "commits of the successor are accepted"
+    );
 }
 
-/// Guards against outcomes in doubt where the holder hears late that its intent is recorded, and begins only then.
+/// Guards against commits with unknown outcome if the coordinator learns late that its intent is recorded, and begins
+/// only then.
 #[test]
-fn answers_count_from_when_the_holder_begins() {
+fn grace_period_begins_when_the_coordinator_begins() {
     let old = InstanceName::new("old");
-    let (mut heard, now) = (KnownReplacements::default(), Instant::now());
-    heard.update_from_store(&shown(intent(1, Reason::Suspected)), now);
-    heard.on_notification(&group(), intent(1, Reason::Suspected), ms(5), now + ms(205));
-    assert!(heard.accepts_commit(&group(), &old, now + ms(250)));
-    heard.on_notification(&group(), intent(1, Reason::Suspected), ms(60), now + ms(300));
-    assert!(!heard.accepts_commit(&group(), &old, now + ms(251)), "a slow message changes nothing");
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.update_from_store(&in_store(intent(1, Reason::Suspected)), now);
+    known.on_notification(&group(), intent(1, Reason::Suspected), ms(5), now + ms(205));
+    assert!(known.accepts_commit(&group(), &old, now + ms(250)));
+    known.on_notification(&group(), intent(1, Reason::Suspected), ms(60), now + ms(300));
+    assert!(!known.accepts_commit(&group(), &old, now + ms(251)), "a slow message changes nothing");
 }
 
-/// Guards against outcomes in doubt where a planned replacement lets what is under way end.
+/// Guards against commits with unknown outcome while a planned replacement gives open work time to finish.
 #[test]
-fn while_a_planned_replacement_drains_answers_count() {
+fn accepts_commits_while_a_planned_replacement_drains() {
     let old = InstanceName::new("old");
-    let (mut heard, now) = (KnownReplacements::default(), Instant::now());
-    heard.update_from_store(&shown(intent(1, Reason::Leaving)), now);
-    assert!(heard.accepts_commit(&group(), &old, now + ms(150)));
-    assert!(!heard.accepts_commit(&group(), &old, now + ms(151)));
-    let called_off = Intent { called_off: true, ..intent(1, Reason::Leaving) };
-    heard.update_from_store(&shown(called_off), now + ms(200));
-    assert!(heard.accepts_commit(&group(), &old, now + ms(300)), "nobody is promoted any more");
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.update_from_store(&in_store(intent(1, Reason::Leaving)), now);
+    assert!(known.accepts_commit(&group(), &old, now + ms(150)));
+    assert!(!known.accepts_commit(&group(), &old, now + ms(151)));
+    let cancelled = Intent { called_off: true, ..intent(1, Reason::Leaving) };
+    known.update_from_store(&in_store(cancelled), now + ms(200));
+    assert!(known.accepts_commit(&group(), &old, now + ms(300)), "no instance will be promoted");
 }
--- a/crates/core/tests/needs.rs
+++ b/crates/core/tests/needs.rs
@@ -1,4 +1,4 @@
-//! Which primaries are to be replaced, by what the platform and the nodes say.
+//! Which primaries have to be replaced, according to the catalog and the votes of the nodes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 
 const GROUP: &str = "orders";
 
-/// A group of instances, each with the role that it tells.
+/// A group of instances with the given reported roles.
 fn catalog(roles: &[(&str, Role)]) -> IndexedCatalog {
     let instance = |(number, (name, role)): (usize, &(&str, Role))| Instance {
         name: InstanceName::new(*name),
@@ -45,9 +45,9 @@
     (0..count).map(|number| NodeName::new(format!("node-{number}"))).collect()
 }
 
-/// What the first of `count` nodes judges, of which `suspecting` others suspect instance `a`.
-fn judge(
-    judge: &mut NeedsEvaluator,
+/// The need that the first of `count` nodes sees if `suspecting` other nodes suspect instance `a`.
+fn evaluate(
+    evaluator: &mut NeedsEvaluator,
     roles: &[(&str, Role)],
     (suspecting, count): (usize, usize),
     now: Instant,
@@ -60,75 +60,83 @@
     let catalog = catalog(roles);
     let own_votes = NodeVotes::new();
     let own = (&nodes[0], &own_votes);
-    let evidence =
+    let input =
         NeedsInput { catalog: &catalog, view: &view, own, live: &nodes, listed: &nodes, now };
-    judge.apply_catalog(&catalog);
-    judge.evaluate(&evidence).remove(&GroupName::new(GROUP))
+    evaluator.apply_catalog(&catalog);
+    evaluator.evaluate(&input).remove(&GroupName::new(GROUP))
 }
 
 const PRIMARY: (&str, Role) = ("a", Role::Primary);
 const REPLICA: (&str, Role) = ("b", Role::Replica);
 
 #[test]
-fn most_nodes_or_a_third_for_a_while_have_a_primary_replaced() {
+fn majority_or_a_lasting_third_of_the_voters_causes_a_replacement() {
     let start = Instant::now();
     let table = [
-        // Nodes that suspect, of how many, at once, and after a second.
+        // Suspecting nodes, all nodes, whether a need exists at once, and after a second.
         (0, 6, false, false),
         (1, 6, false, false),
         (2, 6, false, true),
         (3, 6, false, true),
         (4, 6, true, true),
         (1, 2, false, true),
-        // Of many nodes seven own the group: the others send its primary nothing.
+        // Of many nodes seven own the group; the others send nothing to its primary.
         (2, 90, false, false),
         (3, 90, false, true),
         (4, 90, true, true),
     ];
     for (suspecting, count, at_once, later) in table {
-        let mut judged = NeedsEvaluator::default();
+        let mut evaluator = NeedsEvaluator::default();
         let roles = [PRIMARY, REPLICA];
         let votes = (suspecting, count);
-        let first = judge(&mut judged, &roles, votes, start);
+        let first = evaluate(&mut evaluator, &roles, votes, start);
         assert_eq!(first.is_some(), at_once, "{suspecting} of {count}");
-        let second = judge(&mut judged, &roles, votes, start + Duration::from_secs(1));
+        let second = evaluate(&mut evaluator, &roles, votes, start + Duration::from_secs(1));
         assert_eq!(second.is_some(), later, "{suspecting} of {count} after a second");
     }
 }
 
-/// Gidanmu: a primary that was cut off vanished from the store. The attempt took it for one of the
-/// replicas to be stopped, and waited for it for as long as the cut lasted.
+/// Guards against waiting for a primary that is cut off. It vanished from the store, and the attempt considered it one of
+/// the replicas to be stopped, and waited for it as long as the network partition lasted.
 #[test]
-fn a_primary_that_vanished_is_the_one_to_be_replaced() {
+fn vanished_primary_is_the_old_primary_of_the_need() {
     let start = Instant::now();
-    let mut judged = NeedsEvaluator::default();
-    assert_eq!(judge(&mut judged, &[PRIMARY, REPLICA], (0, 3), start), None);
-    assert_eq!(judge(&mut judged, &[REPLICA], (0, 3), start), None, "it may only be late");
-    let need = judge(&mut judged, &[REPLICA], (0, 3), start + Duration::from_secs(1));
-    let need = need.expect("nothing leads");
+    let mut evaluator = NeedsEvaluator::default();
+    assert_eq!(evaluate(&mut evaluator, &[PRIMARY, REPLICA], (0, 3), start), None);
+    assert_eq!(
+        evaluate(&mut evaluator, &[REPLICA], (0, 3), start),
+        None,
+        "its entry may only be late"
+    );
+    let need = evaluate(&mut evaluator, &[REPLICA], (0, 3), start + Duration::from_secs(1));
+    let need = need.expect("the group has no primary");
     assert_eq!((need.reason, need.old_primary), (Reason::Missing, Some(InstanceName::new("a"))));
 }
 
 #[test]
-fn a_primary_that_is_a_replica_by_now_is_stopped_like_one() {
+fn primary_that_became_a_replica_is_treated_as_a_replica() {
     let start = Instant::now();
-    let mut judged = NeedsEvaluator::default();
-    judge(&mut judged, &[PRIMARY, REPLICA], (0, 3), start);
+    let mut evaluator = NeedsEvaluator::default();
+    evaluate(&mut evaluator, &[PRIMARY, REPLICA], (0, 3), start);
     let roles = [("a", Role::Replica), REPLICA];
-    judge(&mut judged, &roles, (0, 3), start);
-    let need = need_of_last(&mut judged, &roles, start);
+    evaluate(&mut evaluator, &roles, (0, 3), start);
+    let need = need_after_a_second(&mut evaluator, &roles, start);
     assert_eq!(need.old_primary, None);
-    // Whatever it has answered is held by one of those that are told, so not all of them have to be stopped.
+    // It is listed and has every commit that it acknowledged, so not all instances have to be stopped.
     assert!(need.last_primary_is_replica);
 }
 
-fn need_of_last(judged: &mut NeedsEvaluator, roles: &[(&str, Role)], start: Instant) -> Need {
+fn need_after_a_second(
+    evaluator: &mut NeedsEvaluator,
+    roles: &[(&str, Role)],
+    start: Instant,
+) -> Need {
     let later = start + Duration::from_secs(1);
-    judge(judged, roles, (0, 3), later).expect("nothing leads")
+    evaluate(evaluator, roles, (0, 3), later).expect("the group has no primary")
 }
 
 /// `count` groups, each with a primary and a replica.
-fn calm_catalog(count: usize) -> IndexedCatalog {
+fn healthy_catalog(count: usize) -> IndexedCatalog {
     let mut catalog = Catalog::default();
     let led = catalog_of_roles();
     for number in 0..count {
@@ -141,22 +149,22 @@
     catalog(&[PRIMARY, REPLICA]).groups[&GroupName::new(GROUP)].clone()
 }
 
-/// What happened: every node judged every group and copied every instance twenty times a second: 85% of
-/// the processor time of a node without work before 1,000 groups.
+/// Guards against idle cost that grows with the number of groups. Every node evaluated every group and copied every
+/// instance twenty times a second, which took 85% of the processor time of an idle node with 1,000 groups.
 #[test]
-fn groups_that_need_nothing_cost_nothing_while_nothing_changes() {
+fn groups_without_needs_are_not_evaluated_while_nothing_changes() {
     for count in [10, 1_000] {
         let start = Instant::now();
-        let (catalog, nodes) = (calm_catalog(count), nodes(3));
-        let (mut judged, mut known) = (NeedsEvaluator::default(), KnownInstances::default());
-        judged.apply_catalog(&catalog);
+        let (catalog, nodes) = (healthy_catalog(count), nodes(3));
+        let (mut evaluator, mut known) = (NeedsEvaluator::default(), KnownInstances::default());
+        evaluator.apply_catalog(&catalog);
         known.apply_catalog(&catalog, start);
         let view = CoordinationView { revision: 1, ..CoordinationView::default() };
         let votes = NodeVotes::new();
         for look in 1..=100_u32 {
             let now = start + Duration::from_secs(5) + Duration::from_millis(50) * look;
             let own = (&nodes[0], &votes);
-            let evidence = NeedsInput {
+            let input = NeedsInput {
                 catalog: &catalog,
                 view: &view,
                 own,
@@ -164,30 +172,33 @@
                 listed: &nodes,
                 now,
             };
-            assert!(judged.evaluate(&evidence).is_empty());
-            // The first look ends the time in which starts from before are not known.
-            let looked_at = known.advance_time(now);
-            assert!(look == 1 || looked_at == 0, "{looked_at} of {count} groups looked at");
+            assert!(evaluator.evaluate(&input).is_empty());
+            // The first evaluation ends the time in which earlier restarts are not known.
+            let evaluated_groups = known.advance_time(now);
+            assert!(
+                look == 1 || evaluated_groups == 0,
+                "{evaluated_groups} of {count} groups evaluated"
+            );
         }
-        assert_eq!(judged.evaluation_count(), 0, "of {count} groups");
+        assert_eq!(evaluator.evaluation_count(), 0, "of {count} groups");
     }
 }
 
-/// A group whose votes have gone is judged until its count of votes is back at none.
+/// A group is evaluated until the end of the suspicion is noticed, even after its votes are gone.
 #[test]
-fn a_suspicion_that_ends_leaves_no_time_running() {
+fn ended_suspicion_resets_the_duration() {
     let start = Instant::now();
-    let mut judged = NeedsEvaluator::default();
+    let mut evaluator = NeedsEvaluator::default();
     let roles = [PRIMARY, REPLICA];
-    assert_eq!(judge(&mut judged, &roles, (2, 6), start), None);
-    assert_eq!(judge(&mut judged, &roles, (0, 6), start + Duration::from_millis(900)), None);
+    assert_eq!(evaluate(&mut evaluator, &roles, (2, 6), start), None);
+    assert_eq!(evaluate(&mut evaluator, &roles, (0, 6), start + Duration::from_millis(900)), None);
     let again = start + Duration::from_millis(1_800);
-    assert_eq!(judge(&mut judged, &roles, (2, 6), again), None, "it begins anew");
+    assert_eq!(evaluate(&mut evaluator, &roles, (2, 6), again), None, "the duration begins again");
 }
 
-/// The same: a leaving instance counts for a while after its entry has gone.
+/// A leaving instance counts for a while after its entry has vanished.
 #[test]
-fn a_leaving_instance_whose_entry_has_gone_counts_as_one_that_may_run() {
+fn vanished_leaving_instance_counts_as_possibly_running() {
     let start = Instant::now();
     let mut leaving = catalog(&[PRIMARY, REPLICA]);
     let mut known = KnownInstances::default();
@@ -198,8 +209,8 @@
     known.apply_catalog(&leaving, start);
     known.apply_catalog(&catalog(&[PRIMARY]), start + Duration::from_secs(1));
     let members = known.members(&group);
-    let member = members.get(&InstanceName::new("b")).expect("it may run");
+    let member = members.get(&InstanceName::new("b")).expect("the instance may run");
     assert!(member.has_left);
     known.advance_time(start + Duration::from_secs(12));
-    assert!(known.members(&group).get(&InstanceName::new("b")).is_none(), "it is long gone");
+    assert!(known.members(&group).get(&InstanceName::new("b")).is_none(), "it vanished long ago");
 }
--- a/crates/core/tests/primary_evidence.rs
+++ b/crates/core/tests/primary_evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence that a primary still is the one: what counts, and what makes it count no more.
+//! Evidence that a primary is still the current one: what counts as evidence, and what invalidates it.
 
 use std::time::{Duration, Instant};
 
@@ -22,13 +22,13 @@
     InstanceName::new(name)
 }
 
-/// Until when arrivals are covered at the primary of a group with one synchronous replica of two.
+/// Until when arriving reads are covered at the primary of a group with one synchronous replica of two.
 fn covered(evidence: &PrimaryEvidence) -> Option<Instant> {
     evidence.covers_until(TERM, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME)
 }
 
 #[test]
-fn as_many_replicas_as_are_synchronous_must_follow() {
+fn requires_reports_of_as_many_replicas_as_are_synchronous() {
     let now = Instant::now();
     let later = now + Duration::from_millis(7);
     let mut evidence = PrimaryEvidence::default();
@@ -43,20 +43,20 @@
     assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFETIME));
 }
 
-/// Found by the simulation, 33 of 2,000 seeds with many faults: a promotion released a replica that did
-/// not hear of it. Its word passed for evidence of the old primary at a node out of reach of the store,
-/// and a moment later it answered the successor's commits.
+/// Guards against stale reads at the old primary. A promotion released a replica that did not learn of it. A node that
+/// could not reach the store accepted the replica's report as evidence of the old primary, and a moment later the
+/// replica confirmed commits of the successor (found by the simulation in 33 of 2,000 seeds with many faults).
 #[test]
-fn the_word_of_some_replicas_counts_if_the_store_confirms_it() {
+fn reports_of_some_replicas_count_if_the_store_confirms_them() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
-    assert_eq!(covered(&evidence), None, "the store has not been asked");
+    assert_eq!(covered(&evidence), None, "the store has not been queried");
     let would = evidence.would_cover_until(TERM, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME);
     assert_eq!(would, Some(now + EVIDENCE_LIFETIME));
     evidence.on_no_replacement(now);
     assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFETIME));
-    // An answer that came so long after the look that a replacement may lie between them.
+    // The answer arrived so long after the store was queried that a replacement may have happened in between.
     let later = now + MIN_PROMOTION_TIME + Duration::from_millis(1);
     evidence.on_replica_report(&replica("b"), FOLLOWING, later, later);
     assert_eq!(covered(&evidence), None);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_word_of_all_replicas_counts_while_the_store_is_out_of_reach() {
+fn reports_of_all_replicas_count_while_the_store_is_unreachable() {
     let now = Instant::now();
     let later = now + Duration::from_millis(400);
     let mut evidence = PrimaryEvidence::default();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_the_store_said_is_void_with_a_replacement_a_new_term_or_a_broken_connection() {
+fn replacement_new_term_or_broken_connection_invalidates_the_confirmation_of_the_store() {
     let now = Instant::now();
     let confirmed = || {
         let mut evidence = PrimaryEvidence::default();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_stopped_replica_shows_nothing() {
+fn stopped_replica_is_no_evidence() {
     let mut evidence = PrimaryEvidence::default();
     let now = Instant::now();
     evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
@@ -111,10 +111,10 @@
     assert_eq!(covered(&evidence), None);
 }
 
-/// Atlas with a replica that receives nothing while the primary dies: the successor could not be read,
-/// as the only other replica did not hear of it.
+/// Guards against a successor that cannot serve reads, because the only other replica receives nothing and so does not
+/// learn of the successor.
 #[test]
-fn a_replica_that_was_stopped_for_a_promotion_shows_who_was_promoted() {
+fn replica_stopped_for_a_promotion_is_evidence_for_the_promoted_instance() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_replica_report(&replica("b"), STOPPED, now, now);
@@ -125,14 +125,14 @@
         Some(now + EVIDENCE_LIFETIME)
     );
     assert_eq!(covered(&evidence), None);
-    // Stopped once more, for another promotion.
+    // The replica is stopped again, for another promotion.
     let again = ReplicaTerms { min_term: Term(successor.0 + 1), ..STOPPED };
     evidence.on_replica_report(&replica("b"), again, now, now);
     assert_eq!(evidence.covers_until(successor, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME), None);
 }
 
 #[test]
-fn a_replica_that_is_released_again_shows_the_old_primary() {
+fn released_replica_is_evidence_for_the_old_primary() {
     let now = Instant::now();
     let later = now + Duration::from_millis(50);
     let mut evidence = PrimaryEvidence::default();
@@ -140,13 +140,13 @@
     evidence.on_replica_report(&replica("b"), FOLLOWING, later, later);
     evidence.on_no_replacement(later);
     assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFETIME));
-    // An answer that was asked for before comes late.
+    // A late answer to an earlier query is ignored.
     evidence.on_replica_report(&replica("b"), STOPPED, now, now);
     assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFETIME));
 }
 
 #[test]
-fn a_node_that_knows_no_term_has_no_evidence_during_a_replacement() {
+fn node_without_a_known_term_has_no_evidence_during_a_replacement() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.revoke(ReplacementId { fence: 9, attempt: 1 });
@@ -159,10 +159,10 @@
     assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFETIME));
 }
 
-/// Found by a test of the whole path: the platform releases replicas that do not hear of a promotion,
-/// too, so they say that they follow the old primary.
+/// The platform also releases replicas that do not learn of a promotion, so they report that they follow the old
+/// primary.
 #[test]
-fn a_replica_that_has_not_heard_of_the_successor_shows_it_all_the_same() {
+fn replica_is_evidence_for_a_successor_that_it_does_not_know() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
@@ -172,12 +172,12 @@
     assert_eq!(covered, Some(now + EVIDENCE_LIFETIME));
 }
 
-/// What shows the old primary must leave its successor no replica to answer a commit with: such
-/// replicas may not have heard of the successor.
+/// Evidence for the old primary has to leave its successor too few replicas to acknowledge a commit, since the
+/// reporting replicas may not know the successor.
 #[test]
-fn so_many_replicas_are_needed_that_no_other_primary_finds_enough() {
+fn required_reports_leave_another_primary_too_few_replicas() {
     let table = [
-        // Synchronous replicas, instances, replicas needed.
+        // Synchronous replicas, instances, required reports.
         (0, 3, 2),
         (1, 3, 1),
         (2, 3, 2),
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn a_commit_shows_it_for_its_own_term_only() {
+fn commit_is_evidence_for_its_own_term_only() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn evidence_that_has_been_given_up_does_not_come_back() {
+fn revoked_evidence_does_not_become_valid_again() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
@@ -217,10 +217,11 @@
     assert_eq!(covered(&evidence), None);
 }
 
-/// Found by the simulation, seed 9511: a primary died, refused connections, so nobody waited for
-/// evidence, and it returned before its successor led. A node out of reach of the store read there.
+/// Guards against reads at a primary that crashed and returned. It refused connections, so the coordinator did not wait
+/// for evidence to expire, and it returned before its successor was primary. A node that could not reach the store
+/// read there (simulation of replacements, seed 9511).
 #[test]
-fn evidence_of_a_process_that_died_counts_no_more() {
+fn evidence_from_a_terminated_process_is_discarded() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
@@ -230,8 +231,8 @@
     assert_eq!(covered(&evidence), None);
 }
 
-/// Found by a hunt on both sites: an old primary answered a COMMIT that had written nothing, a node
-/// took that for evidence, and read there.
+/// Guards against stale reads after a COMMIT without writes. It waits for no replica, so an old primary acknowledged it,
+/// a node accepted that as evidence, and read there.
 #[test]
 fn a_commit_that_wrote_nothing_shows_nothing() {
     use StatementClass::{Begin, Commit, Read, Rollback, Write};
@@ -257,7 +258,7 @@
 }
 
 #[test]
-fn a_replica_whose_word_covers_what_arrives_now_need_not_be_asked() {
+fn report_is_valid_until_its_lifetime_has_passed() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_replica_report(&replica("b"), FOLLOWING, now, now);
@@ -265,15 +266,18 @@
     let shown =
         |name: &str, at| evidence.has_valid_report(&replica(name), TERM, EVIDENCE_LIFETIME, at);
     assert!(shown("b", now + EVIDENCE_LIFETIME));
-    assert!(!shown("b", now + EVIDENCE_LIFETIME + Duration::from_millis(1)), "it is too old");
-    assert!(!shown("c", now), "it has been stopped");
-    assert!(!shown("d", now), "it has said nothing");
+    assert!(
+        !shown("b", now + EVIDENCE_LIFETIME + Duration::from_millis(1)),
+        "the report has expired"
+    );
+    assert!(!shown("c", now), "the replica is stopped");
+    assert!(!shown("d", now), "the replica has not reported");
 }
 
-/// An old primary that nobody could reach for long came back after its successor had led and gone. Nodes that
-/// had never had an answer of that successor wrote to it (simulation of replacements, seed 15611).
+/// Guards against writes at an old primary that returns after its successor was primary and is gone again. Nodes that had
+/// never received an answer of that successor wrote to the old primary (simulation of replacements, seed 15611).
 #[test]
-fn a_primary_of_a_lower_term_than_has_been_led_is_an_old_one() {
+fn primary_of_a_lower_term_than_the_highest_led_is_outdated() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
@@ -281,14 +285,14 @@
     evidence.on_term_led(Term(TERM.0 + 1));
     assert!(evidence.is_outdated(Some(TERM)));
     assert!(!evidence.is_outdated(Some(Term(TERM.0 + 1))));
-    assert_eq!(covered(&evidence), None, "what it had shown counts no more");
+    assert_eq!(covered(&evidence), None, "its evidence no longer counts");
 }
 
-/// Replicas that are stopped do not make the primary an old one: the attempt may be called off. Owners told it to
-/// step down, and a group whose primary worked had to be given another one (simulation of replacements, up to nine
-/// faults, seed 6: a fifth more promotions than before).
+/// Guards against demoting a working primary. Stopped replicas do not make the primary outdated, since the attempt may be
+/// cancelled. Owners demoted the primary because of the minimum term of the replicas, so that another promotion was
+/// needed (simulation of replacements, up to nine faults, seed 6: a fifth more promotions).
 #[test]
-fn a_term_that_replicas_were_stopped_with_has_not_been_led() {
+fn minimum_term_of_stopped_replicas_does_not_count_as_led() {
     let now = Instant::now();
     let mut evidence = PrimaryEvidence::default();
     evidence.on_commit(TERM, now);
--- a/crates/core/tests/refilling.rs
+++ b/crates/core/tests/refilling.rs
@@ -1,4 +1,4 @@
-//! Instances that have started again: when they hold again what they held before.
+//! When a restarted instance has every acknowledged commit again.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -21,8 +21,8 @@
     GroupName::new("orders")
 }
 
-/// A primary and two replicas, of which one tells the start of its process.
-fn catalog(start: u64) -> IndexedCatalog {
+/// A primary and two replicas; `REPLICA` has the given incarnation.
+fn catalog(incarnation: u64) -> IndexedCatalog {
     let instance = |(number, name): (usize, &str)| Instance {
         name: InstanceName::new(name),
         zone: ZoneName::new("zone"),
@@ -30,7 +30,7 @@
         slots: 3,
         connections: 40,
         leaving: false,
-        incarnation: Some(InstanceIncarnation(if name == REPLICA { start } else { 1 })),
+        incarnation: Some(InstanceIncarnation(if name == REPLICA { incarnation } else { 1 })),
         announced_role: Some(if name == PRIMARY { Role::Primary } else { Role::Replica }),
     };
     let group_of_three = Group {
@@ -48,136 +48,148 @@
     IndexedCatalog::new(catalog)
 }
 
-fn stands(role: Role, term: u32, offset: u64) -> ReplicationStatus {
+fn status(role: Role, term: u32, offset: u64) -> ReplicationStatus {
     let received = Position { term: Term(term), offset: LogOffset(offset) };
     ReplicationStatus { role, term: Term(term), received, min_term: Term(0) }
 }
 
-/// Instances of which the replica started again, as seen at the returned time.
-fn started_again() -> (KnownInstances, Instant) {
-    let watched = Instant::now();
+/// The known instances after a restart of the replica, and the time at which the restart was seen.
+fn restarted_replica() -> (KnownInstances, Instant) {
+    let observed_since = Instant::now();
     let mut known = KnownInstances::default();
-    known.apply_catalog(&catalog(1), watched);
-    let seen = watched + 20 * SECOND;
-    known.apply_catalog(&catalog(2), seen);
+    known.apply_catalog(&catalog(1), observed_since);
+    let restart_seen = observed_since + 20 * SECOND;
+    known.apply_catalog(&catalog(2), restart_seen);
     assert!(is_refilling(&known));
-    (known, seen)
+    (known, restart_seen)
 }
 
 fn is_refilling(known: &KnownInstances) -> bool {
     let members = known.members(&group());
-    members.get(&InstanceName::new(REPLICA)).expect("it is told").is_refilling
+    members.get(&InstanceName::new(REPLICA)).expect("the replica is listed").is_refilling
 }
 
-fn says(known: &mut KnownInstances, instance: &str, standing: ReplicationStatus, asked: Instant) {
-    known.on_status(&group(), &InstanceName::new(instance), &standing, asked);
+fn report_status(
+    known: &mut KnownInstances,
+    instance: &str,
+    status: ReplicationStatus,
+    asked: Instant,
+) {
+    known.on_status(&group(), &InstanceName::new(instance), &status, asked);
 }
 
-/// An instance counted as whole 3 s after its start. Nobody led that could refill it, and a commit was lost that
-/// another one held (simulation of replacements, up to four faults, seed 604898).
+/// Guards against losing commits because a restarted instance counts as complete after some time. It counted as
+/// complete 3 s after its restart although there was no primary from which it could receive its log again
+/// (simulation of replacements, up to four faults, seed 604898).
 #[test]
-fn time_refills_nothing() {
-    let (mut known, seen) = started_again();
-    known.advance_time(seen + 3600 * SECOND);
+fn elapsed_time_does_not_complete_a_refill() {
+    let (mut known, restart_seen) = restarted_replica();
+    known.advance_time(restart_seen + 3600 * SECOND);
     assert!(is_refilling(&known));
-    let asked = known.refill_status_targets(&group());
-    let mut asked: Vec<&str> = asked.iter().map(InstanceName::as_str).collect();
-    asked.sort_unstable();
-    assert_eq!(asked, [PRIMARY, REPLICA]);
+    let targets = known.refill_status_targets(&group());
+    let mut targets: Vec<&str> = targets.iter().map(InstanceName::as_str).collect();
+    targets.sort_unstable();
+    assert_eq!(targets, [PRIMARY, REPLICA]);
 }
 
 #[test]
-fn it_is_whole_once_it_has_received_what_the_primary_had_after_its_start() {
-    let (mut known, seen) = started_again();
-    says(&mut known, PRIMARY, stands(Role::Primary, 1, 43), seen + SECOND);
-    says(&mut known, REPLICA, stands(Role::Replica, 1, 42), seen + SECOND);
+fn refill_completes_at_a_position_reported_by_the_primary_after_the_restart() {
+    let (mut known, restart_seen) = restarted_replica();
+    report_status(&mut known, PRIMARY, status(Role::Primary, 1, 43), restart_seen + SECOND);
+    report_status(&mut known, REPLICA, status(Role::Replica, 1, 42), restart_seen + SECOND);
     assert!(is_refilling(&known));
-    // What the primary has received since does not matter.
-    says(&mut known, PRIMARY, stands(Role::Primary, 1, 60), seen + 2 * SECOND);
-    says(&mut known, REPLICA, stands(Role::Replica, 1, 43), seen + 2 * SECOND);
+    // A later position of the primary does not matter.
+    report_status(&mut known, PRIMARY, status(Role::Primary, 1, 60), restart_seen + 2 * SECOND);
+    report_status(&mut known, REPLICA, status(Role::Replica, 1, 43), restart_seen + 2 * SECOND);
     assert!(!is_refilling(&known));
-    let start = InstanceIncarnation(2);
-    let seen = ObservedRestart { instance: InstanceName::new(REPLICA), incarnation: start };
-    let witness = known.restart_report(&group(), None);
-    assert_eq!((witness.started_again, witness.refilled), (vec![seen.clone()], vec![seen]));
-    assert!(known.refill_status_targets(&group()).is_empty(), "nothing is asked any more");
+    let incarnation = InstanceIncarnation(2);
+    let restart = ObservedRestart { instance: InstanceName::new(REPLICA), incarnation };
+    let report = known.restart_report(&group(), None);
+    assert_eq!((report.started_again, report.refilled), (vec![restart.clone()], vec![restart]));
+    assert!(
+        known.refill_status_targets(&group()).is_empty(),
+        "no instance has to be queried any more"
+    );
 }
 
 #[test]
-fn what_was_said_before_its_start_was_seen_counts_for_nothing() {
-    let (mut known, seen) = started_again();
-    says(&mut known, PRIMARY, stands(Role::Primary, 1, 43), seen - SECOND);
-    says(&mut known, REPLICA, stands(Role::Replica, 1, 43), seen + SECOND);
-    assert!(is_refilling(&known), "the primary may have made commits since");
-    says(&mut known, PRIMARY, stands(Role::Primary, 1, 43), seen + SECOND);
-    says(&mut known, REPLICA, stands(Role::Replica, 1, 43), seen - SECOND);
-    assert!(is_refilling(&known), "the process before said so");
+fn reports_from_before_the_restart_was_seen_are_ignored() {
+    let (mut known, restart_seen) = restarted_replica();
+    report_status(&mut known, PRIMARY, status(Role::Primary, 1, 43), restart_seen - SECOND);
+    report_status(&mut known, REPLICA, status(Role::Replica, 1, 43), restart_seen + SECOND);
+    assert!(is_refilling(&known), "the primary may have acknowledged commits since");
+    report_status(&mut known, PRIMARY, status(Role::Primary, 1, 43), restart_seen + SECOND);
+    report_status(&mut known, REPLICA, status(Role::Replica, 1, 43), restart_seen - SECOND);
+    assert!(is_refilling(&known), "the report is from the previous process");
 }
 
-/// Commits of a newer term may have been answered before the start: an old primary does not know of them.
+/// Commits of a newer term may have been acknowledged before the restart, and an old primary lacks them.
 #[test]
-fn it_has_to_follow_the_newest_primary() {
-    let (mut known, seen) = started_again();
-    says(&mut known, PRIMARY, stands(Role::Primary, 1, 43), seen + SECOND);
-    says(&mut known, "c", stands(Role::Primary, 2, 50), seen + SECOND);
-    says(&mut known, REPLICA, stands(Role::Replica, 1, 60), seen + SECOND);
+fn refill_requires_the_newest_primary() {
+    let (mut known, restart_seen) = restarted_replica();
+    report_status(&mut known, PRIMARY, status(Role::Primary, 1, 43), restart_seen + SECOND);
+    report_status(&mut known, "c", status(Role::Primary, 2, 50), restart_seen + SECOND);
+    report_status(&mut known, REPLICA, status(Role::Replica, 1, 60), restart_seen + SECOND);
     assert!(is_refilling(&known));
-    says(&mut known, REPLICA, stands(Role::Replica, 2, 50), seen + SECOND);
+    report_status(&mut known, REPLICA, status(Role::Replica, 2, 50), restart_seen + SECOND);
     assert!(!is_refilling(&known));
 }
 
 #[test]
-fn another_start_begins_anew() {
-    let (mut known, seen) = started_again();
-    says(&mut known, PRIMARY, stands(Role::Primary, 1, 43), seen + SECOND);
-    says(&mut known, REPLICA, stands(Role::Replica, 1, 43), seen + SECOND);
-    known.apply_catalog(&catalog(3), seen + 2 * SECOND);
+fn another_restart_begins_a_new_refill() {
+    let (mut known, restart_seen) = restarted_replica();
+    report_status(&mut known, PRIMARY, status(Role::Primary, 1, 43), restart_seen + SECOND);
+    report_status(&mut known, REPLICA, status(Role::Replica, 1, 43), restart_seen + SECOND);
+    known.apply_catalog(&catalog(3), restart_seen + 2 * SECOND);
     assert!(is_refilling(&known));
     assert!(known.restart_report(&group(), None).refilled.is_empty());
 }
 
-/// A node that has just begun to watch cannot know what started again before.
+/// A node that has just begun to observe a group cannot know about earlier restarts.
 #[test]
-fn a_node_that_has_just_begun_to_watch_knows_no_starts() {
-    let watched = Instant::now();
+fn node_does_not_know_restarts_until_it_has_observed_long_enough() {
+    let observed_since = Instant::now();
     let mut known = KnownInstances::default();
-    known.apply_catalog(&catalog(1), watched);
+    known.apply_catalog(&catalog(1), observed_since);
     assert!(!known.members(&group()).knows_restarts);
-    known.advance_time(watched + 4 * SECOND);
+    known.advance_time(observed_since + 4 * SECOND);
     assert!(known.members(&group()).knows_restarts);
 }
 
-/// A node that has just begun to watch may have passed on commits, as the process before, that it does not
-/// remember.
+/// A node that has just started may have acknowledged commits to clients in its previous process, and does not
+/// remember their positions.
 #[test]
-fn a_node_that_has_just_begun_to_watch_bears_no_witness() {
-    let watched = Instant::now();
+fn node_reports_no_restarts_until_it_has_observed_long_enough() {
+    let observed_since = Instant::now();
     let mut known = KnownInstances::default();
-    known.apply_catalog(&catalog(1), watched);
-    known.apply_catalog(&catalog(2), watched + SECOND);
+    known.apply_catalog(&catalog(1), observed_since);
+    known.apply_catalog(&catalog(2), observed_since + SECOND);
     assert!(known.restart_report(&group(), None).started_again.is_empty());
-    known.advance_time(watched + 4 * SECOND);
+    known.advance_time(observed_since + 4 * SECOND);
     assert_eq!(known.restart_report(&group(), None).started_again.len(), 1);
 }
 
 #[test]
-fn what_all_nodes_have_heard_needs_the_word_of_each() {
+fn combined_report_requires_the_reports_of_all_nodes() {
     let nodes = ["one", "two", "three"].map(NodeName::new);
-    let start = |number| ObservedRestart {
+    let restart = |number| ObservedRestart {
         instance: InstanceName::new(REPLICA),
         incarnation: InstanceIncarnation(number),
     };
     let position = |offset| Position { term: Term(1), offset: LogOffset(offset) };
-    let says = |starts: &[u64], offset: Option<u64>| RestartReport {
-        started_again: starts.iter().map(|number| start(*number)).collect(),
+    let report = |incarnations: &[u64], offset: Option<u64>| RestartReport {
+        started_again: incarnations.iter().map(|number| restart(*number)).collect(),
         refilled: Vec::new(),
         primary_position: offset.map(position),
     };
-    let mut witnesses = RestartReports::default();
-    witnesses.add(&nodes[0], says(&[2, 3], Some(7)));
-    witnesses.add(&nodes[1], says(&[2], Some(9)));
-    assert_eq!(witnesses.combined(&nodes), None, "one has not spoken");
-    witnesses.add(&nodes[2], says(&[2, 3], None));
-    let heard = witnesses.combined(&nodes).expect("all have spoken");
-    assert_eq!((heard.started_again, heard.highest_position), (vec![start(2)], position(9)));
+    let mut reports = RestartReports::default();
+    reports.add(&nodes[0], report(&[2, 3], Some(7)));
+    reports.add(&nodes[1], report(&[2], Some(9)));
+    assert_eq!(reports.combined(&nodes), None, "one report is missing");
+    reports.add(&nodes[2], report(&[2, 3], None));
+    let combined = reports.combined(&nodes).expect("all nodes have sent a report");
+    assert_eq!(
+        (combined.started_again, combined.highest_position),
+        (vec![restart(2)], position(9))
+    );
 }
--- a/crates/core/tests/suspicion.rs
+++ b/crates/core/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! When a node suspects a primary.
+//! When a node suspects a primary from its own exchanges.
 
 use std::time::{Duration, Instant};
 
@@ -12,81 +12,82 @@
     start + Duration::from_millis(milliseconds)
 }
 
-/// A judge that has looked without a pause since `start`.
-fn judge(start: Instant, until: Instant) -> FailureDetector {
-    let mut judge = FailureDetector::default();
+/// A detector that was ticked without interruption from `start` to `until`.
+fn detector(start: Instant, until: Instant) -> FailureDetector {
+    let mut detector = FailureDetector::default();
     let mut now = start;
     while now <= until {
-        judge.tick(now);
+        detector.tick(now);
         now += STEP;
     }
-    judge
+    detector
 }
 
 #[test]
-fn a_request_without_an_answer_is_silence_after_a_while() {
+fn unanswered_request_shows_silence_after_the_timeout() {
     let start = Instant::now();
     let now = after(start, 1_000);
-    let judge = judge(start, now);
+    let detector = detector(start, now);
     let waits_since =
         |at| HealthSignals { oldest_request: Some(after(start, at)), ..HealthSignals::default() };
-    assert_eq!(judge.suspect(&waits_since(600), now), Some(Cause::Silent));
-    assert_eq!(judge.suspect(&waits_since(900), now), None);
+    assert_eq!(detector.suspect(&waits_since(600), now), Some(Cause::Silent));
+    assert_eq!(detector.suspect(&waits_since(900), now), None);
     let answers = HealthSignals { last_answer: Some(after(start, 900)), ..waits_since(100) };
-    assert_eq!(judge.suspect(&answers, now), None);
+    assert_eq!(detector.suspect(&answers, now), None);
 }
 
 #[test]
-fn a_node_that_stood_still_suspects_nobody_for_that_time() {
+fn suspended_node_does_not_suspect_for_that_time() {
     let start = Instant::now();
     let now = after(start, 1_000);
-    let mut judge = judge(start, after(start, 100));
-    judge.tick(now);
-    let signs = HealthSignals { oldest_request: Some(start), ..HealthSignals::default() };
-    assert_eq!(judge.suspect(&signs, now), None);
+    let mut detector = detector(start, after(start, 100));
+    detector.tick(now);
+    let signals = HealthSignals { oldest_request: Some(start), ..HealthSignals::default() };
+    assert_eq!(detector.suspect(&signals, now), None);
 }
 
-/// An incident at gidanmu: seven replacements of a silent primary began, ended the work on it, and
-/// were called off within 100 ms because nothing waited for it any more.
+/// Guards against replacements of a silent primary that cancel themselves. A replacement ended the work on the primary
+/// and was cancelled within 100 ms, because no request waited for the primary any more. This happened seven times in a
+/// row.
 #[test]
 fn requests_given_up_show_silence_until_something_is_answered() {
     let start = Instant::now();
-    let mut given_up = AbandonedRequests::default();
-    given_up.on_abandoned(after(start, 200), after(start, 700));
-    given_up.on_abandoned(after(start, 100), after(start, 710));
-    assert_eq!(given_up.oldest_sent(after(start, 720)), Some(after(start, 100)));
-    given_up.on_answer();
-    assert_eq!(given_up.oldest_sent(after(start, 730)), None);
+    let mut abandoned = AbandonedRequests::default();
+    abandoned.on_abandoned(after(start, 200), after(start, 700));
+    abandoned.on_abandoned(after(start, 100), after(start, 710));
+    assert_eq!(abandoned.oldest_sent(after(start, 720)), Some(after(start, 100)));
+    abandoned.on_answer();
+    assert_eq!(abandoned.oldest_sent(after(start, 730)), None);
 }
 
 #[test]
-fn requests_given_up_long_ago_show_nothing() {
+fn abandoned_requests_expire() {
     let start = Instant::now();
-    let mut given_up = AbandonedRequests::default();
-    given_up.on_abandoned(start, start);
-    assert_eq!(given_up.oldest_sent(start + ABANDONED_REQUEST_VALIDITY), None);
+    let mut abandoned = AbandonedRequests::default();
+    abandoned.on_abandoned(start, start);
+    assert_eq!(abandoned.oldest_sent(start + ABANDONED_REQUEST_VALIDITY), None);
     let later = start + ABANDONED_REQUEST_VALIDITY * 2;
-    given_up.on_abandoned(later, later);
-    assert_eq!(given_up.oldest_sent(later), Some(later));
+    abandoned.on_abandoned(later, later);
+    assert_eq!(abandoned.oldest_sent(later), Some(later));
 }
 
-/// Gidanmu with a primary cut from its replicas: commits were given up before the other nodes had
-/// seen theirs wait for long enough, so no two suspected it at a time, and nobody replaced it.
+/// Guards against a primary that is cut off from its replicas and is not replaced. Each node abandoned its commits before
+/// the commits of the other nodes had waited for long enough, so no two nodes suspected the primary at the same time.
 #[test]
-fn a_commit_that_waits_shows_a_primary_that_cannot_commit_unless_others_are_answered() {
+fn waiting_commit_causes_suspicion_unless_other_commits_are_acknowledged() {
     let start = Instant::now();
     let now = after(start, 1_000);
-    let judge = judge(start, now);
+    let detector = detector(start, now);
     let stuck = HealthSignals {
         oldest_commit: Some(after(start, 100)),
         last_answer: Some(after(start, 990)),
         ..HealthSignals::default()
     };
-    assert_eq!(judge.suspect(&stuck, now), Some(Cause::CannotCommit));
+    assert_eq!(detector.suspect(&stuck, now), Some(Cause::CannotCommit));
     let recently = HealthSignals { oldest_commit: Some(after(start, 700)), ..stuck };
-    assert_eq!(judge.suspect(&recently, now), None);
+    assert_eq!(detector.suspect(&recently, now), None);
     let commits = HealthSignals { last_commit: Some(after(start, 800)), ..stuck };
-    assert_eq!(judge.suspect(&commits, now), None, "it has answered a commit since");
-    let nothing_waits = HealthSignals { oldest_commit: None, last_commit: Some(start), ..stuck };
-    assert_eq!(judge.suspect(&nothing_waits, now), None);
+    assert_eq!(detector.suspect(&commits, now), None, "it has acknowledged a commit since");
+    let none_waiting = HealthSignals { oldest_commit: None, last_commit: Some(start), ..stuck };
+    assert_eq!(detector.suspect(&none_waiting, now), None);
 }
