--- a/crates/core/src/confirmation.rs
+++ b/crates/core/src/confirmation.rs
@@ -1,9 +1,10 @@
 //! Decides when a commit that the primary has answered may be acknowledged to the client.
 //!
-//! An old primary that was cut off from the network still considers itself primary, so its answer alone proves
-//! nothing. A commit is confirmed once a majority of the group, including its primary, has reported *after* the
-//! commit that it still follows the commit's term and has flushed the log up to the commit. Any later primary needs
-//! the votes of a majority. At least one of those voters has the commit and votes for no instance that lacks it.
+//! An old primary that was cut off from the network still considers itself primary, so its answer
+//! alone proves nothing. A commit is confirmed once a majority of the group, including its primary,
+//! has reported *after* the commit that it still follows the commit's term and has flushed the log
+//! up to the commit. Any later primary needs the votes of a majority. At least one of those voters
+//! has the commit and votes for no instance that lacks it.
 
 use std::collections::BTreeSet;
 
@@ -22,9 +23,9 @@
     /// A majority still follows the commit's term. Only for a group that itself answers a commit
     /// after a quorum has flushed it.
     Term,
-    /// The primary has answered. Only for a group that answers a commit after synchronous replicas have received it
-    /// and whose primary is replaced by the proxy: the proxy stops the replicas before it has one of them promoted,
-    /// so a replaced primary answers no commit.
+    /// The primary has answered. Only for a group that answers a commit after synchronous replicas
+    /// have received it and whose primary is replaced by the proxy: the proxy stops the replicas
+    /// before it has one of them promoted, so a replaced primary answers no commit.
     Answered,
 }
 
@@ -57,7 +58,8 @@
     Waiting,
     /// Every later primary will have the commit.
     Confirmed,
-    /// A higher term exists and no majority has confirmed the commit, which can no longer be confirmed.
+    /// A higher term exists and no majority has confirmed the commit, which can no longer be
+    /// confirmed.
     Superseded(Term),
 }
 
@@ -71,8 +73,8 @@
 }
 
 impl Confirmation {
-    /// A commit at `position` that `primary` answered. Probes with numbers from `first_probe` on were sent after that
-    /// answer.
+    /// A commit at `position` that `primary` answered. Probes with numbers from `first_probe` on
+    /// were sent after that answer.
     pub fn new(
         primary: InstanceName,
         position: Position,
@@ -92,7 +94,8 @@
         self.first_probe
     }
 
-    /// Processes the report of an instance; `majority` is the number of instances that form the group's majority.
+    /// Processes the report of an instance; `majority` is the number of instances that form the
+    /// group's majority.
     pub fn on_flush_report(&mut self, evidence: FlushReport, majority: usize) -> Verdict {
         if self.counts(&evidence) {
             self.confirmed_by.insert(evidence.instance.clone());
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -1,9 +1,9 @@
-//! Decides whether a primary may receive writes, and how often its group is probed, for groups that elect their
-//! primary themselves.
+//! Decides whether a primary may receive writes, and how often its group is probed, for groups that
+//! elect their primary themselves.
 //!
-//! These rules follow the group's elections. A primary receives new writes only while no instance has reported a
-//! higher term and a majority has recently followed its term. Other writes could not be confirmed, so they
-//! are delayed instead of sent.
+//! These rules follow the group's elections. A primary receives new writes only while no instance
+//! has reported a higher term and a majority has recently followed its term. Other writes could not
+//! be confirmed, so they are delayed instead of sent.
 
 use std::time::{Duration, Instant};
 
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Time after which an unanswered probe means that the instance is silent, equivalent to three missed probes.
+    /// Time after which an unanswered probe means that the instance is silent, equivalent to three
+    /// missed probes.
     pub fn probe_timeout(self) -> Duration {
         match self {
             Self::Idle => Duration::from_millis(750),
@@ -83,8 +84,8 @@
         }
     }
 
-    /// How long ago a majority may last have followed the primary for it to receive writes. Longer than the probe
-    /// timeout, so that one late answer does not delay writes.
+    /// How long ago a majority may last have followed the primary for it to receive writes. Longer
+    /// than the probe timeout, so that one late answer does not delay writes.
     pub fn confirmation_limit(self) -> Duration {
         self.probe_interval().max(Self::Active.probe_interval()) + self.probe_timeout()
     }
@@ -92,7 +93,8 @@
 
 /// How long a group counts as active after its last statement.
 pub const ACTIVE_DURATION: Duration = Duration::from_secs(1);
-/// Longest duration of a search, so that a group that elects no primary is not probed at that pace forever.
+/// Longest duration of a search, so that a group that elects no primary is not probed at that pace
+/// forever.
 pub const SEARCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Derives the pace from the group's statements and the state of its primary.
@@ -108,8 +110,8 @@
         self.active_at = Some(now);
     }
 
-    /// A connection to the primary broke, the primary became silent, or a higher term without a known primary
-    /// appeared.
+    /// A connection to the primary broke, the primary became silent, or a higher term without a
+    /// known primary appeared.
     pub fn on_primary_lost(&mut self, now: Instant) {
         self.searching_since.get_or_insert(now);
     }
--- a/crates/core/src/primary_evidence.rs
+++ b/crates/core/src/primary_evidence.rs
@@ -1,24 +1,27 @@
 //! Evidence that no other primary acknowledges commits, which makes a read at the primary current.
 //!
-//! A replaced primary does not know that it was replaced and still serves reads, so a node needs evidence that
-//! its primary is the current one. The coordinator first stops the replicas, then waits until evidence has
-//! expired, then promotes (`promotion`). So a node that saw at T that the replicas were not stopped knows that no
-//! other primary acknowledges a commit before T + [`EVIDENCE_LIFETIME`], whatever happens to the node meanwhile:
-//! it may be suspended, cut off from the network, or not notified. T is the time at which the request was sent.
+//! A replaced primary does not know that it was replaced and still serves reads, so a node needs
+//! evidence that its primary is the current one. The coordinator first stops the replicas, then
+//! waits until evidence has expired, then promotes (`promotion`). So a node that saw at T that the
+//! replicas were not stopped knows that no other primary acknowledges a commit before T +
+//! [`EVIDENCE_LIFETIME`], whatever happens to the node meanwhile: it may be suspended, cut off from
+//! the network, or not notified. T is the time at which the request was sent.
 //!
 //! There are three kinds of evidence for the primary of a term:
 //!
 //! - a commit that the primary acknowledged after enough replicas had received it;
-//! - reports of all replicas, if each shows that the replica follows no higher term and has not been stopped above
-//!   the term: a successor is one of them, and never reports that again;
-//! - such reports of enough replicas ([`Replication::replicas_needed`]), if the store confirmed at about the same
-//!   time that no replacement is running ([`PrimaryEvidence::on_no_replacement`]). A promotion also releases
-//!   replicas that do not learn of it. Such a replica reports the same as before the replacement, and may
-//!   confirm the successor's commits a moment later. Without the store's confirmation its report would count
-//!   as evidence of the old primary on a node that cannot reach the store.
+//! - reports of all replicas, if each shows that the replica follows no higher term and has not
+//!   been stopped above the term: a successor is one of them, and never reports that again;
+//! - such reports of enough replicas ([`Replication::replicas_needed`]), if the store confirmed at
+//!   about the same time that no replacement is running ([`PrimaryEvidence::on_no_replacement`]). A
+//!   promotion also releases replicas that do not learn of it. Such a replica reports the same as
+//!   before the replacement, and may confirm the successor's commits a moment later. Without the
+//!   store's confirmation its report would count as evidence of the old primary on a node that
+//!   cannot reach the store.
 //!
-//! An attempt never stops replicas with the same term for two different successors. A read that arrived at A is
-//! current at the primary if A is covered; a read that may be up to D stale, if A - D is covered.
+//! An attempt never stops replicas with the same term for two different successors. A read that
+//! arrived at A is current at the primary if A is covered; a read that may be up to D stale is
+//! current enough if A - D is covered.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -28,15 +31,16 @@
 use crate::position::Term;
 use crate::promotion::ReplacementId;
 
-/// How long evidence covers reads that arrive. The coordinator waits that long after the replicas have been
-/// stopped, unless every node has revoked its evidence. A longer lifetime makes a failover slower when a node is
-/// unreachable; a shorter one costs more queries all the time.
+/// How long evidence covers reads that arrive. The coordinator waits that long after the replicas
+/// have been stopped, unless every node has revoked its evidence. A longer lifetime makes a
+/// failover slower when a node is unreachable; a shorter one costs more queries all the time.
 pub const EVIDENCE_LIFETIME: Duration = Duration::from_millis(1_000);
-/// The same for a node that the others do not know yet, so that the coordinator cannot wait for it to revoke its
-/// evidence. The coordinator always waits at least that long.
+/// The same for a node that the others do not know yet, so that the coordinator cannot wait for it
+/// to revoke its evidence. The coordinator always waits at least that long.
 pub const UNLISTED_EVIDENCE_LIFETIME: Duration = Duration::from_millis(200);
-/// Shortest time that the platform takes to promote an instance: 300 ms on current platforms, less a margin. A
-/// replacement releases no replica sooner than that after its intent was recorded in the store.
+/// Shortest time that the platform takes to promote an instance: 300 ms on current platforms, less
+/// a margin. A replacement releases no replica sooner than that after its intent was recorded in
+/// the store.
 pub const MIN_PROMOTION_TIME: Duration = Duration::from_millis(100);
 
 /// A node's evidence about one group's primary.
@@ -76,17 +80,18 @@
 }
 
 impl ReplicaTerms {
-    /// The lowest term for whose primary the report is evidence: the replica has received no commit of a higher
-    /// term, and no coordinator has stopped it for a promotion to a higher term. It does not matter whether the
-    /// replica knows that primary, because promotions also release replicas that do not learn of them.
+    /// The lowest term for whose primary the report is evidence: the replica has received no commit
+    /// of a higher term, and no coordinator has stopped it for a promotion to a higher term. It
+    /// does not matter whether the replica knows that primary, because promotions also release
+    /// replicas that do not learn of them.
     pub fn supported_term(&self) -> Term {
         self.term.max(self.min_term)
     }
 }
 
 impl PrimaryEvidence {
-    /// Advances to `term` if it is higher, and discards the evidence of lower terms. Returns whether `term` is now
-    /// the current one.
+    /// Advances to `term` if it is higher, and discards the evidence of lower terms. Returns
+    /// whether `term` is now the current one.
     fn advance_term(&mut self, term: Term) -> bool {
         if term > self.term {
             self.term = term;
@@ -97,16 +102,17 @@
         term == self.term
     }
 
-    /// The primary of `term` acknowledged a commit that was sent at `sent`, after synchronous replicas had
-    /// received it.
+    /// The primary of `term` acknowledged a commit that was sent at `sent`, after synchronous
+    /// replicas had received it.
     pub fn on_commit(&mut self, term: Term, sent: Instant) {
         if self.advance_term(term) {
             self.last_commit = self.last_commit.max(Some(sent));
         }
     }
 
-    /// An instance has led `term`, according to its own report or the store. Evidence for primaries of lower terms
-    /// no longer counts. The reports of replicas are kept, since the replicas may not know that instance.
+    /// An instance has led `term`, according to its own report or the store. Evidence for primaries
+    /// of lower terms no longer counts. The reports of replicas are kept, since the replicas may
+    /// not know that instance.
     pub fn on_term_led(&mut self, term: Term) {
         self.highest_led_otherwise = self.highest_led_otherwise.max(term);
     }
@@ -131,8 +137,8 @@
         }
     }
 
-    /// The store, queried at `asked`, showed no replacement of the primary that this node uses, neither running nor
-    /// finished.
+    /// The store, queried at `asked`, showed no replacement of the primary that this node uses,
+    /// neither running nor finished.
     pub fn on_no_replacement(&mut self, asked: Instant) {
         self.no_replacement_at = self.no_replacement_at.max(Some(asked));
     }
@@ -161,15 +167,16 @@
         reported.fold(self.term, Term::max)
     }
 
-    /// Highest term that an instance is known to have led, whether or not there is evidence for it. A higher
-    /// minimum term of stopped replicas does not count: it only shows that a promotion is being prepared.
+    /// Highest term that an instance is known to have led, whether or not there is evidence for it.
+    /// A higher minimum term of stopped replicas does not count: it only shows that a promotion is
+    /// being prepared.
     pub fn highest_led(&self) -> Term {
         self.term.max(self.highest_led_otherwise)
     }
 
-    /// Revokes the evidence, and accepts no other evidence of the current term, until the running replacement has
-    /// finished. Evidence of the successor's term counts, unless the node knows no term yet: then no
-    /// evidence counts.
+    /// Revokes the evidence, and accepts no other evidence of the current term, until the running
+    /// replacement has finished. Evidence of the successor's term counts, unless the node knows no
+    /// term yet: then no evidence counts.
     pub fn revoke(&mut self, id: ReplacementId) {
         if self.revoked.is_none_or(|(known, _)| known != id) {
             self.revoked = Some((id, self.term));
@@ -177,9 +184,10 @@
         }
     }
 
-    /// Discards the evidence because a connection to the group broke: the process that gave the evidence may be
-    /// gone. A primary that crashed may return and serve reads while a replacement is running that did not
-    /// wait for evidence to expire because the primary refused connections. New evidence counts.
+    /// Discards the evidence because a connection to the group broke: the process that gave the
+    /// evidence may be gone. A primary that crashed may return and serve reads while a replacement
+    /// is running that did not wait for evidence to expire because the primary refused connections.
+    /// New evidence counts.
     pub fn discard(&mut self) {
         self.last_commit = None;
         self.replicas.clear();
@@ -193,8 +201,9 @@
         }
     }
 
-    /// Whether a primary that is known to lead `term` is an old one, because a higher term was seen. Replicas
-    /// usually reject its commits, but a replica that restarted without its log no longer knows the higher term.
+    /// Whether a primary that is known to lead `term` is an old one, because a higher term was
+    /// seen. Replicas usually reject its commits, but a replica that restarted without its log no
+    /// longer knows the higher term.
     pub fn is_outdated(&self, term: Option<Term>) -> bool {
         term.is_some_and(|term| term < self.term().max(self.highest_led_otherwise))
     }
@@ -209,8 +218,8 @@
         self.revoked.map(|(id, _)| id)
     }
 
-    /// Until when evidence with the given lifetime covers reads that arrive at the primary of `term`; `None` if
-    /// there is no evidence for that primary.
+    /// Until when evidence with the given lifetime covers reads that arrive at the primary of
+    /// `term`; `None` if there is no evidence for that primary.
     pub fn covers_until(
         &self,
         term: Term,
@@ -224,9 +233,9 @@
         by_commit.max(self.confirmed_by_replicas_at(term, group)).map(|seen| seen + lifetime)
     }
 
-    /// Whether a commit that the primary of `term` acknowledged at `answered` is known to be safe: replicas that were
-    /// queried after that show that no promotion was being prepared. For nodes that are not notified of
-    /// replacements.
+    /// Whether a commit that the primary of `term` acknowledged at `answered` is known to be safe:
+    /// replicas that were queried after that show that no promotion was being prepared. For nodes
+    /// that are not notified of replacements.
     pub fn confirms_commit(&self, term: Term, group: Replication, answered: Instant) -> bool {
         self.may_cover(term)
             && self.confirmed_by_replicas_at(term, group).is_some_and(|asked| asked >= answered)
@@ -241,7 +250,8 @@
         by_all.max(by_enough)
     }
 
-    /// Until when arriving reads would be covered if the store confirmed now that no replacement is running.
+    /// Until when arriving reads would be covered if the store confirmed now that no replacement is
+    /// running.
     pub fn would_cover_until(
         &self,
         term: Term,
@@ -254,21 +264,22 @@
         self.oldest_of_newest(group.replicas_needed(), term, |_| true).map(|seen| seen + lifetime)
     }
 
-    /// Whether evidence for `term` can count: no higher term is known and the evidence was not revoked.
+    /// Whether evidence for `term` can count: no higher term is known and the evidence was not
+    /// revoked.
     fn may_cover(&self, term: Term) -> bool {
         let unknown = Term::default();
         let is_revoked = self.revoked.is_some_and(|(_, until)| term <= until || until == unknown);
         term >= self.term.max(self.highest_led_otherwise) && !is_revoked
     }
 
-    /// Whether the store's confirmation shows that no replacement can have released the replica before it
-    /// answered.
+    /// Whether the store's confirmation shows that no replacement can have released the replica
+    /// before it answered.
     fn is_confirmed_by_store(&self, report: &ReplicaReport) -> bool {
         self.no_replacement_at.is_some_and(|asked| report.answered <= asked + MIN_PROMOTION_TIME)
     }
 
-    /// Of the `count` most recently queried replicas that are evidence for `term`, the time of the oldest query;
-    /// `None` if there are fewer.
+    /// Of the `count` most recently queried replicas that are evidence for `term`, the time of the
+    /// oldest query; `None` if there are fewer.
     fn oldest_of_newest(
         &self,
         count: usize,
@@ -298,19 +309,21 @@
         self.instances.saturating_sub(1)
     }
 
-    /// How many replicas must show that no other primary acknowledges commits. At least as many as are
-    /// synchronous, so that a coordinator has to stop one of them; and so many that another primary does not find
-    /// enough replicas among the rest, since a replica that does not learn of it follows the old primary.
+    /// How many replicas must show that no other primary acknowledges commits. At least as many as
+    /// are synchronous, so that a coordinator has to stop one of them; and so many that another
+    /// primary does not find enough replicas among the rest, since a replica that does not learn of
+    /// it follows the old primary.
     pub fn replicas_needed(&self) -> usize {
         let synchronous = self.synchronous as usize;
         self.replicas().saturating_sub(synchronous).max(synchronous).max(1)
     }
 }
 
-/// Tracks whether a session's transaction has written, to tell which answers acknowledge a commit of writes.
+/// Tracks whether a session's transaction has written, to tell which answers acknowledge a commit
+/// of writes.
 ///
-/// Only such a commit is evidence. A commit without writes waits for no replica, so an old primary acknowledges it
-/// as well.
+/// Only such a commit is evidence. A commit without writes waits for no replica, so an old primary
+/// acknowledges it as well.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TransactionWrites {
     in_transaction: bool,
@@ -318,8 +331,8 @@
 }
 
 impl TransactionWrites {
-    /// An exchange was answered; `open` tells whether a transaction is open after it. Returns whether the answer
-    /// acknowledges a commit of writes.
+    /// An exchange was answered; `open` tells whether a transaction is open after it. Returns
+    /// whether the answer acknowledges a commit of writes.
     pub fn on_answer(&mut self, class: StatementClass, failed: bool, open: bool) -> bool {
         let writes = class == StatementClass::Write && !failed;
         let commits = class == StatementClass::Commit && !failed;
--- a/crates/core/src/primary_samples.rs
+++ b/crates/core/src/primary_samples.rs
@@ -1,8 +1,9 @@
-//! Positions that a group's primary reported, from which the position that a read requires is derived.
+//! Positions that a group's primary reported, from which the position that a read requires is
+//! derived.
 //!
-//! A position that the primary reported in answer to a query sent at T covers every commit that was acknowledged
-//! before T. So a read that arrived at A and may be up to D stale can run on any instance whose log has reached a
-//! position that was queried at A - D or later.
+//! A position that the primary reported in answer to a query sent at T covers every commit that was
+//! acknowledged before T. So a read that arrived at A and may be up to D stale can run on any
+//! instance whose log has reached a position that was queried at A - D or later.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -11,7 +12,8 @@
 
 /// Number of positions that are kept.
 const MAX_SAMPLES: usize = 128;
-/// Shortest time between two kept positions, so that frequent answers do not shorten the time that they span.
+/// Shortest time between two kept positions, so that frequent answers do not shorten the time that
+/// they span.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(40);
 
 #[derive(Clone, Copy, Debug)]
@@ -52,8 +54,8 @@
         }
     }
 
-    /// The lowest known position that covers every commit acknowledged before `moment`, reported by a primary for
-    /// which evidence covers arrivals until `covered_until`.
+    /// The lowest known position that covers every commit acknowledged before `moment`, reported by
+    /// a primary for which evidence covers arrivals until `covered_until`.
     pub fn covering(&self, moment: Instant, covered_until: Instant) -> Option<Position> {
         let mut samples = self.samples.iter();
         let sample = samples.find(|sample| sample.asked >= moment && sample.asked <= covered_until);
--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -1,4 +1,5 @@
-//! The state machine of one attempt: which phase follows which. The submodules implement the phases.
+//! The state machine of one attempt: which phase follows which. The submodules implement the
+//! phases.
 
 mod events;
 mod incarnations;
@@ -39,8 +40,8 @@
     phase: Phase,
     /// Members at whose addresses other instances answer.
     displaced: BTreeSet<InstanceName>,
-    /// Members that were leaving, whose entries have disappeared, and that refuse connections: they have
-    /// terminated, and their logs are lost.
+    /// Members that were leaving, whose entries have disappeared, and that refuse connections: they
+    /// have terminated, and their logs are lost.
     ended: BTreeSet<InstanceName>,
     /// Other members that report that they are primary.
     other_primaries: OtherPrimaries,
@@ -48,16 +49,17 @@
     submitted: Option<Intent>,
     /// The intent that is in the store.
     recorded: Option<Intent>,
-    /// Number of promotions that this coordinator or an earlier one has sent and the platform has not
-    /// refused. Each may still take effect.
+    /// Number of promotions that this coordinator or an earlier one has sent and the platform has
+    /// not refused. Each may still take effect.
     sent_promotions: u32,
     still_needed: bool,
     /// Highest term seen.
     highest_term: Term,
-    /// The minimum term of stopped replicas, which is the term of the promotion.
+    /// The minimum term with which this attempt stops replicas.
     stop_term: Term,
-    /// Replicas that have reported their status. A replica is only stopped after that, so that a replica which
-    /// another coordinator stopped with the same term does not count as stopped by this attempt.
+    /// Replicas that have reported their status. A replica is only stopped after that, so that a
+    /// replica which another coordinator stopped with the same term does not count as stopped by
+    /// this attempt.
     reported: BTreeSet<InstanceName>,
     stopped: BTreeMap<InstanceName, Stopped>,
     /// Whether the last primary is now one of the replicas, if no old primary is known.
@@ -74,14 +76,16 @@
     old_primary_state: OldPrimaryState,
     /// Whether every node has revoked its evidence.
     evidence_revoked: bool,
-    /// Replicas that did not run when they were to be promoted, and when the platform reported that.
+    /// Replicas that did not run when they were to be promoted, and when the platform reported
+    /// that.
     not_running: BTreeMap<InstanceName, Instant>,
     chosen: Option<InstanceName>,
-    /// The chosen instance, once it has reported itself that it is primary. The store may be down, and then
-    /// cannot show that.
+    /// The chosen instance, once it has reported itself that it is primary. The store may be down
+    /// and so may not show it.
     reported_successor: Option<Successor>,
-    /// Whether this attempt chose another instance earlier. If that instance becomes primary after all, the
-    /// replicas are stopped with a minimum term above its term and do not follow it until they are released.
+    /// Whether this attempt chose another instance earlier. If that instance becomes primary after
+    /// all, the replicas are stopped with a minimum term above its term and do not follow it until
+    /// they are released.
     target_changed: bool,
     last_sent: BTreeMap<(InstanceName, RetriedCommand), Instant>,
 }
@@ -96,7 +100,8 @@
 }
 
 impl Attempt {
-    /// An attempt that begins because of `need`; `highest_term` is the highest term known of the group.
+    /// An attempt that begins because of `need`; `highest_term` is the highest term known of the
+    /// group.
     pub fn new(
         coordinator: NodeName,
         id: ReplacementId,
@@ -113,7 +118,8 @@
             ..
         } = need.clone();
         let last_primary_is_replica = need.last_primary_is_replica;
-        // An instance that reports to be primary may be the one that the earlier coordinator had promoted.
+        // An instance that reports to be primary may be the one that the earlier coordinator had
+        // promoted.
         let outdated = match promoting || reason == Reason::Unfinished {
             true => BTreeSet::new(),
             false => claimed_primaries(&members, former.as_ref()),
@@ -195,12 +201,14 @@
         self.chosen.is_some()
     }
 
-    /// Whether a promotion may take effect or have taken effect, so that the attempt cannot be cancelled.
+    /// Whether a promotion may take effect or have taken effect, so that the attempt cannot be
+    /// cancelled.
     fn may_have_promoted(&self) -> bool {
         self.sent_promotions > 0
     }
 
-    /// Advances through as many phases as the current knowledge allows, and returns the commands to carry out.
+    /// Advances through as many phases as the current knowledge allows, and returns the commands to
+    /// carry out.
     pub fn step(&mut self, now: Instant) -> Vec<Command> {
         let mut commands = Vec::new();
         loop {
@@ -223,7 +231,8 @@
             Phase::Over => {}
             Phase::Settling { until } => self.settle(until, now, commands),
             Phase::Cancelling { until } => self.cancel(until, now, commands),
-            // The instance that this coordinator or an earlier one had promoted is the primary from now on.
+            // The instance that this coordinator or an earlier one had promoted is the primary from
+            // now on.
             _ if successor.is_some() => {
                 self.chosen = successor;
                 commands.extend(self.chosen.clone().map(Command::RecordSuccessor));
@@ -231,12 +240,13 @@
             }
             Phase::Promoting { again } => {
                 self.query_other_primaries(now, commands);
-                // An old primary that was unreachable when the promotion was sent may return as a primary at any
-                // time until the successor is primary, and would acknowledge commits through replicas that the
-                // promotion releases.
+                // An old primary that was unreachable when the promotion was sent may return as a
+                // primary at any time until the successor is primary, and would acknowledge commits
+                // through replicas that the promotion releases.
                 self.demote_old_primary(now, commands);
                 self.query_old_primary_if_chosen(now, commands);
-                // Replicas may have restarted meanwhile, and a restarted replica is no longer stopped.
+                // Replicas may have restarted meanwhile, and a restarted replica is no longer
+                // stopped.
                 if now >= again {
                     self.set_stopped_since(Some(now));
                     self.phase = Phase::Checking;
@@ -279,8 +289,8 @@
         }
     }
 
-    /// The replicas that may run, including the old primary once it is a replica. A member at whose address
-    /// another member answers has terminated: its log is lost, or that member has it.
+    /// The replicas that may run, including the old primary once it is a replica. A member at whose
+    /// address another member answers has terminated: its log is lost, or that member has it.
     fn replicas(&self) -> Vec<Member> {
         let primary = self.old_primary().filter(|_| !self.old_primary_state.is_replica);
         let replicas = self.members.replicas(primary);
@@ -292,9 +302,9 @@
         is_displaced || self.ended.contains(&member.name)
     }
 
-    /// How many replicas must be stopped, whether or not the old primary is one of them. Never more than still
-    /// have their logs: the attempt does not wait for an old primary that is permanently gone or has lost its
-    /// log as well.
+    /// How many replicas must be stopped, whether or not the old primary is one of them. Never more
+    /// than still have their logs: the attempt does not wait for an old primary that is permanently
+    /// gone or has lost its log as well.
     fn required_stops(&self) -> usize {
         let replicas = self.replicas();
         let other_replicas = match self.old_primary() {
--- a/crates/core/src/promotion/attempt/events.rs
+++ b/crates/core/src/promotion/attempt/events.rs
@@ -1,4 +1,5 @@
-//! Processes the events of an attempt: reports of the instances, the platform, the store and the nodes.
+//! Processes the events of an attempt: reports of the instances, the platform, the store and the
+//! nodes.
 
 use std::time::Instant;
 
@@ -43,7 +44,8 @@
                     matches!(self.phase, Phase::Settling { .. } | Phase::Cancelling { .. });
                 match is_finishing {
                     true => self.releases.on_released(instance),
-                    // The attempt continues: the replica was released to receive its lost log again.
+                    // The attempt continues: the replica was released to receive its lost log
+                    // again.
                     false => self.releases.on_released_early(&instance),
                 }
             }
@@ -58,9 +60,10 @@
         }
     }
 
-    /// Processes the reports received so far; `nodes` are those that may read at the old primary. Ignored until
-    /// the intent is recorded, because the coordinator's list of nodes may be stale before that: it may lack a node
-    /// that has registered since, and that relies on the coordinator to wait for its evidence to expire.
+    /// Processes the reports received so far; `nodes` are those that may read at the old primary.
+    /// Ignored until the intent is recorded, because the coordinator's list of nodes may be stale
+    /// before that: it may lack a node that has registered since, and that relies on the
+    /// coordinator to wait for its evidence to expire.
     pub fn on_reports(&mut self, reports: &RestartReports, nodes: &[NodeName], now: Instant) {
         if self.phase == Phase::Recording {
             return;
@@ -85,7 +88,8 @@
         };
     }
 
-    /// Discards what restarted instances reported before: they have lost their logs and are no longer stopped.
+    /// Discards what restarted instances reported before: they have lost their logs and are no
+    /// longer stopped.
     fn forget_restarted(&mut self, members: &Members, now: Instant) {
         let before = |name| self.members.get(name).and_then(|before| before.incarnation);
         let restarted: Vec<InstanceName> = members
@@ -99,9 +103,9 @@
             self.stopped.remove(name);
             let was_promoted = self.chosen.as_ref() == Some(name);
             if was_promoted && !matches!(self.phase, Phase::Settling { .. } | Phase::Over) {
-                // The process that was to be promoted is gone, and with it the log for which it was chosen. It
-                // may have been primary, so the attempt must not end here: nodes would let the old primary
-                // acknowledge commits after a promotion.
+                // The process that was to be promoted is gone, and with it the log for which it was
+                // chosen. It may have been primary, so the attempt must not end here: nodes would
+                // let the old primary acknowledge commits after a promotion.
                 self.discard_choice(now);
             }
         }
@@ -138,11 +142,12 @@
         } else {
             self.classify_other_primary(&instance, &status);
         }
-        // An instance runs again if it answers a query that was sent some time after the platform reported that
-        // it did not run.
+        // An instance runs again if it answers a query that was sent some time after the platform
+        // reported that it did not run.
         let delay = self.timing.retry_interval;
         self.not_running.retain(|name, reported| *name != instance || sent < *reported + delay);
-        // A stop has no effect if a primary leads its minimum term: the replica still accepts replication.
+        // A stop has no effect if an instance has led its minimum term: the replica still accepts
+        // replication.
         let led = status.term.max(status.received.term);
         let stopped_before =
             self.reported.insert(instance.clone()) && status.min_term >= self.stop_term;
@@ -164,8 +169,9 @@
         }
     }
 
-    /// The chosen instance reports that it is primary. If the old primary was chosen, the report counts only if
-    /// it is newer than the one that showed it as a replica: it may be from before the old primary stepped down.
+    /// The chosen instance reports that it is primary. If the old primary was chosen, the report
+    /// counts only if it is newer than the one that showed it as a replica: it may be from before
+    /// the old primary stepped down.
     fn on_chosen_is_primary(&mut self, instance: InstanceName, term: Term, sent: Instant) {
         let is_newest =
             self.old_primary_state.last_answered.is_none_or(|answered| sent >= answered);
--- a/crates/core/src/promotion/attempt/incarnations.rs
+++ b/crates/core/src/promotion/attempt/incarnations.rs
@@ -1,8 +1,9 @@
 //! Decides which instances still have their logs.
 //!
-//! A restarted instance has lost the log that it had received. The coordinator's copy of the store may not show
-//! the restart yet, so the store is read again once enough replicas have been stopped. An instance that reports
-//! a lower position than before has lost its log, whatever the store shows.
+//! A restarted instance has lost the log that it had received. The coordinator's copy of the store
+//! may not show the restart yet, so the store is read again once enough replicas have been stopped.
+//! An instance that reports a lower position than before has lost its log, whatever the store
+//! shows.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -13,7 +14,8 @@
 use crate::position::Position;
 use crate::promotion::{CombinedReport, Command, Member, ObservedRestart, ReplicationStatus};
 
-/// Time after which an attempt no longer waits for an answer of the store. Store requests time out earlier.
+/// Time after which an attempt no longer waits for an answer of the store. Store requests time out
+/// earlier.
 const STORE_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What is known about restarts, in addition to the members' entries.
@@ -72,8 +74,8 @@
 }
 
 impl Attempt {
-    /// Whether the store has answered a request that was sent after enough replicas were stopped. If not, a
-    /// request is sent, unless one is pending.
+    /// Whether the store has answered a request that was sent after enough replicas were stopped.
+    /// If not, a request is sent, unless one is pending.
     pub(super) fn has_current_incarnations(
         &mut self,
         now: Instant,
@@ -96,16 +98,17 @@
         false
     }
 
-    /// Whether an instance's position can be compared: it still has every commit that it received, or has received
-    /// again what it lost, or all instances have lost their logs.
+    /// Whether an instance's position can be compared: it still has every commit that it received,
+    /// or has received again what it lost, or all instances have lost their logs.
     pub(super) fn has_usable_log(&self, name: &InstanceName) -> bool {
         self.members
             .get(name)
             .is_some_and(|member| self.has_intact_log(member) || self.all_logs_lost())
     }
 
-    /// Marks an instance whose restart all nodes have observed as refilled once it has received the log up to the
-    /// highest position that any node knows: no node has acknowledged a commit beyond that position.
+    /// Marks an instance whose restart all nodes have observed as refilled once it has received the
+    /// log up to the highest position that any node knows: no node has acknowledged a commit beyond
+    /// that position.
     pub(super) fn compare_with_combined_report(
         &mut self,
         instance: &InstanceName,
--- a/crates/core/src/promotion/attempt/old_primary.rs
+++ b/crates/core/src/promotion/attempt/old_primary.rs
@@ -11,16 +11,16 @@
 pub(super) struct OldPrimaryState {
     /// When it last refused a connection.
     pub last_refused: Option<Instant>,
-    /// Whether it last reported that it is a replica. It then counts as one of the replicas, and has every commit
-    /// that it acknowledged.
+    /// Whether it last reported that it is a replica. It then counts as one of the replicas, and
+    /// has every commit that it acknowledged.
     pub is_replica: bool,
     /// When the query was sent that it last answered.
     pub last_answered: Option<Instant>,
 }
 
 impl Attempt {
-    /// Queries the old primary if it was chosen again. It has to report itself that it is primary, since the role
-    /// that the platform shows may be from before it stepped down.
+    /// Queries the old primary if it was chosen again. It has to report itself that it is primary,
+    /// since the role that the platform shows may be from before it stepped down.
     pub(super) fn query_old_primary_if_chosen(
         &mut self,
         now: Instant,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Whether the old primary may still be primary. If it has refused a connection after `since`, when the
-    /// successor was known, it returns as a replica.
+    /// Whether the old primary may still be primary. If it has refused a connection after `since`,
+    /// when the successor was known, it returns as a replica.
     pub(super) fn old_primary_may_lead(&self, since: Instant) -> bool {
         let old_primary = self.old_primary().and_then(|name| self.members.get(name));
         let is_down = self.old_primary_state.last_refused.is_some_and(|refused| refused >= since);
--- a/crates/core/src/promotion/attempt/other_primaries.rs
+++ b/crates/core/src/promotion/attempt/other_primaries.rs
@@ -1,4 +1,5 @@
-//! Members other than the old primary that report to be primary: the successor, or earlier primaries.
+//! Members other than the old primary that report to be primary: the successor, or earlier
+//! primaries.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -11,13 +12,14 @@
 /// What is known of the members that report to be primary and have not been chosen.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OtherPrimaries {
-    /// Members that reported to be primary when the attempt began. They were primary before the old primary was,
-    /// and cannot be its successor until they have stopped reporting so.
+    /// Members that reported to be primary when the attempt began. They were primary before the old
+    /// primary was, and cannot be its successor until they have stopped reporting so.
     pub outdated: BTreeSet<InstanceName>,
-    /// Members that reported, after a promotion was sent, that they lead a term not below the one that the replicas
-    /// are stopped with: the platform has promoted them.
+    /// Members that reported, after a promotion was sent, that they lead a term not below the one
+    /// that the replicas are stopped with: the platform has promoted them.
     promoted: BTreeSet<InstanceName>,
-    /// Members that reported then that they lead a lower term: old primaries that restarted under other names.
+    /// Members that reported then that they lead a lower term: old primaries that restarted under
+    /// other names.
     pub returned: BTreeSet<InstanceName>,
 }
 
@@ -39,10 +41,10 @@
         member.or_else(|| Some(self.reported_successor.clone()?.instance))
     }
 
-    /// Whether a member that reports to be primary can be the successor. Once an instance has been chosen, this
-    /// is the chosen one, or another one whose term shows that it was promoted. An old primary that
-    /// restarted under another name must not be taken for the successor: it would acknowledge writes that the
-    /// promotion rolls back.
+    /// Whether a member that reports to be primary can be the successor. Once an instance has been
+    /// chosen, this is the chosen one, or another one whose term shows that it was promoted. An old
+    /// primary that restarted under another name must not be taken for the successor: it would
+    /// acknowledge writes that the promotion rolls back.
     fn may_succeed(&self, name: &InstanceName) -> bool {
         match &self.chosen {
             Some(chosen) => chosen == name || self.other_primaries.promoted.contains(name),
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Queries the term of members other than the chosen one that report to be primary, and demotes those that
-    /// lead an old term.
+    /// Queries the term of members other than the chosen one that report to be primary, and demotes
+    /// those that lead an old term.
     pub(super) fn query_other_primaries(&mut self, now: Instant, commands: &mut Vec<Command>) {
         let primaries = claimed_primaries(&self.members, self.old_primary());
         let other = |name: &&InstanceName| {
--- a/crates/core/src/promotion/attempt/promoting.rs
+++ b/crates/core/src/promotion/attempt/promoting.rs
@@ -1,4 +1,5 @@
-//! Stops the replicas, compares their positions, and has one promoted that has every acknowledged commit.
+//! Stops the replicas, compares their positions, and has one promoted that has every acknowledged
+//! commit.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,11 +10,11 @@
 use crate::promotion::{Command, Phase, Reason};
 
 impl Attempt {
-    /// Stops the replicas until enough of them are stopped. Cancels the attempt if that takes too long while the
-    /// old primary works.
+    /// Stops the replicas until enough of them are stopped. Cancels the attempt if that takes too
+    /// long while the old primary works.
     pub(super) fn stop(&mut self, since: Instant, now: Instant, commands: &mut Vec<Command>) {
-        // A primary that answers can still serve reads, and if it lacks replicas that receive, stopping more of
-        // them does not help.
+        // A primary that answers can still serve reads, and if it lacks replicas that receive,
+        // stopping more of them does not help.
         let answers = self
             .old_primary_state
             .last_answered
@@ -66,14 +67,16 @@
             self.intent.promoting = true;
             self.record_intent(commands);
             self.has_current_incarnations(now, commands);
-            // Query the old primary at once: if it refuses connections now, there is no need to wait.
+            // Query the old primary at once: if it refuses connections now, there is no need to
+            // wait.
             self.last_sent.retain(|(instance, _), _| Some(instance) != self.intent.former.as_ref());
             self.query_old_primary(now, commands);
         }
     }
 
-    /// A replica that has lost its log does not count as stopped, and has to accept replication again. It is
-    /// released, since a stop that was sent before its restart may have arrived after it.
+    /// A replica that has lost its log does not count as stopped, and has to accept replication
+    /// again. It is released, since a stop that was sent before its restart may have arrived after
+    /// it.
     fn allow_refill(&mut self, replica: &InstanceName, now: Instant, commands: &mut Vec<Command>) {
         self.stopped.remove(replica);
         self.send(replica, RetriedCommand::QueryStatus, now, commands, Command::QueryStatus);
@@ -82,14 +85,15 @@
         }
     }
 
-    /// Whether one of the stopped replicas has every acknowledged commit, and no further commit can be
-    /// acknowledged.
+    /// Whether one of the stopped replicas has every acknowledged commit, and no further commit can
+    /// be acknowledged.
     fn enough_stopped(&self) -> bool {
         let stopped = self.stopped.keys().filter(|name| self.has_usable_log(name)).count();
         self.members.knows_restarts && stopped >= self.required_stops()
     }
 
-    /// Has the stopped replicas confirm again that they are stopped, and promotes one once enough have.
+    /// Has the stopped replicas confirm again that they are stopped, and promotes one once enough
+    /// have.
     pub(super) fn check(&mut self, now: Instant, commands: &mut Vec<Command>) {
         if !self.enough_stopped() {
             self.set_stopped_since(None);
@@ -103,8 +107,8 @@
         if !self.has_current_incarnations(now, commands) {
             return;
         }
-        // Queried after the incarnations were read: a replica that has restarted since then reports that it is
-        // not stopped.
+        // Queried after the incarnations were read: a replica that has restarted since then reports
+        // that it is not stopped.
         let since = self.begin_checks(now);
         let unchecked: Vec<InstanceName> = self
             .stopped
@@ -115,8 +119,9 @@
         let has_confirmed =
             |name: &&InstanceName| !unchecked.contains(name) && self.has_usable_log(name);
         let checked = self.stopped.keys().filter(has_confirmed).count();
-        // Required even if the old primary refuses connections: the replica to be promoted may lose its log
-        // before the promotion, and then the other stopped replicas have the acknowledged commits.
+        // Required even if the old primary refuses connections: the replica to be promoted may lose
+        // its log before the promotion, and then the other stopped replicas have the acknowledged
+        // commits.
         if checked >= self.required_stops() {
             self.promote(now, commands);
             return;
@@ -126,8 +131,8 @@
         }
     }
 
-    /// When the current check began. The first queries of a check are sent at once, even if the replicas were
-    /// queried within the retry interval, because writes wait for the promotion.
+    /// When the current check began. The first queries of a check are sent at once, even if the
+    /// replicas were queried within the retry interval, because writes wait for the promotion.
     fn begin_checks(&mut self, now: Instant) -> Instant {
         if self.checks_since.is_none() {
             self.last_sent.retain(|(_, kind), _| *kind != RetriedCommand::QueryStatus);
@@ -149,16 +154,18 @@
             return self.discard_choice(now);
         }
         let chosen = self.chosen.get_or_insert(best).clone();
-        // The promotion releases replicas that do not learn of the successor. If the successor crashes at once,
-        // they would follow an old primary that has not stepped down, and it would acknowledge commits.
+        // The promotion releases replicas that do not learn of the successor. If the successor
+        // crashes at once, they would follow an old primary that has not stepped down, and it would
+        // acknowledge commits.
         self.demote_old_primary(now, commands);
         self.phase = Phase::Promoting { again: now + self.timing.announcement_timeout };
         self.sent_promotions += 1;
         commands.push(Command::Promote(chosen));
     }
 
-    /// Whether a planned replacement would promote an instance that is leaving as well, while another one that
-    /// stays only has to receive the rest of the log. The promoted one would have to be replaced again.
+    /// Whether a planned replacement would promote an instance that is leaving as well, while
+    /// another one that stays only has to receive the rest of the log. The promoted one would have
+    /// to be replaced again.
     fn would_need_another_replacement(&self, best: &InstanceName) -> bool {
         let is_planned = self.intent.reason == Reason::Leaving && !self.may_have_promoted();
         let mut replicas = self.members.replicas(self.intent.former.as_ref());
@@ -170,8 +177,9 @@
         self.members.get(name).is_none_or(|member| member.leaving)
     }
 
-    /// Whether the instance that was chosen earlier still has the highest position. If not, `best` was no longer
-    /// stopped for some time, and may be the only replica that has some acknowledged commits.
+    /// Whether the instance that was chosen earlier still has the highest position. If not, `best`
+    /// was no longer stopped for some time, and may be the only replica that has some acknowledged
+    /// commits.
     fn matches_best_position(&self, chosen: &InstanceName, best: &InstanceName) -> bool {
         let position = |name: &InstanceName| {
             self.stopped.get(name).map(|stopped| (stopped.received.term, stopped.received.offset))
@@ -179,9 +187,9 @@
         position(chosen) == position(best)
     }
 
-    /// Stops the replicas again with a higher term and chooses again. Nodes accept replicas that were stopped for
-    /// a promotion as evidence for the instance that leads that term, and the earlier choice may still become
-    /// primary with it.
+    /// Stops the replicas again with a higher term and chooses again. Nodes accept replicas that
+    /// were stopped for a promotion as evidence for the instance that leads that term, and the
+    /// earlier choice may still become primary with it.
     pub(super) fn discard_choice(&mut self, now: Instant) {
         self.chosen = None;
         self.reported_successor = None;
@@ -191,8 +199,9 @@
         self.phase = Phase::Stopping { since: now };
     }
 
-    /// The stopped replica with the highest position; among equals one that is not leaving. The old primary is
-    /// considered only if the other replicas are not enough, because there is a reason to replace it.
+    /// The stopped replica with the highest position; among equals one that is not leaving. The old
+    /// primary is considered only if the other replicas are not enough, because there is a reason
+    /// to replace it.
     fn best(&self) -> Option<InstanceName> {
         let old_primary = self.intent.former.as_ref();
         let others: BTreeMap<&InstanceName, &Stopped> =
--- a/crates/core/src/promotion/attempt/releases.rs
+++ b/crates/core/src/promotion/attempt/releases.rs
@@ -28,12 +28,14 @@
         self.stop_sent.insert(replica);
     }
 
-    /// Whether this attempt has sent a stop to a replica and has not released it for a refill since.
+    /// Whether this attempt has sent a stop to a replica and has not released it for a refill
+    /// since.
     pub fn is_stop_sent(&self, replica: &InstanceName) -> bool {
         self.stop_sent.contains(replica)
     }
 
-    /// A replica was released while the attempt continues, so that it can receive its lost log again.
+    /// A replica was released while the attempt continues, so that it can receive its lost log
+    /// again.
     pub fn on_released_early(&mut self, replica: &InstanceName) {
         self.stop_sent.remove(replica);
     }
@@ -51,8 +53,8 @@
 }
 
 impl Attempt {
-    /// Replicas that may still be stopped, including those whose answer was lost and those that an earlier
-    /// coordinator stopped.
+    /// Replicas that may still be stopped, including those whose answer was lost and those that an
+    /// earlier coordinator stopped.
     fn to_release(&self) -> Vec<InstanceName> {
         let mut replicas: BTreeSet<InstanceName> =
             self.replicas().into_iter().map(|replica| replica.name).collect();
@@ -62,8 +64,9 @@
         replicas.into_iter().collect()
     }
 
-    /// The old primary, if it is reported as a replica. An earlier coordinator may have stopped it as one, and
-    /// unless it is released it never follows a successor whose term is below that minimum term.
+    /// The old primary, if it is reported as a replica. An earlier coordinator may have stopped it
+    /// as one, and unless it is released it never follows a successor whose term is below that
+    /// minimum term.
     fn old_primary_as_replica(&self) -> Option<InstanceName> {
         let old_primary = self.members.get(self.old_primary()?)?;
         (!old_primary.leads).then(|| old_primary.name.clone())
--- a/crates/core/src/promotion/attempt/settling.rs
+++ b/crates/core/src/promotion/attempt/settling.rs
@@ -8,9 +8,9 @@
 use crate::promotion::{Command, Phase, Successor};
 
 impl Attempt {
-    /// Demotes the old primary first and then releases the replicas: a replica that is released while the old
-    /// primary is still primary, and that cannot reach the successor, would follow the old primary and report
-    /// that.
+    /// Demotes the old primary first and then releases the replicas: a replica that is released
+    /// while the old primary is still primary, and that cannot reach the successor, would follow
+    /// the old primary and report that.
     pub(super) fn settle(&mut self, until: Instant, now: Instant, commands: &mut Vec<Command>) {
         let since = until - self.timing.demotion_timeout;
         let all_demoted =
@@ -34,8 +34,8 @@
         }
     }
 
-    /// The successor with the term that it reported. By this term nodes recognize old primaries that return
-    /// later.
+    /// The successor with the term that it reported. By this term nodes recognize old primaries
+    /// that return later.
     fn with_reported_term(&self, instance: InstanceName) -> Successor {
         let reported =
             self.reported_successor.clone().filter(|reported| reported.instance == instance);
@@ -51,8 +51,8 @@
         });
     }
 
-    /// Releases the replicas. If that takes long, because a replica cannot be reached, the intent is recorded as
-    /// cancelled, so that nodes continue with the old primary meanwhile.
+    /// Releases the replicas. If that takes long, because a replica cannot be reached, the intent
+    /// is recorded as cancelled, so that nodes continue with the old primary meanwhile.
     pub(super) fn cancel(&mut self, until: Instant, now: Instant, commands: &mut Vec<Command>) {
         self.release(now, commands);
         let since = until - self.timing.release_timeout;
--- a/crates/core/src/promotion/electorate.rs
+++ b/crates/core/src/promotion/electorate.rs
@@ -5,8 +5,9 @@
 
 use crate::ids::NodeName;
 
-/// Time after which a listed node that has not been live no longer counts. Longer than a restart or a network
-/// partition usually lasts, so that an isolated node does not consider itself the majority.
+/// Time after which a listed node that has not been live no longer counts. Longer than a restart or
+/// a network partition usually lasts, so that an isolated node does not consider itself the
+/// majority.
 const LIVENESS_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Tracks when this node last saw each listed node live.
@@ -16,8 +17,8 @@
 }
 
 impl Electorate {
-    /// The nodes of `listed` that are live or were live recently. A permanently lost machine stays in the
-    /// list and would otherwise count forever.
+    /// The nodes of `listed` that are live or were live recently. A permanently lost machine stays
+    /// in the list and would otherwise count forever.
     pub fn eligible(
         &mut self,
         listed: &[NodeName],
--- a/crates/core/src/promotion/known_instances.rs
+++ b/crates/core/src/promotion/known_instances.rs
@@ -1,12 +1,15 @@
-//! The instances of each group, including those that recently vanished from the catalog, and their restarts.
+//! The instances of each group, including those that recently vanished from the catalog, and their
+//! restarts.
 //!
-//! An instance that can no longer renew its entry on the platform may still run, and may have the only copy of
-//! an acknowledged commit. So it still counts for a while after it vanished. If it had announced before that it
-//! was leaving, an attempt counts it only until it refuses connections, since it has then terminated.
+//! An instance that can no longer renew its entry on the platform may still run, and may have the
+//! only copy of an acknowledged commit. So it still counts for a while after it vanished. If it had
+//! announced before that it was leaving, an attempt counts it only until it refuses connections,
+//! since it has then terminated.
 //!
-//! A catalog is processed once, when it is activated. Changes that depend on time alone are only evaluated for
-//! the few groups in which an instance vanished or was restarted: evaluating all instances of 1,000 groups
-//! twenty times a second would cost idle nodes processor time that grows with the number of groups.
+//! A catalog is processed once, when it is activated. Changes that depend on time alone are only
+//! evaluated for the few groups in which an instance vanished or was restarted: evaluating all
+//! instances of 1,000 groups twenty times a second would cost idle nodes processor time that grows
+//! with the number of groups.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -23,15 +26,16 @@
 /// How long a vanished instance still counts.
 const VANISHED_RETENTION: Duration = Duration::from_secs(10);
 
-/// How long a node observes a group before it acts, since it has not seen earlier restarts. A restarted instance
-/// has received its lost log again within that time, unless it receives nothing; in that case the primary, which
-/// has everything, is rarely down for longer.
+/// How long a node observes a group before it acts, since it has not seen earlier restarts. A
+/// restarted instance has received its lost log again within that time, unless it receives nothing;
+/// in that case the primary, which has everything, is rarely down for longer.
 const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Debug)]
 struct KnownInstance {
     instance: Instance,
-    /// Whether it can stay primary if it is promoted: it is not leaving and its zone is not drained.
+    /// Whether it can stay primary if it is promoted: it is not leaving and its zone is not
+    /// drained.
     may_stay_primary: bool,
     /// When it was first missing from the catalog.
     vanished_at: Option<Instant>,
@@ -56,7 +60,8 @@
             true => Some(Refill::since(now)),
             false => before.and_then(|before| before.refill),
         };
-        // A primary was promoted after its restart, and there is no instance from which it could receive more.
+        // A primary was promoted after its restart, and there is no instance from which it could
+        // receive more.
         let is_primary = instance.announced_role == Some(Role::Primary);
         Self {
             instance: instance.clone(),
@@ -117,7 +122,8 @@
         self.time_dependent = time_dependent.map(|(name, _)| name.clone()).collect();
     }
 
-    /// Applies the time that has passed since the catalog was processed. Returns how many groups were evaluated.
+    /// Applies the time that has passed since the catalog was processed. Returns how many groups
+    /// were evaluated.
     pub fn advance_time(&mut self, now: Instant) -> usize {
         let evaluated = self.time_dependent.len();
         self.time_dependent.retain(|name| {
@@ -167,9 +173,9 @@
         Members { all, synchronous: known_group.synchronous, knows_restarts }
     }
 
-    /// Whether this node knows which instances of a group were restarted recently: it has observed them for long
-    /// enough, or the platform does not report incarnations. A node that does not know this must not compare the
-    /// positions of the instances.
+    /// Whether this node knows which instances of a group were restarted recently: it has observed
+    /// them for long enough, or the platform does not report incarnations. A node that does not
+    /// know this must not compare the positions of the instances.
     pub fn knows_restarts(&self, group: &GroupName, now: Instant) -> bool {
         self.groups.get(group).is_some_and(|known| known.knows_restarts(now))
     }
@@ -186,8 +192,9 @@
         known.instances.values_mut().for_each(|known| known.on_status(instance, status, asked));
     }
 
-    /// The instances whose status has to be queried to find out when the restarted ones have received everything
-    /// again: the restarted ones and the primary. Empty if no instance is refilling.
+    /// The instances whose status has to be queried to find out when the restarted ones have
+    /// received everything again: the restarted ones and the primary. Empty if no instance is
+    /// refilling.
     pub fn refill_status_targets(&self, group: &GroupName) -> Vec<InstanceName> {
         let Some(known) = self.groups.get(group) else { return Vec::new() };
         let is_refilling = |known: &&KnownInstance| known.refill.is_some();
@@ -204,7 +211,8 @@
         targets
     }
 
-    /// The groups in which this node saw an instance restart that has not received everything again yet.
+    /// The groups in which this node saw an instance restart that has not received everything again
+    /// yet.
     pub fn refilling_groups(&self) -> impl Iterator<Item = &GroupName> {
         let is_refilling = |name: &&GroupName| {
             let group = self.groups.get(*name);
@@ -213,8 +221,8 @@
         self.time_dependent.iter().filter(is_refilling)
     }
 
-    /// This node's report on the restarts in a group; `primary_position` is the highest position that the group's
-    /// primary has reported to this node.
+    /// This node's report on the restarts in a group; `primary_position` is the highest position
+    /// that the group's primary has reported to this node.
     pub fn restart_report(
         &self,
         group: &GroupName,
@@ -229,8 +237,8 @@
             chosen.filter_map(KnownInstance::observed_restart).collect()
         };
         let refilled = restarts(true);
-        // A node that has just started may have acknowledged commits to clients before, and does not remember
-        // their positions.
+        // A node that has just started may have acknowledged commits to clients before, and does
+        // not remember their positions.
         let started_again = match known.is_newly_observed(known.updated_at) {
             true => Vec::new(),
             false => restarts(false).into_iter().chain(refilled.iter().cloned()).collect(),
--- a/crates/core/src/promotion/known_replacements.rs
+++ b/crates/core/src/promotion/known_replacements.rs
@@ -1,7 +1,8 @@
 //! The running replacements that one node knows of, from the store and from the coordinator.
 //!
-//! A node that cannot reach the store would continue to use the old primary. So the coordinator also notifies
-//! the nodes that serve the group directly, and repeats the notification until the replacement has finished.
+//! A node that cannot reach the store would continue to use the old primary. So the coordinator
+//! also notifies the nodes that serve the group directly, and repeats the notification until the
+//! replacement has finished.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,13 +12,13 @@
 
 /// Interval between two notifications of a replacement to one node.
 pub const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a replacement that the store does not show counts as running after the coordinator's last
-/// notification: the coordinator may have failed.
+/// How long a replacement that the store does not show counts as running after the coordinator's
+/// last notification: the coordinator may have failed.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long acknowledgements of the old primary are still accepted once its replicas are being stopped, since
-/// acknowledgements that it sent before that are still in transit. Half of the shortest time that a
-/// coordinator waits before it checks the replicas for the last time, so that no commit is acknowledged through a
-/// replica that has lost its stop since then.
+/// How long acknowledgements of the old primary are still accepted once its replicas are being
+/// stopped, since acknowledgements that it sent before that are still in transit. Half of the
+/// shortest time that a coordinator waits before it checks the replicas for the last time, so that
+/// no commit is acknowledged through a replica that has lost its stop since then.
 const COMMIT_GRACE_PERIOD: Duration = Duration::from_millis(50);
 
 /// The coordinator's last notification of a replacement.
@@ -32,8 +33,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Started {
     id: ReplacementId,
-    /// When the coordinator learned that the intent was recorded, after which it begins. Without a notification,
-    /// when this node first learned of the replacement.
+    /// When the coordinator learned that the intent was recorded, after which it begins. Without a
+    /// notification, when this node first learned of the replacement.
     at: Instant,
     /// Whether the time is from a notification of the coordinator.
     from_coordinator: bool,
@@ -69,8 +70,8 @@
         self.in_store.clone_from(intents);
     }
 
-    /// The coordinator notifies this node that a replacement is running, and that it learned `age` ago that the
-    /// intent was recorded.
+    /// The coordinator notifies this node that a replacement is running, and that it learned `age`
+    /// ago that the intent was recorded.
     pub fn on_notification(
         &mut self,
         group: &GroupName,
@@ -97,8 +98,8 @@
         self.notified.retain(|name, notification| name != group || notification.intent.id > newest);
     }
 
-    /// Drops replacements of which the coordinator has sent no notification within [`NOTIFICATION_TIMEOUT`].
-    /// Returns whether there were any.
+    /// Drops replacements of which the coordinator has sent no notification within
+    /// `NOTIFICATION_TIMEOUT`. Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.notified.len();
         self.notified.retain(|_, notification| now < notification.at + NOTIFICATION_TIMEOUT);
@@ -117,8 +118,9 @@
         intents
     }
 
-    /// Whether a commit that `instance` acknowledged at `now` is accepted. It is rejected if the instance has been
-    /// under replacement for so long that another instance without that commit may have been chosen.
+    /// Whether a commit that `instance` acknowledged at `now` is accepted. It is rejected if the
+    /// instance has been under replacement for so long that another instance without that commit
+    /// may have been chosen.
     pub fn accepts_commit(&self, group: &GroupName, instance: &InstanceName, now: Instant) -> bool {
         let notification = self.notified.get(group).map(|notification| &notification.intent);
         let newest =
@@ -135,8 +137,9 @@
         started.is_none_or(|started| now <= started.at + drain + COMMIT_GRACE_PERIOD)
     }
 
-    /// Records when a replacement began. A time from the coordinator takes precedence over the time at which this
-    /// node learned of it. Of several notifications the earliest time counts, from the one with the lowest latency.
+    /// Records when a replacement began. A time from the coordinator takes precedence over the time
+    /// at which this node learned of it. Of several notifications the earliest time counts, from
+    /// the one with the lowest latency.
     fn record_start(&mut self, group: &GroupName, started: Started) {
         let known = self.started.entry(group.clone()).or_insert(started);
         let is_better = match (known.from_coordinator, started.from_coordinator) {
--- a/crates/core/src/promotion/members.rs
+++ b/crates/core/src/promotion/members.rs
@@ -10,8 +10,8 @@
     pub name: InstanceName,
     /// Whether the instance or its zone is being taken out of use.
     pub leaving: bool,
-    /// Whether it was leaving when its entry disappeared. It has either terminated, or is cut off from the
-    /// store and still receives commits, so that the primary can acknowledge them.
+    /// Whether it was leaving when its entry disappeared. It has either terminated, or is cut off
+    /// from the store and still receives commits, so that the primary can acknowledge them.
     pub has_left: bool,
     /// Whether it reports that it is the primary.
     pub leads: bool,
@@ -19,7 +19,8 @@
     pub shares_address: bool,
     /// Incarnation of its process, if the platform reports it.
     pub incarnation: Option<InstanceIncarnation>,
-    /// Whether it was restarted, which loses its log, and may not have received the lost part again.
+    /// Whether it was restarted, which loses its log, and may not have received the lost part
+    /// again.
     pub is_refilling: bool,
 }
 
@@ -48,11 +49,11 @@
         self.all.iter().filter(move |member| old_primary != Some(&member.name))
     }
 
-    /// How many instances must be stopped in a group of `replicas` replicas and a primary, so that the primary
-    /// cannot acknowledge another commit and at least one stopped instance has every acknowledged commit. A
-    /// commit is on the primary and on `synchronous` replicas when it is acknowledged. It does not matter
-    /// which instances are stopped, as long as they still have their logs; the old primary counts as well
-    /// once it is a replica.
+    /// How many instances must be stopped in a group of `replicas` replicas and a primary, so that
+    /// the primary cannot acknowledge another commit and at least one stopped instance has every
+    /// acknowledged commit. A commit is on the primary and on `synchronous` replicas when it is
+    /// acknowledged. It does not matter which instances are stopped, as long as they still have
+    /// their logs; the old primary counts as well once it is a replica.
     pub fn required_stops(&self, replicas: usize) -> usize {
         let spare = (self.synchronous as usize).saturating_sub(1);
         replicas.saturating_sub(spare).max(1)
--- a/crates/core/src/promotion/mod.rs
+++ b/crates/core/src/promotion/mod.rs
@@ -1,28 +1,29 @@
 //! Replaces the primary of a group that does not elect its primary itself.
 //!
-//! Only the coordinator, the node that holds the coordinator lease in the store, replaces primaries. Its
-//! attempt on one group is the state machine [`Attempt`], which consumes events and emits commands and
-//! uses neither sockets nor clocks. Its steps:
+//! Only the coordinator, the node that holds the coordinator lease in the store, replaces
+//! primaries. Its attempt on one group is the state machine [`Attempt`], which consumes events,
+//! emits commands, and uses neither sockets nor clocks. Its steps:
 //!
-//! 1. *Record*: write the intent to the store, so that the next coordinator finds an attempt that its
-//!    predecessor began, and nodes delay new writes.
+//! 1. *Record*: write the intent to the store, so that the next coordinator finds an attempt that
+//!    its predecessor began, and nodes delay new writes.
 //! 2. *Drain* (planned replacements only): give open work time to finish.
 //! 3. *Stop*: make replicas reject replication below a new term, until so many are stopped that the
 //!    primary cannot acknowledge another commit and at least one stopped replica has every commit
 //!    acknowledged so far: all but `synchronous - 1` of them.
-//! 4. *Lapse*: wait until evidence of the old primary has expired (`primary_evidence`). The wait is skipped
-//!    if the old primary refuses connections, so that no client can read there, and shortened if every node has
-//!    revoked its evidence. Meanwhile the recorded intent says that a promotion may be sent.
-//! 5. *Check*: the replicas confirm again that they are stopped, since a restarted replica is not. The
-//!    store tells which of them were restarted, and so have lost their logs, because this node's copy
-//!    of the store may be stale.
-//! 6. *Promote*: have the platform promote the replica with the highest position, and repeat the request
-//!    until the platform shows a new primary.
+//! 4. *Lapse*: wait until evidence of the old primary has expired (`primary_evidence`). The wait is
+//!    skipped if the old primary refuses connections, so that no client can read there, and
+//!    shortened if every node has revoked its evidence. Meanwhile the recorded intent says that a
+//!    promotion may be sent.
+//! 5. *Check*: the replicas confirm again that they are stopped, since a restarted replica is no
+//!    longer stopped. The coordinator also reads from the store which of them were restarted and so
+//!    have lost their logs, since its own copy of the store may be stale.
+//! 6. *Promote*: have the platform promote the replica with the highest position, and repeat the
+//!    request until the platform shows a new primary.
 //! 7. *Settle*: demote the old primary, then release the other replicas, then remove the record.
 //!
-//! An attempt can be cancelled until the promotion is sent. From then on it has to be completed, by the
-//! next coordinator if necessary: another instance may have been primary, so the old primary must not
-//! continue.
+//! An attempt can be cancelled until the promotion is sent. From then on it has to be completed, by
+//! the next coordinator if necessary: another instance may have been primary, so the old primary
+//! must not continue.
 
 mod attempt;
 mod coordination;
@@ -93,12 +94,12 @@
     pub reason: Reason,
     /// The old primary, if it is known.
     pub former: Option<InstanceName>,
-    /// Whether the attempt has been cancelled: no instance will be promoted, nodes continue as if there were
-    /// no attempt, and the coordinator only releases the stopped replicas.
+    /// Whether the attempt has been cancelled: no instance will be promoted, nodes continue as if
+    /// there were no attempt, and the coordinator only releases the stopped replicas.
     #[serde(default)]
     pub called_off: bool,
-    /// Whether this coordinator or an earlier one may have sent a promotion. An instance then has to be
-    /// promoted, since the old primary may not be the only instance that has been primary.
+    /// Whether this coordinator or an earlier one may have sent a promotion. An instance then has
+    /// to be promoted, since the old primary may not be the only instance that has been primary.
     #[serde(default)]
     pub promoting: bool,
 }
--- a/crates/core/src/promotion/needs.rs
+++ b/crates/core/src/promotion/needs.rs
@@ -1,8 +1,9 @@
-//! Decides which primaries have to be replaced now, from the catalog, the votes of all nodes and the recorded
-//! intents.
+//! Decides which primaries have to be replaced now, from the catalog, the votes of all nodes and
+//! the recorded intents.
 //!
-//! A group whose primary is present, is not leaving and is not suspected needs no replacement, however much time
-//! passes. Such groups are evaluated only when the catalog changes, the others each time.
+//! A group whose primary is present, is not leaving and is not suspected needs no replacement,
+//! however much time passes. Such groups are evaluated only when the catalog changes, the others
+//! each time.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -27,7 +28,8 @@
     pub reason: Reason,
     /// The primary to be replaced, if it is known.
     pub old_primary: Option<InstanceName>,
-    /// Whether there is still a reason for a replacement. An unfinished attempt is completed in any case.
+    /// Whether there is still a reason for a replacement. An unfinished attempt is completed in any
+    /// case.
     pub is_current: bool,
     /// Whether an attempt was begun earlier, so that replicas may be stopped.
     pub has_begun: bool,
@@ -38,8 +40,8 @@
 }
 
 impl Need {
-    /// Whether a node has to become the coordinator for this need. Otherwise it only concerns a coordinator that
-    /// already runs an attempt on the group.
+    /// Whether a node has to become the coordinator for this need. Otherwise it only concerns a
+    /// coordinator that already runs an attempt on the group.
     pub fn needs_coordinator(&self) -> bool {
         self.is_current || self.may_have_promoted || self.reason == Reason::Unfinished
     }
@@ -56,8 +58,8 @@
 }
 
 impl History {
-    /// The last primary, if the group no longer lists it: it may still run. A last primary that is listed as a
-    /// replica has stepped down.
+    /// The last primary, if the group no longer lists it: it may still run. A last primary that is
+    /// listed as a replica has stepped down.
     fn vanished(&self, group: &Group) -> Option<InstanceName> {
         self.primary.clone().filter(|primary| group.instance(primary).is_none())
     }
@@ -83,15 +85,16 @@
     pub own: (&'a NodeName, &'a NodeVotes),
     /// The live nodes.
     pub live: &'a [NodeName],
-    /// The nodes in the machine list; empty until the list was read. A node that knows few other nodes, because it
-    /// has just started or is isolated, must not consider itself the majority.
+    /// The nodes in the machine list; empty until the list was read. A node that knows few other
+    /// nodes, because it has just started or is isolated, must not consider itself the majority.
     pub listed: &'a [NodeName],
     /// The current time.
     pub now: Instant,
 }
 
 impl NeedsEvaluator {
-    /// Processes a newly activated catalog. Has to be called before [`Self::evaluate`] uses that catalog.
+    /// Processes a newly activated catalog. Has to be called before [`Self::evaluate`] uses that
+    /// catalog.
     pub fn apply_catalog(&mut self, catalog: &IndexedCatalog) {
         let proxy_elected =
             catalog.groups.iter().filter(|(_, group)| group.elector == Elector::Proxy);
@@ -151,8 +154,8 @@
     }
 }
 
-/// Whether a primary needs a planned replacement: it is leaving, or its zone is drained and an instance in
-/// another zone can be primary.
+/// Whether a primary needs a planned replacement: it is leaving, or its zone is drained and an
+/// instance in another zone can be primary.
 fn needs_planned_replacement(primary: &Instance, group: &Group, catalog: &IndexedCatalog) -> bool {
     let may_lead = |instance: &Instance| catalog.takes_work(instance);
     primary.leaving || (!may_lead(primary) && group.instances.iter().any(may_lead))
@@ -168,7 +171,8 @@
     let current = current_need(name, group, history, input);
     let is_delayed = history.retry_not_before.is_some_and(|until| now < until);
     match (input.view.intents.get(name), current) {
-        // The attempt was begun by this node, or by a coordinator that has failed: it has to be completed.
+        // The attempt was begun by this node, or by a coordinator that has failed: it has to be
+        // completed.
         (Some(intent), current) => Some(Need {
             reason: current.as_ref().map_or(Reason::Unfinished, |need| need.reason),
             old_primary: intent.former.clone(),
@@ -221,8 +225,8 @@
     }
 }
 
-/// Whether the platform reports the last primary that this node knows as a replica. It has then stepped down, and
-/// has every commit that it acknowledged.
+/// Whether the platform reports the last primary that this node knows as a replica. It has then
+/// stepped down, and has every commit that it acknowledged.
 fn last_primary_is_replica(group: &Group, history: &History) -> bool {
     let last = history.primary.as_ref().or(group.promoted.as_ref());
     let instance = last.and_then(|last| group.instance(last));
--- a/crates/core/src/promotion/refill.rs
+++ b/crates/core/src/promotion/refill.rs
@@ -1,10 +1,11 @@
 //! Decides when a restarted instance has every acknowledged commit again.
 //!
-//! A restart loses the log that the instance had received, so a commit that the primary acknowledged because
-//! this instance had received it may now exist on the primary only. The primary has every commit that was
-//! acknowledged before the restart. So once the instance has received the log up to a position that the primary
-//! reported after the restart, it has all of those commits as well. The time since the restart proves nothing:
-//! the instance may receive nothing, or there may be no primary to receive from.
+//! A restart loses the log that the instance had received, so a commit that the primary
+//! acknowledged because this instance had received it may now exist on the primary only. The
+//! primary has every commit that was acknowledged before the restart. So once the instance has
+//! received the log up to a position that the primary reported after the restart, it has all of
+//! those commits as well. The time since the restart proves nothing: the instance may receive
+//! nothing, or there may be no primary to receive from.
 
 use std::time::Instant;
 
@@ -27,9 +28,9 @@
         Self { restart_seen, primary: None }
     }
 
-    /// Processes a status that was requested at `asked` from another instance of the group. The first status
-    /// of a primary after the restart suffices. A status of a newer term replaces it, since commits of that
-    /// term may have been acknowledged before the restart.
+    /// Processes a status that was requested at `asked` from another instance of the group. The
+    /// first status of a primary after the restart suffices. A status of a newer term replaces it,
+    /// since commits of that term may have been acknowledged before the restart.
     pub fn on_primary(&mut self, status: &ReplicationStatus, asked: Instant) {
         let is_newer = self.primary.is_none_or(|(term, _)| status.term > term);
         if status.role == Role::Primary && asked >= self.restart_seen && is_newer {
--- a/crates/core/src/promotion/restart_reports.rs
+++ b/crates/core/src/promotion/restart_reports.rs
@@ -1,10 +1,11 @@
 //! Reports of the nodes that show whether a restarted instance has every acknowledged commit again.
 //!
-//! A restarted instance has lost its log. Each node sends its report to the coordinator together with the
-//! confirmation that it has revoked its evidence. Two observations show that the instance is complete again:
-//! a node has seen it receive everything ([`super::refill`]); or all nodes have seen the restart, and the instance
-//! has received the log up to the highest position that the primary reported to any of them, since no node has
-//! acknowledged a commit beyond that position to a client.
+//! A restarted instance has lost its log. Each node sends its report to the coordinator together
+//! with the confirmation that it has revoked its evidence. Two observations show that the instance
+//! is complete again: a node has seen it receive everything ([`super::refill`]); or all nodes have
+//! seen the restart, and the instance has received the log up to the highest position that the
+//! primary reported to any of them, since no node has acknowledged a commit beyond that position to
+//! a client.
 
 use std::collections::BTreeMap;
 
@@ -77,8 +78,8 @@
         restarts
     }
 
-    /// The combined report of all `nodes`; `None` unless all of them have sent a report and at least one of them
-    /// knows a position of the primary.
+    /// The combined report of all `nodes`; `None` unless all of them have sent a report and at
+    /// least one of them knows a position of the primary.
     pub fn combined(&self, nodes: &[NodeName]) -> Option<CombinedReport> {
         let reports: Option<Vec<&RestartReport>> =
             nodes.iter().map(|node| self.by_node.get(node)).collect();
--- a/crates/core/src/promotion/steps.rs
+++ b/crates/core/src/promotion/steps.rs
@@ -35,7 +35,8 @@
     Checking,
     /// The promotion has been sent.
     Promoting {
-        /// When the replicas are checked and the promotion is sent again, unless a successor appears.
+        /// When the replicas are checked and the promotion is sent again, unless a successor
+        /// appears.
         again: Instant,
     },
     /// A successor is primary: the old primary is demoted and the replicas are released.
@@ -57,8 +58,8 @@
 pub enum Command {
     /// Write the intent to the store.
     RecordIntent(Intent),
-    /// Read the incarnations of the instances from the store and answer with [`Event::Incarnations`] or
-    /// [`Event::IncarnationsUnavailable`].
+    /// Read the incarnations of the instances from the store and answer with
+    /// [`Event::Incarnations`] or [`Event::IncarnationsUnavailable`].
     ReadIncarnations,
     /// Query the replication status of an instance.
     QueryStatus(InstanceName),
@@ -80,8 +81,8 @@
     Release(InstanceName),
     /// Have the platform promote an instance.
     Promote(InstanceName),
-    /// Write the successor to the store, so that nodes use it while the old primary still reports that it is
-    /// the primary.
+    /// Write the successor to the store, so that nodes use it while the old primary still reports
+    /// that it is the primary.
     RecordSuccessor(InstanceName),
     /// Remove the intent from the store and record the successor, if there is one, in its place.
     Finish {
@@ -142,7 +143,8 @@
     Members(Members),
     /// A replica confirmed that it has been released.
     Released(InstanceName),
-    /// A node has seen an instance restart and since then receive every commit acknowledged before the restart.
+    /// A node has seen an instance restart and since then receive every commit acknowledged before
+    /// the restart.
     Refilled(ObservedRestart),
     /// The combined reports of all nodes on restarts and on the primary's position.
     ReportsCombined(CombinedReport),
--- a/crates/core/src/promotion/timing.rs
+++ b/crates/core/src/promotion/timing.rs
@@ -21,14 +21,15 @@
     pub store_retry_interval: Duration,
     /// How long to wait for a successor before the promotion is sent again.
     pub announcement_timeout: Duration,
-    /// Time after which an attempt that cannot stop enough replicas is cancelled, if the replacement is
-    /// planned or the old primary answers: the old primary then works, apart from the stopped replicas.
+    /// Time after which an attempt that cannot stop enough replicas is cancelled, if the
+    /// replacement is planned or the old primary answers: the old primary then works, apart from
+    /// the stopped replicas.
     pub stopping_timeout: Duration,
-    /// Time after which demoting the old primary is no longer retried: it steps down by itself once it can
-    /// reach its successor.
+    /// Time after which demoting the old primary is no longer retried: it steps down by itself once
+    /// it can reach its successor.
     pub demotion_timeout: Duration,
-    /// Time after which the store records that an attempt is cancelled, if not all of its stopped replicas
-    /// have been released by then.
+    /// Time after which the store records that an attempt is cancelled, if not all of its stopped
+    /// replicas have been released by then.
     pub cancellation_notice_delay: Duration,
     /// Time after which a cancelled attempt no longer tries to release its replicas.
     pub release_timeout: Duration,
--- a/crates/core/src/store_era.rs
+++ b/crates/core/src/store_era.rs
@@ -1,17 +1,18 @@
 //! Positions in the history of the platform's store.
 //!
-//! When the store is restored from an older copy, it reuses revisions for other changes. Its *era*, which
-//! increases by one with each restore, tells them apart. A position combines era and revision in one number. Code
-//! that orders by positions (the active configuration, knowledge about other nodes, fencing tokens) does not have
-//! to handle eras, and no two changes have the same position.
+//! When the store is restored from an older copy, it reuses revisions for other changes. Its *era*,
+//! which increases by one with each restore, tells them apart. A position combines era and revision
+//! in one number. Code that orders by positions (the active configuration, knowledge about other
+//! nodes, fencing tokens) does not have to handle eras, and no two changes have the same position.
 
 use std::fmt;
 
-/// Number of revisions per era, more than a store assigns in its lifetime. A power of ten, so that a position in a log
-/// line reads as the era followed by the revision.
+/// Number of revisions per era, more than a store assigns in its lifetime. A power of ten, so that
+/// a position in a log line reads as the era followed by the revision.
 const REVISIONS_PER_ERA: u64 = 1_000_000_000_000;
 
-/// Counter of the store's restores from an older copy. The first era is one; zero if the store does not report an era.
+/// Counter of the store's restores from an older copy. The first era is one; zero if the store does
+/// not report an era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreEra(pub u64);
 
@@ -26,7 +27,8 @@
         self > Self(1)
     }
 
-    /// The position of a revision of this era; `None` for a number beyond those that a store can reach.
+    /// The position of a revision of this era; `None` for a number beyond those that a store can
+    /// reach.
     pub fn position(self, revision: u64) -> Option<u64> {
         if revision >= REVISIONS_PER_ERA {
             return None;
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -1,18 +1,20 @@
 //! Decides when a node suspects a primary, and when enough nodes suspect it to replace it.
 //!
-//! Suspicion affects availability, never safety: replacing a healthy primary only interrupts writes. To avoid such
-//! interruptions, a single node's suspicion does not cause a replacement, since that node may itself be cut off.
+//! Suspicion affects availability, never safety: replacing a healthy primary only interrupts
+//! writes. To avoid such interruptions, a single node's suspicion does not cause a replacement,
+//! since that node may itself be cut off.
 
 use std::time::{Duration, Instant};
 
-/// Time without any answer, while a request waits for one, after which a primary is considered silent.
+/// Time without any answer, while a request waits for one, after which a primary is considered
+/// silent.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(350);
 /// How long a commit may wait while the primary answers other requests but acknowledges no commit.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long at least a third of the voters must suspect a primary, if the majority does not.
 pub const MINORITY_SUSPICION_DURATION: Duration = Duration::from_millis(1_000);
-/// Longest interval between two ticks. After a longer one the node itself did not run, so it cannot tell whether the
-/// primary was silent meanwhile.
+/// Longest interval between two ticks. After a longer one the node itself did not run, so it cannot
+/// tell whether the primary was silent meanwhile.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Why a node suspects a primary.
@@ -32,9 +34,9 @@
 /// How long abandoned requests still count as a sign that an instance is silent.
 pub const ABANDONED_REQUEST_VALIDITY: Duration = Duration::from_millis(2_000);
 
-/// Requests to an instance that were abandoned without an answer. They show that the instance is silent just like
-/// requests that still wait. Otherwise anything that ends the work on a silent primary, most of all its replacement,
-/// would also end the suspicion against it.
+/// Requests to an instance that were abandoned without an answer. They show that the instance is
+/// silent just like requests that still wait. Otherwise anything that ends the work on a silent
+/// primary, most of all its replacement, would also end the suspicion against it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AbandonedRequests {
     /// When the oldest abandoned request was sent.
@@ -66,23 +68,26 @@
 /// What a node's own exchanges show about the health of a primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HealthSignals {
-    /// Since when it refuses connections, if no connection succeeded and nothing was answered since.
+    /// Since when it refuses connections, if no connection succeeded and nothing was answered
+    /// since.
     pub refused_since: Option<Instant>,
-    /// When the oldest exchange was sent that waits for an answer or was recently abandoned without one
-    /// ([`AbandonedRequests`]).
+    /// When the oldest exchange was sent that waits for an answer or was recently abandoned without
+    /// one ([`AbandonedRequests`]).
     pub oldest_request: Option<Instant>,
-    /// When the oldest commit was sent that waits for an answer or was recently abandoned without one.
+    /// When the oldest commit was sent that waits for an answer or was recently abandoned without
+    /// one.
     pub oldest_commit: Option<Instant>,
     /// When it last acknowledged a commit of writes.
     pub last_commit: Option<Instant>,
     /// When it last answered any request.
     pub last_answer: Option<Instant>,
-    /// Whether a higher term was seen than the one that it leads. Nothing is sent to an outdated primary, so nothing
-    /// else would show that it has to be replaced.
+    /// Whether a higher term was seen than the one that it leads. Nothing is sent to an outdated
+    /// primary, so nothing else would show that it has to be replaced.
     pub is_outdated: bool,
 }
 
-/// Derives suspicions from health signals, and ignores the time during which this node itself did not run.
+/// Derives suspicions from health signals, and ignores the time during which this node itself did
+/// not run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureDetector {
     last_tick: Option<Instant>,
@@ -143,8 +148,8 @@
 }
 
 impl Votes {
-    /// Whether the primary has to be replaced: a majority of the voters suspects it, or at least a third has
-    /// suspected it for [`MINORITY_SUSPICION_DURATION`].
+    /// Whether the primary has to be replaced: a majority of the voters suspects it, or at least a
+    /// third has suspected it for [`MINORITY_SUSPICION_DURATION`].
     pub fn are_sufficient(&self, now: Instant) -> bool {
         let is_majority = self.suspecting * 2 > self.voters.max(1);
         is_majority
--- a/crates/core/tests/confirmation.rs
+++ b/crates/core/tests/confirmation.rs
@@ -1,4 +1,5 @@
-//! Confirmation of commits, checked against a model of a group with elections, divergent logs and truncation.
+//! Confirmation of commits, checked against a model of a group with elections, divergent logs and
+//! truncation.
 
 use kestrellock_core::confirmation::{
     Confirmation, ConfirmationRule, FlushReport, ProbeNumber, Verdict,
@@ -20,7 +21,8 @@
     log: Vec<Entry>,
     /// Highest term in which it has voted or that it has followed.
     promised: u32,
-    /// Term whose primary it follows or is; `None` between a vote and the first message of the new primary.
+    /// Term whose primary it follows or is; `None` between a vote and the first message of the new
+    /// primary.
     following: Option<u32>,
     primary: bool,
 }
@@ -96,7 +98,8 @@
         self.settle(None);
     }
 
-    /// The primary sends its log; the receiver truncates its divergent entries and appends one entry.
+    /// The primary sends its log; the receiver truncates its divergent entries and appends one
+    /// entry.
     fn ship(&mut self, from: usize, to: usize) {
         let source = self.members[from].clone();
         let Some(term) = source.following else { return };
@@ -112,7 +115,8 @@
         target.primary = false;
     }
 
-    /// `candidate` requests votes from the members, beginning at `first`, until a majority has agreed.
+    /// `candidate` requests votes from the members, beginning at `first`, until a majority has
+    /// agreed.
     fn elect(&mut self, candidate: usize, first: usize) {
         let count = self.members.len();
         let rank = self.members[candidate].rank();
--- a/crates/core/tests/electorate.rs
+++ b/crates/core/tests/electorate.rs
@@ -9,9 +9,9 @@
     (0..count).map(|number| NodeName::new(format!("node-{number}"))).collect()
 }
 
-/// Guards against a crashed primary that is not replaced after most machines were lost. With six of eight machines
-/// permanently gone, the remaining two never formed a majority of eight, and the primary was not replaced before its
-/// entry vanished.
+/// Guards against a crashed primary that is not replaced after most machines were lost. With six of
+/// eight machines permanently gone, the remaining two never formed a majority of eight, and the
+/// primary was not replaced before its entry vanished.
 #[test]
 fn permanently_lost_machines_stop_counting() {
     let start = Instant::now();
--- a/crates/core/tests/failover.rs
+++ b/crates/core/tests/failover.rs
@@ -12,7 +12,8 @@
     let now = Instant::now() + Duration::from_secs(60);
     let ago = |milliseconds| now - Duration::from_millis(milliseconds);
     let late = Pace::Active.confirmation_limit().as_millis() as u64 + 1;
-    // Terms and ages in milliseconds of the last reports of three instances; the first is the primary in question.
+    // Terms and ages in milliseconds of the last reports of three instances; the first is the
+    // primary in question.
     type Reports = [(u32, u64); 3];
     let table: [(Reports, u32, bool); 7] = [
         ([(1, 5), (1, 5), (1, 5)], 1, true),
--- a/crates/core/tests/group_leader.rs
+++ b/crates/core/tests/group_leader.rs
@@ -45,7 +45,8 @@
     assert!(group.is_newest(&successor));
 }
 
-/// Guards against a group that rejects all writes because the last promoted instance is permanently gone.
+/// Guards against a group that rejects all writes because the last promoted instance is permanently
+/// gone.
 #[test]
 fn any_primary_may_be_the_newest_if_the_last_promoted_instance_is_gone() {
     let group = group(vec![instance("old", Role::Primary)], Some("successor"));
--- a/crates/core/tests/known_replacements.rs
+++ b/crates/core/tests/known_replacements.rs
@@ -1,4 +1,5 @@
-//! The running replacements that a node knows of, from the store and from notifications of the coordinator.
+//! The running replacements that a node knows of, from the store and from notifications of the
+//! coordinator.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -47,7 +48,8 @@
     assert!(known.intents().is_empty());
 }
 
-/// Guards against delayed requests after a notification that arrives once the replacement has finished.
+/// Guards against delayed requests after a notification that arrives once the replacement has
+/// finished.
 #[test]
 fn notification_of_a_finished_replacement_is_ignored() {
     let (mut known, now) = (KnownReplacements::default(), Instant::now());
@@ -72,7 +74,8 @@
     assert_eq!(known.intents(), in_store(intent(2, Reason::Suspected)));
 }
 
-/// Guards against commits that an old primary acknowledges through a replica that is no longer stopped.
+/// Guards against commits that an old primary acknowledges through a replica that is no longer
+/// stopped.
 #[test]
 fn accepts_commits_of_the_old_primary_only_until_another_instance_may_be_chosen() {
     let (old, other) = (InstanceName::new("old"), InstanceName::new("other"));
@@ -87,8 +90,8 @@
     );
 }
 
-/// Guards against commits with unknown outcome if the coordinator learns late that its intent is recorded, and begins
-/// only then.
+/// Guards against commits with unknown outcome if the coordinator learns late that its intent is
+/// recorded, and begins only then.
 #[test]
 fn grace_period_begins_when_the_coordinator_begins() {
     let old = InstanceName::new("old");
@@ -100,7 +103,8 @@
     assert!(!known.accepts_commit(&group(), &old, now + ms(251)), "a slow message changes nothing");
 }
 
-/// Guards against commits with unknown outcome while a planned replacement gives open work time to finish.
+/// Guards against commits with unknown outcome while a planned replacement gives open work time to
+/// finish.
 #[test]
 fn accepts_commits_while_a_planned_replacement_drains() {
     let old = InstanceName::new("old");
--- a/crates/core/tests/needs.rs
+++ b/crates/core/tests/needs.rs
@@ -96,8 +96,9 @@
     }
 }
 
-/// Guards against waiting for a primary that is cut off. It vanished from the store, and the attempt considered it one of
-/// the replicas to be stopped, and waited for it as long as the network partition lasted.
+/// Guards against waiting for a primary that is cut off. It vanished from the store, and the
+/// attempt considered it one of the replicas to be stopped, and waited for it as long as the
+/// network partition lasted.
 #[test]
 fn vanished_primary_is_the_old_primary_of_the_need() {
     let start = Instant::now();
@@ -122,7 +123,8 @@
     evaluate(&mut evaluator, &roles, (0, 3), start);
     let need = need_after_a_second(&mut evaluator, &roles, start);
     assert_eq!(need.old_primary, None);
-    // It is listed and has every commit that it acknowledged, so not all instances have to be stopped.
+    // It is listed and has every commit that it acknowledged, so not all instances have to be
+    // stopped.
     assert!(need.last_primary_is_replica);
 }
 
@@ -149,8 +151,9 @@
     catalog(&[PRIMARY, REPLICA]).groups[&GroupName::new(GROUP)].clone()
 }
 
-/// Guards against idle cost that grows with the number of groups. Every node evaluated every group and copied every
-/// instance twenty times a second, which took 85% of the processor time of an idle node with 1,000 groups.
+/// Guards against idle cost that grows with the number of groups. Every node evaluated every group
+/// and copied every instance twenty times a second, which took 85% of the processor time of an idle
+/// node with 1,000 groups.
 #[test]
 fn groups_without_needs_are_not_evaluated_while_nothing_changes() {
     for count in [10, 1_000] {
--- a/crates/core/tests/primary_evidence.rs
+++ b/crates/core/tests/primary_evidence.rs
@@ -1,4 +1,5 @@
-//! Evidence that a primary is still the current one: what counts as evidence, and what invalidates it.
+//! Evidence that a primary is still the current one: what counts as evidence, and what invalidates
+//! it.
 
 use std::time::{Duration, Instant};
 
@@ -22,7 +23,8 @@
     InstanceName::new(name)
 }
 
-/// Until when arriving reads are covered at the primary of a group with one synchronous replica of two.
+/// Until when arriving reads are covered at the primary of a group with one synchronous replica of
+/// two.
 fn covered(evidence: &PrimaryEvidence) -> Option<Instant> {
     evidence.covers_until(TERM, SYNCHRONOUS_ONE, EVIDENCE_LIFETIME)
 }
@@ -43,9 +45,10 @@
     assert_eq!(covered(&evidence), Some(later + EVIDENCE_LIFETIME));
 }
 
-/// Guards against stale reads at the old primary. A promotion released a replica that did not learn of it. A node that
-/// could not reach the store accepted the replica's report as evidence of the old primary, and a moment later the
-/// replica confirmed commits of the successor (found by the simulation in 33 of 2,000 seeds with many faults).
+/// Guards against stale reads at the old primary. A promotion released a replica that did not learn
+/// of it. A node that could not reach the store accepted the replica's report as evidence of the
+/// old primary, and a moment later the replica confirmed commits of the successor (found by the
+/// simulation in 33 of 2,000 seeds with many faults).
 #[test]
 fn reports_of_some_replicas_count_if_the_store_confirms_them() {
     let now = Instant::now();
@@ -56,7 +59,8 @@
     assert_eq!(would, Some(now + EVIDENCE_LIFETIME));
     evidence.on_no_replacement(now);
     assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFETIME));
-    // The answer arrived so long after the store was queried that a replacement may have happened in between.
+    // The answer arrived so long after the store was queried that a replacement may have happened
+    // in between.
     let later = now + MIN_PROMOTION_TIME + Duration::from_millis(1);
     evidence.on_replica_report(&replica("b"), FOLLOWING, later, later);
     assert_eq!(covered(&evidence), None);
@@ -111,8 +115,8 @@
     assert_eq!(covered(&evidence), None);
 }
 
-/// Guards against a successor that cannot serve reads, because the only other replica receives nothing and so does not
-/// learn of the successor.
+/// Guards against a successor that cannot serve reads, because the only other replica receives
+/// nothing and so does not learn of the successor.
 #[test]
 fn replica_stopped_for_a_promotion_is_evidence_for_the_promoted_instance() {
     let now = Instant::now();
@@ -159,8 +163,8 @@
     assert_eq!(covered(&evidence), Some(now + EVIDENCE_LIFETIME));
 }
 
-/// The platform also releases replicas that do not learn of a promotion, so they report that they follow the old
-/// primary.
+/// The platform also releases replicas that do not learn of a promotion, so they report that they
+/// follow the old primary.
 #[test]
 fn replica_is_evidence_for_a_successor_that_it_does_not_know() {
     let now = Instant::now();
@@ -172,8 +176,8 @@
     assert_eq!(covered, Some(now + EVIDENCE_LIFETIME));
 }
 
-/// Evidence for the old primary has to leave its successor too few replicas to acknowledge a commit, since the
-/// reporting replicas may not know the successor.
+/// Evidence for the old primary has to leave its successor too few replicas to acknowledge a
+/// commit, since the reporting replicas may not know the successor.
 #[test]
 fn required_reports_leave_another_primary_too_few_replicas() {
     let table = [
@@ -217,9 +221,10 @@
     assert_eq!(covered(&evidence), None);
 }
 
-/// Guards against reads at a primary that crashed and returned. It refused connections, so the coordinator did not wait
-/// for evidence to expire, and it returned before its successor was primary. A node that could not reach the store
-/// read there (simulation of replacements, seed 9511).
+/// Guards against reads at a primary that crashed and returned. It refused connections, so the
+/// coordinator did not wait for evidence to expire, and it returned before its successor was
+/// primary. A node that could not reach the store read there (simulation of replacements, seed
+/// 9511).
 #[test]
 fn evidence_from_a_terminated_process_is_discarded() {
     let now = Instant::now();
@@ -231,8 +236,8 @@
     assert_eq!(covered(&evidence), None);
 }
 
-/// Guards against stale reads after a COMMIT without writes. It waits for no replica, so an old primary acknowledged it,
-/// a node accepted that as evidence, and read there.
+/// Guards against stale reads after a COMMIT without writes. It waits for no replica, so an old
+/// primary acknowledged it, a node accepted that as evidence, and read there.
 #[test]
 fn a_commit_that_wrote_nothing_shows_nothing() {
     use StatementClass::{Begin, Commit, Read, Rollback, Write};
@@ -274,8 +279,9 @@
     assert!(!shown("d", now), "the replica has not reported");
 }
 
-/// Guards against writes at an old primary that returns after its successor was primary and is gone again. Nodes that had
-/// never received an answer of that successor wrote to the old primary (simulation of replacements, seed 15611).
+/// Guards against writes at an old primary that returns after its successor was primary and is gone
+/// again. Nodes that had never received an answer of that successor wrote to the old primary
+/// (simulation of replacements, seed 15611).
 #[test]
 fn primary_of_a_lower_term_than_the_highest_led_is_outdated() {
     let now = Instant::now();
@@ -288,9 +294,10 @@
     assert_eq!(covered(&evidence), None, "its evidence no longer counts");
 }
 
-/// Guards against demoting a working primary. Stopped replicas do not make the primary outdated, since the attempt may be
-/// cancelled. Owners demoted the primary because of the minimum term of the replicas, so that another promotion was
-/// needed (simulation of replacements, up to nine faults, seed 6: a fifth more promotions).
+/// Guards against demoting a working primary. Stopped replicas do not make the primary outdated,
+/// since the attempt may be cancelled. Owners demoted the primary because of the minimum term of
+/// the replicas, so that another promotion was needed (simulation of replacements, up to nine
+/// faults, seed 6: a fifth more promotions).
 #[test]
 fn minimum_term_of_stopped_replicas_does_not_count_as_led() {
     let now = Instant::now();
--- a/crates/core/tests/promotion/lost_logs.rs
+++ b/crates/core/tests/promotion/lost_logs.rs
@@ -1,4 +1,5 @@
-//! A replica that has lost its log has none of the acknowledged commits: which positions are compared instead.
+//! A replica that has lost its log has none of the acknowledged commits: which positions are
+//! compared instead.
 
 use std::time::Instant;
 
@@ -19,9 +20,10 @@
     members
 }
 
-/// Guards against losing a commit that only the old primary still has. The one replica that had received the commit
-/// lost its log. The old primary had stepped down and was reachable, but only the two replicas were compared,
-/// and the promoted one lacked the commit (simulation of replacements, up to four faults, seed 14008).
+/// Guards against losing a commit that only the old primary still has. The one replica that had
+/// received the commit lost its log. The old primary had stepped down and was reachable, but only
+/// the two replicas were compared, and the promoted one lacked the commit (simulation of
+/// replacements, up to four faults, seed 14008).
 #[test]
 fn compares_an_old_primary_that_is_a_replica_if_another_replica_lost_its_log() {
     let mut now = Instant::now();
@@ -32,8 +34,8 @@
     assert_eq!(chosen, Some(name(OLD_PRIMARY)));
 }
 
-/// An old primary that has stepped down may have commits that it never acknowledged. It is not needed if both
-/// replicas are stopped, and there is a reason to replace it.
+/// An old primary that has stepped down may have commits that it never acknowledged. It is not
+/// needed if both replicas are stopped, and there is a reason to replace it.
 #[test]
 fn does_not_choose_the_old_primary_if_the_replicas_are_enough() {
     let mut now = Instant::now();
@@ -43,9 +45,9 @@
     assert_eq!(chosen, Some(name("c")));
 }
 
-/// Guards against an attempt that never ends. An old primary that had stepped down was promoted again with a term
-/// below the one that replicas had been stopped with, so its report was ignored (simulation of replacements, up to
-/// four faults, seed 38).
+/// Guards against an attempt that never ends. An old primary that had stepped down was promoted
+/// again with a term below the one that replicas had been stopped with, so its report was ignored
+/// (simulation of replacements, up to four faults, seed 38).
 #[test]
 fn accepts_the_old_primary_as_successor_by_its_own_report() {
     let mut now = Instant::now();
@@ -66,8 +68,8 @@
     matches!(attempt.phase(), Phase::Settling { .. })
 }
 
-/// Guards against waiting for all three instances. The old primary has stepped down, so there is no primary, and one
-/// replica has lost its log and cannot receive it again.
+/// Guards against waiting for all three instances. The old primary has stepped down, so there is no
+/// primary, and one replica has lost its log and cannot receive it again.
 #[test]
 fn two_of_three_logs_suffice_if_the_last_primary_is_a_replica() {
     let need = Need { old_primary: None, last_primary_is_replica: true, ..need(Reason::Missing) };
@@ -82,10 +84,11 @@
     assert_eq!(chosen, Some(name("a")));
 }
 
-/// Guards against losing commits of a replica that was stopped and then restarted. The coordinator was cut off from
-/// the store and did not learn of the restart. In the final check the replica reported an empty log, and the
-/// other one was promoted, which lacked commits that the first had (simulation of replacements, up to nine
-/// faults, seed 15444: 43 commits, then none; promoted with 33).
+/// Guards against losing commits of a replica that was stopped and then restarted. The coordinator
+/// was cut off from the store and did not learn of the restart. In the final check the replica
+/// reported an empty log, and the other one was promoted, which lacked commits that the first had
+/// (simulation of replacements, up to nine faults, seed 15444: 43 commits, then none; promoted with
+/// 33).
 #[test]
 fn stopped_replica_with_a_lower_position_than_before_has_lost_its_log() {
     let mut now = Instant::now();
@@ -95,8 +98,8 @@
     assert_eq!(run_to_promotion_with(&mut attempt, &mut now, no_restarts, offsets), None);
 }
 
-/// The same if the replica does not report a lower position: the store shows its restart, but the coordinator's copy
-/// is older.
+/// The same if the replica does not report a lower position: the store shows its restart, but the
+/// coordinator's copy is older.
 #[test]
 fn replica_with_a_new_incarnation_in_the_store_has_lost_its_log() {
     let mut now = Instant::now();
@@ -131,10 +134,10 @@
     assert!(run_to_promotion(&mut attempt, &mut now, &[("b", 33), ("c", 33)]).is_some());
 }
 
-/// Guards against a final check of the chosen replica alone. The old primary refused connections, so only the replica
-/// to be promoted was queried again. It lost its log 4 ms after the promotion was sent, while the other stopped
-/// replica, which was unreachable, had every acknowledged commit (simulation of replacements, up to nine faults,
-/// seed 19308).
+/// Guards against a final check of the chosen replica alone. The old primary refused connections,
+/// so only the replica to be promoted was queried again. It lost its log 4 ms after the promotion
+/// was sent, while the other stopped replica, which was unreachable, had every acknowledged commit
+/// (simulation of replacements, up to nine faults, seed 19308).
 #[test]
 fn all_required_replicas_confirm_their_stop_before_the_promotion() {
     let mut now = Instant::now();
@@ -189,8 +192,8 @@
     assert!(run_to_promotion(&mut attempt, &mut now, &both).is_some());
 }
 
-/// The log of an instance that is permanently gone cannot be recovered by waiting: the best remaining replica is
-/// promoted.
+/// The log of an instance that is permanently gone cannot be recovered by waiting: the best
+/// remaining replica is promoted.
 #[test]
 fn does_not_wait_for_logs_that_are_lost() {
     let mut now = Instant::now();
@@ -202,7 +205,8 @@
     assert_eq!(chosen, Some(name("b")));
 }
 
-/// After a restart of all instances there are no commits left to lose, and the group needs a primary.
+/// After a restart of all instances there are no commits left to lose, and the group needs a
+/// primary.
 #[test]
 fn promotes_an_instance_if_all_logs_are_lost() {
     let mut now = Instant::now();
@@ -222,9 +226,9 @@
     attempt.on_event(Event::ReportsCombined(report), now);
 }
 
-/// No node has acknowledged a commit beyond the highest position that the primary reported to it. A replica that has
-/// received the log up to the highest of these positions has every acknowledged commit, even if the primary is gone
-/// and no node has seen the replica refilled.
+/// No node has acknowledged a commit beyond the highest position that the primary reported to it. A
+/// replica that has received the log up to the highest of these positions has every acknowledged
+/// commit, even if the primary is gone and no node has seen the replica refilled.
 #[test]
 fn replica_counts_after_receiving_the_highest_position_of_all_nodes() {
     let mut now = Instant::now();
--- a/crates/core/tests/promotion/old_primaries.rs
+++ b/crates/core/tests/promotion/old_primaries.rs
@@ -7,8 +7,8 @@
 
 use crate::support::*;
 
-/// Time within which an old primary that has returned cannot acknowledge commits yet. The longest allowed
-/// interval between two demotions.
+/// Time within which an old primary that has returned cannot acknowledge commits yet. The longest
+/// allowed interval between two demotions.
 const MAX_DEMOTE_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Runs the attempt for `duration`; returns when each demotion was sent.
@@ -31,10 +31,11 @@
     demotions
 }
 
-/// Guards against commits of an old primary that returns while the promotion is pending. It returned 72 ms before
-/// its successor was primary, and the only demotion had reached its previous process; the next was due after
-/// 250 ms. The successor crashed 34 ms after it had become primary, and the old primary acknowledged two commits
-/// through a replica that the promotion had released (simulation of replacements, up to nine faults, seed 9805).
+/// Guards against commits of an old primary that returns while the promotion is pending. It
+/// returned 72 ms before its successor was primary, and the only demotion had reached its previous
+/// process; the next was due after 250 ms. The successor crashed 34 ms after it had become primary,
+/// and the old primary acknowledged two commits through a replica that the promotion had released
+/// (simulation of replacements, up to nine faults, seed 9805).
 #[test]
 fn demotes_the_old_primary_repeatedly_until_a_successor_is_known() {
     let mut now = Instant::now();
@@ -50,8 +51,9 @@
     assert!(longest <= Some(MAX_DEMOTE_INTERVAL), "{longest:?}");
 }
 
-/// Guards against an old primary that stays stopped forever. The previous coordinator had stopped it as one of the
-/// replicas, since it had stepped down. The next coordinator found a successor and released the other replicas only.
+/// Guards against an old primary that stays stopped forever. The previous coordinator had stopped
+/// it as one of the replicas, since it had stepped down. The next coordinator found a successor and
+/// released the other replicas only.
 #[test]
 fn releases_an_old_primary_that_an_earlier_coordinator_stopped() {
     let now = Instant::now();
--- a/crates/core/tests/promotion/sent_promotions.rs
+++ b/crates/core/tests/promotion/sent_promotions.rs
@@ -1,4 +1,5 @@
-//! An attempt that may have promoted an instance ends with a successor, whichever coordinator completes it.
+//! An attempt that may have promoted an instance ends with a successor, whichever coordinator
+//! completes it.
 
 use std::time::{Duration, Instant};
 
@@ -24,11 +25,11 @@
     commands.iter().any(|command| matches!(command, Command::Finish { successor: None, .. }))
 }
 
-/// Guards against an attempt that ends without a successor although an instance was primary. The promoted instance
-/// was primary for 142 ms, unnoticed because the store was down and the coordinator was suspended, and then lost its
-/// log. The coordinator learned of its restart and ended the attempt as if no instance had been promoted. Nodes
-/// continued at the old primary, which acknowledged a commit (simulation of replacements, up to nine faults,
-/// seed 5976).
+/// Guards against an attempt that ends without a successor although an instance was primary. The
+/// promoted instance was primary for 142 ms, unnoticed because the store was down and the
+/// coordinator was suspended, and then lost its log. The coordinator learned of its restart and
+/// ended the attempt as if no instance had been promoted. Nodes continued at the old primary, which
+/// acknowledged a commit (simulation of replacements, up to nine faults, seed 5976).
 #[test]
 fn promotes_another_instance_if_the_chosen_one_restarts() {
     let mut now = Instant::now();
@@ -49,10 +50,10 @@
     assert_eq!(chosen, Some(name(OLD_PRIMARY)), "only it still has every acknowledged commit");
 }
 
-/// Guards against a next coordinator that cancels an attempt whose promotion took effect. The previous coordinator
-/// crashed between the promotion and recording it. The promoted instance was primary for 0.43 s and lost its
-/// log. The next coordinator found no reason for the attempt any more and ended it without a successor
-/// (simulation of replacements, seed 17708).
+/// Guards against a next coordinator that cancels an attempt whose promotion took effect. The
+/// previous coordinator crashed between the promotion and recording it. The promoted instance was
+/// primary for 0.43 s and lost its log. The next coordinator found no reason for the attempt any
+/// more and ended it without a successor (simulation of replacements, seed 17708).
 #[test]
 fn next_coordinator_completes_an_attempt_that_may_have_sent_a_promotion() {
     let need = Need { is_current: false, may_have_promoted: true, ..need(Reason::Unfinished) };
@@ -101,7 +102,8 @@
     assert!(run_to_promotion(&mut attempt, &mut now, &[("b", 10), ("c", 10)]).is_some());
 }
 
-/// A promotion that the platform refused does not take effect, so the attempt may end without a successor.
+/// A promotion that the platform refused does not take effect, so the attempt may end without a
+/// successor.
 #[test]
 fn can_be_cancelled_after_the_platform_refused_the_promotion() {
     let mut now = Instant::now();
--- a/crates/core/tests/promotion/steps.rs
+++ b/crates/core/tests/promotion/steps.rs
@@ -51,11 +51,11 @@
     assert!(now - began >= timing.unlisted_evidence_lifetime - timing.min_promotion_time);
 }
 
-/// Guards against a promotion while a new node still reads at the old primary. The coordinator's list of nodes lacked
-/// a node that had registered since. The listed nodes revoked their evidence before the coordinator knew that its
-/// intent was recorded, because the answer of the store was lost. It considered them all the nodes and promoted after
-/// 100 ms, and a read of the new node lacked a commit (simulation of replacements while nodes join, up to four
-/// faults, seed 1212314).
+/// Guards against a promotion while a new node still reads at the old primary. The coordinator's
+/// list of nodes lacked a node that had registered since. The listed nodes revoked their evidence
+/// before the coordinator knew that its intent was recorded, because the answer of the store was
+/// lost. It considered them all the nodes and promoted after 100 ms, and a read of the new node
+/// lacked a commit (simulation of replacements while nodes join, up to four faults, seed 1212314).
 #[test]
 fn ignores_reports_of_nodes_until_the_intent_is_recorded() {
     let timing = Timing::default();
@@ -95,7 +95,8 @@
     assert_eq!(run_to_promotion(&mut attempt, &mut now, &offsets), Some(name("b")));
 }
 
-/// A primary that had crashed earlier was still listed as one (simulation of replacements, seed 2029).
+/// A primary that had crashed earlier was still listed as one (simulation of replacements, seed
+/// 2029).
 #[test]
 fn earlier_primary_is_not_mistaken_for_the_successor() {
     let mut now = Instant::now();
@@ -133,10 +134,11 @@
     assert!(commands.contains(&Command::RecordSuccessor(name("b"))), "{commands:?}");
 }
 
-/// Guards against losing acknowledged writes at an old primary that returns under another name. It crashed, was
-/// suspected, and restarted as a primary at the same address, because no replica had been promoted yet. While the
-/// promotion of a replica was pending, it was mistaken for the successor and the replicas were released. It
-/// acknowledged writes that the promotion rolled back some hundred milliseconds later.
+/// Guards against losing acknowledged writes at an old primary that returns under another name. It
+/// crashed, was suspected, and restarted as a primary at the same address, because no replica had
+/// been promoted yet. While the promotion of a replica was pending, it was mistaken for the
+/// successor and the replicas were released. It acknowledged writes that the promotion rolled back
+/// some hundred milliseconds later.
 #[test]
 fn old_primary_restarted_under_another_name_is_not_mistaken_for_the_successor() {
     let mut now = Instant::now();
@@ -174,8 +176,8 @@
     assert!(commands.contains(&Command::RecordSuccessor(name("b"))), "{commands:?}");
 }
 
-/// An instance that was promoted by a late request of an earlier coordinator reports a term not below the one that the
-/// replicas are stopped with.
+/// An instance that was promoted by a late request of an earlier coordinator reports a term not
+/// below the one that the replicas are stopped with.
 #[test]
 fn accepts_another_instance_that_leads_a_newer_term_as_successor() {
     let mut now = Instant::now();
@@ -192,8 +194,9 @@
     assert!(commands.contains(&Command::RecordSuccessor(name("c"))), "{commands:?}");
 }
 
-/// Guards against an attempt that never ends. A new primary had one replica that received nothing and one that had
-/// crashed, so it could not commit and was suspected. The attempt could stop only one of the replicas.
+/// Guards against an attempt that never ends. A new primary had one replica that received nothing
+/// and one that had crashed, so it could not commit and was suspected. The attempt could stop only
+/// one of the replicas.
 #[test]
 fn attempt_on_a_working_primary_is_cancelled_if_too_few_replicas_stop() {
     let mut now = Instant::now();
@@ -222,8 +225,9 @@
     assert_eq!(attempt.phase(), Phase::Over);
 }
 
-/// Guards against reads at the old primary. A replica was released before it followed the new primary, reported that
-/// it followed the old one, and a node accepted that as evidence (simulation with many faults at once, seed 339).
+/// Guards against reads at the old primary. A replica was released before it followed the new
+/// primary, reported that it followed the old one, and a node accepted that as evidence (simulation
+/// with many faults at once, seed 339).
 #[test]
 fn replicas_are_not_released_while_the_old_primary_may_be_primary() {
     let mut now = Instant::now();
@@ -244,8 +248,8 @@
     assert!(!commands.iter().any(|command| matches!(command, Command::Release(_))), "{commands:?}");
 }
 
-/// A promotion was lost, and before it was repeated a replica restarted and was no longer stopped (simulation with many
-/// faults at once, seed 1530).
+/// A promotion was lost, and before it was repeated a replica restarted and was no longer stopped
+/// (simulation with many faults at once, seed 1530).
 #[test]
 fn promotion_is_repeated_only_while_the_replicas_are_stopped() {
     let mut now = Instant::now();
@@ -274,8 +278,8 @@
     assert_eq!(run_to_promotion(&mut attempt, &mut now, &offsets), Some(name("b")));
 }
 
-/// Guards against replicas that never follow the successor, because they were stopped with a term above the one that it
-/// leads (simulation with many faults at once, seeds 65 and 192).
+/// Guards against replicas that never follow the successor, because they were stopped with a term
+/// above the one that it leads (simulation with many faults at once, seeds 65 and 192).
 #[test]
 fn replicas_are_released_once_the_old_primary_has_stepped_down() {
     for steps_down in [true, false] {
@@ -311,8 +315,9 @@
     }
 }
 
-/// Guards against losing commits that only the other replica has. It had restarted before the promotion was repeated,
-/// and had received commits that the chosen replica lacked (simulation with many faults at once, seed 589).
+/// Guards against losing commits that only the other replica has. It had restarted before the
+/// promotion was repeated, and had received commits that the chosen replica lacked (simulation with
+/// many faults at once, seed 589).
 #[test]
 fn repeated_promotion_goes_to_the_replica_that_is_ahead_by_then() {
     let mut now = Instant::now();
@@ -331,8 +336,9 @@
     );
 }
 
-/// Guards against an attempt that never ends. A coordinator that knew no term stopped the replicas with a term that the
-/// old primary led, so they still accepted replication (simulation with many faults at once, seed 399).
+/// Guards against an attempt that never ends. A coordinator that knew no term stopped the replicas
+/// with a term that the old primary led, so they still accepted replication (simulation with many
+/// faults at once, seed 399).
 #[test]
 fn replicas_are_stopped_with_a_term_that_no_primary_has_led() {
     let mut now = Instant::now();
@@ -353,8 +359,9 @@
     assert!(second.contains(&Command::Stop { instance: name("b"), term: Term(2) }), "{second:?}");
 }
 
-/// Nodes accept a replica that was stopped for a promotion as evidence for the promoted instance. Another attempt must
-/// not promote with the same term, even if it knows nothing of the earlier one.
+/// Nodes accept a replica that was stopped for a promotion as evidence for the promoted instance.
+/// Another attempt must not promote with the same term, even if it knows nothing of the earlier
+/// one.
 #[test]
 fn replica_stopped_by_another_coordinator_is_stopped_with_a_higher_term() {
     let now = Instant::now();
@@ -370,8 +377,9 @@
     }
 }
 
-/// Guards against an interruption of ten seconds. With a replica that received nothing, a cancelled attempt waited to
-/// release an instance that it had never stopped, and no node sent requests to the primary meanwhile.
+/// Guards against an interruption of ten seconds. With a replica that received nothing, a cancelled
+/// attempt waited to release an instance that it had never stopped, and no node sent requests to
+/// the primary meanwhile.
 #[test]
 fn only_replicas_that_may_be_stopped_are_released() {
     let mut now = Instant::now();
@@ -389,8 +397,8 @@
     assert!(attempt.step(now).contains(&Command::Finish { id: attempt.id(), successor: None }));
 }
 
-/// The next coordinator suspected the primary as well, and released only the replicas that it had stopped itself
-/// (simulation with many faults at once, seed 2219).
+/// The next coordinator suspected the primary as well, and released only the replicas that it had
+/// stopped itself (simulation with many faults at once, seed 2219).
 #[test]
 fn next_coordinator_releases_every_replica() {
     let now = Instant::now();
@@ -406,9 +414,10 @@
     }
 }
 
-/// Guards against an attempt that stops replicas of a promoted primary. The store was down when the successor became
-/// primary. The attempt queried the successor, considered it a replica that is no longer stopped, and stopped the
-/// other replica with a higher term (simulation of replacements, seed 16686).
+/// Guards against an attempt that stops replicas of a promoted primary. The store was down when the
+/// successor became primary. The attempt queried the successor, considered it a replica that is no
+/// longer stopped, and stopped the other replica with a higher term (simulation of replacements,
+/// seed 16686).
 #[test]
 fn accepts_the_successor_by_its_own_report() {
     let mut now = Instant::now();
@@ -421,9 +430,9 @@
     assert!(commands.contains(&Command::RecordSuccessor(name("b"))), "{commands:?}");
 }
 
-/// Guards against losing commits that a leaving replica has received. A zone with the primary and a leaving replica
-/// was cut off, and the replica's entry expired. The attempt ignored the replica, although the two went on
-/// acknowledging commits, and promoted another one that lacked 14 of them.
+/// Guards against losing commits that a leaving replica has received. A zone with the primary and a
+/// leaving replica was cut off, and the replica's entry expired. The attempt ignored the replica,
+/// although the two went on acknowledging commits, and promoted another one that lacked 14 of them.
 #[test]
 fn waits_for_a_vanished_leaving_replica_until_it_refuses_connections() {
     let mut now = Instant::now();
--- a/crates/core/tests/promotion/support.rs
+++ b/crates/core/tests/promotion/support.rs
@@ -1,4 +1,5 @@
-//! An attempt on a group of three instances, whose primary is `a`, and the reports of the instances.
+//! An attempt on a group of three instances, whose primary is `a`, and the reports of the
+//! instances.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -77,8 +78,8 @@
     replica_status(instance, offset, Term(2), sent)
 }
 
-/// Runs the attempt until it sends a promotion. The replicas in `offsets` answer and obey stops. `None` if no
-/// promotion is sent within four seconds.
+/// Runs the attempt until it sends a promotion. The replicas in `offsets` answer and obey stops.
+/// `None` if no promotion is sent within four seconds.
 pub fn run_to_promotion(
     attempt: &mut Attempt,
     now: &mut Instant,
@@ -87,8 +88,8 @@
     run_to_promotion_with(attempt, now, no_restarts, |_| offsets.to_vec())
 }
 
-/// The same with a store that answers requests for incarnations with `incarnations`, and replicas that report the
-/// `offsets` of each step.
+/// The same with a store that answers requests for incarnations with `incarnations`, and replicas
+/// that report the `offsets` of each step.
 pub fn run_to_promotion_with<'a>(
     attempt: &mut Attempt,
     now: &mut Instant,
--- a/crates/core/tests/refilling.rs
+++ b/crates/core/tests/refilling.rs
@@ -78,9 +78,9 @@
     known.on_status(&group(), &InstanceName::new(instance), &status, asked);
 }
 
-/// Guards against losing commits because a restarted instance counts as complete after some time. It counted as
-/// complete 3 s after its restart although there was no primary from which it could receive its log again
-/// (simulation of replacements, up to four faults, seed 604898).
+/// Guards against losing commits because a restarted instance counts as complete after some time.
+/// It counted as complete 3 s after its restart although there was no primary from which it could
+/// receive its log again (simulation of replacements, up to four faults, seed 604898).
 #[test]
 fn elapsed_time_does_not_complete_a_refill() {
     let (mut known, restart_seen) = restarted_replica();
@@ -123,7 +123,8 @@
     assert!(is_refilling(&known), "the report is from the previous process");
 }
 
-/// Commits of a newer term may have been acknowledged before the restart, and an old primary lacks them.
+/// Commits of a newer term may have been acknowledged before the restart, and an old primary lacks
+/// them.
 #[test]
 fn refill_requires_the_newest_primary() {
     let (mut known, restart_seen) = restarted_replica();
@@ -156,8 +157,8 @@
     assert!(known.members(&group()).knows_restarts);
 }
 
-/// A node that has just started may have acknowledged commits to clients in its previous process, and does not
-/// remember their positions.
+/// A node that has just started may have acknowledged commits to clients in its previous process,
+/// and does not remember their positions.
 #[test]
 fn node_reports_no_restarts_until_it_has_observed_long_enough() {
     let observed_since = Instant::now();
--- a/crates/core/tests/suspicion.rs
+++ b/crates/core/tests/suspicion.rs
@@ -46,9 +46,9 @@
     assert_eq!(detector.suspect(&signals, now), None);
 }
 
-/// Guards against replacements of a silent primary that cancel themselves. A replacement ended the work on the primary
-/// and was cancelled within 100 ms, because no request waited for the primary any more. This happened seven times in a
-/// row.
+/// Guards against replacements of a silent primary that cancel themselves. A replacement ended the
+/// work on the primary and was cancelled within 100 ms, because no request waited for the primary
+/// any more. This happened seven times in a row.
 #[test]
 fn requests_given_up_show_silence_until_something_is_answered() {
     let start = Instant::now();
@@ -71,8 +71,9 @@
     assert_eq!(abandoned.oldest_sent(later), Some(later));
 }
 
-/// Guards against a primary that is cut off from its replicas and is not replaced. Each node abandoned its commits before
-/// the commits of the other nodes had waited for long enough, so no two nodes suspected the primary at the same time.
+/// Guards against a primary that is cut off from its replicas and is not replaced. Each node
+/// abandoned its commits before the commits of the other nodes had waited for long enough, so no
+/// two nodes suspected the primary at the same time.
 #[test]
 fn waiting_commit_causes_suspicion_unless_other_commits_are_acknowledged() {
     let start = Instant::now();
