--- a/crates/core/src/current_position.rs
+++ b/crates/core/src/current_position.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::confirmation::{Evidence, ProbeNumber};
+use crate::confirmation::{FlushReport, ProbeNumber};
 use crate::ids::InstanceName;
 use crate::position::Position;
 use crate::routing::Role;
@@ -41,7 +41,7 @@
     /// including a primary, has reported the same term.
     pub fn on_evidence(
         &mut self,
-        evidence: Evidence,
+        evidence: FlushReport,
         role: Role,
         majority: usize,
     ) -> Option<Position> {
--- /dev/null
+++ b/crates/core/src/promotion/attempt/settling.rs
@@ -0,0 +1,75 @@
+//! Completes an attempt: after a promotion, or without one if the attempt is cancelled.
+
+use std::time::Instant;
+
+use super::{Attempt, RetriedCommand};
+use crate::ids::InstanceName;
+use crate::position::Term;
+use crate::promotion::{Command, Phase, Successor};
+
+impl Attempt {
+    /// Demotes the old primary first and then releases the replicas: a replica that is released
+    /// while the old primary is still primary, and that cannot reach the successor, would follow
+    /// the old primary and report that.
+    pub(super) fn settle(&mut self, until: Instant, now: Instant, commands: &mut Vec<Command>) {
+        let since = until - self.timing.demotion_timeout;
+        let all_demoted =
+            !self.old_primary_may_lead(since) && self.other_primaries.returned.is_empty();
+        if all_demoted || self.target_changed {
+            self.release(now, commands);
+        }
+        if !all_demoted {
+            self.demote_old_primary(now, commands);
+            for name in self.other_primaries.returned.clone() {
+                self.demote(&name, now, commands);
+            }
+        }
+        let successor = self.chosen.clone().map(|instance| self.with_reported_term(instance));
+        let has_term = successor.as_ref().is_none_or(|successor| successor.term.is_some());
+        if now >= until || (all_demoted && has_term && self.all_released()) {
+            commands.push(Command::Finish { id: self.intent.id, successor });
+            self.phase = Phase::Over;
+        } else if let (false, Some(instance)) = (has_term, self.chosen.clone()) {
+            self.send(&instance, RetriedCommand::QueryStatus, now, commands, Command::QueryStatus);
+        }
+    }
+
+    /// The successor with the term that it reported. By this term nodes recognize old primaries
+    /// that return later.
+    fn with_reported_term(&self, instance: InstanceName) -> Successor {
+        let reported =
+            self.reported_successor.clone().filter(|reported| reported.instance == instance);
+        reported.unwrap_or(Successor { instance, term: None })
+    }
+
+    /// Tells an old primary to step down.
+    pub(super) fn demote(&mut self, old: &InstanceName, now: Instant, commands: &mut Vec<Command>) {
+        let term = Term(self.highest_term.0.max(self.stop_term.0));
+        self.send(old, RetriedCommand::Demote, now, commands, |instance| Command::Demote {
+            instance,
+            term,
+        });
+    }
+
+    /// Releases the replicas. If that takes long, because a replica cannot be reached, the intent
+    /// is recorded as cancelled, so that nodes continue with the old primary meanwhile.
+    pub(super) fn cancel(&mut self, until: Instant, now: Instant, commands: &mut Vec<Command>) {
+        self.release(now, commands);
+        let since = until - self.timing.release_timeout;
+        // At most one write to the store is pending at a time.
+        let mut is_write_pending = self.submitted != self.recorded;
+        if !self.all_released()
+            && now >= since + self.timing.cancellation_notice_delay
+            && !is_write_pending
+        {
+            self.intent.called_off = true;
+            self.intent.promoting = false;
+            self.record_intent(commands);
+            is_write_pending = self.submitted != self.recorded;
+        }
+        if !is_write_pending && (now >= until || self.all_released()) {
+            commands.push(Command::Finish { id: self.intent.id, successor: None });
+            self.phase = Phase::Over;
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/tests/known_replacements.rs
@@ -0,0 +1,118 @@
+//! The running replacements that a node knows of, from the store and from notifications of the
+//! coordinator.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
+use kestrellock_core::promotion::{Intent, KnownReplacements, Reason, ReplacementId};
+
+fn group() -> GroupName {
+    GroupName::new("orders")
+}
+
+fn intent(attempt: u32, reason: Reason) -> Intent {
+    Intent {
+        holder: NodeName::new("holder"),
+        id: ReplacementId { fence: 7, attempt },
+        reason,
+        former: Some(InstanceName::new("old")),
+        called_off: false,
+        promoting: false,
+    }
+}
+
+fn in_store(intent: Intent) -> BTreeMap<GroupName, Intent> {
+    BTreeMap::from([(group(), intent)])
+}
+
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
+
+/// Guards against a node that cannot reach the store and continues to use the old primary.
+#[test]
+fn replacement_counts_as_running_after_a_notification() {
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.on_notification(&group(), intent(1, Reason::Suspected), Duration::ZERO, now);
+    assert_eq!(known.intents(), in_store(intent(1, Reason::Suspected)));
+}
+
+/// Guards against a group that stays without a primary on a node after the coordinator crashed.
+#[test]
+fn replacement_expires_without_notifications_of_the_coordinator() {
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.on_notification(&group(), intent(1, Reason::Suspected), Duration::ZERO, now);
+    assert!(!known.expire(now + ms(900)));
+    assert!(known.expire(now + ms(1_000)));
+    assert!(known.intents().is_empty());
+}
+
+/// Guards against delayed requests after a notification that arrives once the replacement has
+/// finished.
+#[test]
+fn notification_of_a_finished_replacement_is_ignored() {
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.on_finished(&group(), ReplacementId { fence: 7, attempt: 1 });
+    known.on_notification(&group(), intent(1, Reason::Suspected), Duration::ZERO, now);
+    assert!(known.intents().is_empty());
+    known.update_from_store(&in_store(intent(2, Reason::Suspected)), now);
+    known.update_from_store(&BTreeMap::new(), now);
+    known.on_notification(&group(), intent(2, Reason::Suspected), Duration::ZERO, now);
+    assert!(known.intents().is_empty(), "the store has shown that it has finished");
+    known.on_notification(&group(), intent(3, Reason::Suspected), Duration::ZERO, now);
+    assert_eq!(known.intents(), in_store(intent(3, Reason::Suspected)));
+}
+
+/// Guards against a stale copy of the store, which does not show a running replacement yet.
+#[test]
+fn stale_copy_of_the_store_does_not_finish_a_notified_replacement() {
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.update_from_store(&in_store(intent(1, Reason::Suspected)), now);
+    known.on_notification(&group(), intent(2, Reason::Suspected), Duration::ZERO, now);
+    known.update_from_store(&BTreeMap::new(), now);
+    assert_eq!(known.intents(), in_store(intent(2, Reason::Suspected)));
+}
+
+/// Guards against commits that an old primary acknowledges through a replica that is no longer
+/// stopped.
+#[test]
+fn accepts_commits_of_the_old_primary_only_until_another_instance_may_be_chosen() {
+    let (old, other) = (InstanceName::new("old"), InstanceName::new("other"));
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    assert!(known.accepts_commit(&group(), &old, now));
+    known.on_notification(&group(), intent(1, Reason::Suspected), ms(10), now);
+    assert!(known.accepts_commit(&group(), &old, now + ms(40)));
+    assert!(!known.accepts_commit(&group(), &old, now + ms(41)));
+    assert!(
+        known.accepts_commit(&group(), &other, now + ms(300)),
+        "commits of the successor are accepted"
+    );
+}
+
+/// Guards against commits with unknown outcome if the coordinator learns late that its intent is
+/// recorded, and begins only then.
+#[test]
+fn grace_period_begins_when_the_coordinator_begins() {
+    let old = InstanceName::new("old");
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.update_from_store(&in_store(intent(1, Reason::Suspected)), now);
+    known.on_notification(&group(), intent(1, Reason::Suspected), ms(5), now + ms(205));
+    assert!(known.accepts_commit(&group(), &old, now + ms(250)));
+    known.on_notification(&group(), intent(1, Reason::Suspected), ms(60), now + ms(300));
+    assert!(!known.accepts_commit(&group(), &old, now + ms(251)), "a slow message changes nothing");
+}
+
+/// Guards against commits with unknown outcome while a planned replacement gives open work time to
+/// finish.
+#[test]
+fn accepts_commits_while_a_planned_replacement_drains() {
+    let old = InstanceName::new("old");
+    let (mut known, now) = (KnownReplacements::default(), Instant::now());
+    known.update_from_store(&in_store(intent(1, Reason::Leaving)), now);
+    assert!(known.accepts_commit(&group(), &old, now + ms(150)));
+    assert!(!known.accepts_commit(&group(), &old, now + ms(151)));
+    let cancelled = Intent { called_off: true, ..intent(1, Reason::Leaving) };
+    known.update_from_store(&in_store(cancelled), now + ms(200));
+    assert!(known.accepts_commit(&group(), &old, now + ms(300)), "no instance will be promoted");
+}
--- a/crates/daemon/src/agent/promotion/coordinator.rs
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -216,7 +216,7 @@
         match report {
             Report::Event(group, event) => {
                 if let Some(running) = self.attempts.get_mut(&group) {
-                    if matches!(event, Event::Recorded(_)) {
+                    if matches!(event, Event::IntentRecorded(_)) {
                         running.pending = None;
                         running.recorded.get_or_insert(now);
                     }
@@ -288,7 +288,7 @@
             highest,
             Timing::default(),
         );
-        log::info!(event = "attempt", group = group.as_str(), reason:? = need.reason, former:? = need.former, term = highest.0; "a primary is to be replaced");
+        log::info!(event = "attempt", group = group.as_str(), reason:? = need.reason, former:? = need.old_primary, term = highest.0; "a primary is to be replaced");
         let phase = attempt.phase();
         let running = RunningAttempt {
             attempt,
@@ -303,13 +303,13 @@
 
     fn step_group(&mut self, group: &GroupName, input: &CoordinatorInput, now: Instant) {
         let Some(running) = self.attempts.get_mut(group) else { return };
-        let wanted = input.needs.get(group).is_some_and(|need| need.wanted);
+        let wanted = input.needs.get(group).is_some_and(|need| need.is_current);
         running.attempt.on_event(Event::Members(input.known.members(group)), now);
-        running.attempt.on_event(Event::Wanted(wanted), now);
+        running.attempt.on_event(Event::StillNeeded(wanted), now);
         let id = running.attempt.id();
         let witnesses = self.context.given_up.for_replacement(group, id);
         if let Some(witnesses) = witnesses {
-            running.attempt.hear(
+            running.attempt.on_reports(
                 &witnesses,
                 &nodes_to_await(self.context, &*self.coordination),
                 now,
@@ -324,7 +324,7 @@
             let after = now.saturating_duration_since(running.started).as_millis() as u64;
             log::info!(event = "phase", group = group.as_str(), phase:? = running.phase, chosen:? = running.attempt.chosen(), after_ms = after; "the attempt goes on");
         }
-        if let Some(intent) = running.attempt.under_way() {
+        if let Some(intent) = running.attempt.recorded_intent() {
             let recorded = running.recorded.unwrap_or(now);
             self.context.replacements.on_attempt_running(group, intent, recorded);
         }
@@ -341,18 +341,18 @@
         now: Instant,
     ) {
         match command {
-            Command::ReadStarts if self.incarnations_may_be_outdated => {
+            Command::ReadIncarnations if self.incarnations_may_be_outdated => {
                 log::info!(event = "starts_unknown", group = group.as_str(); "the store was restored from an older copy: it may not know all restarts of instances yet");
                 if let Some(running) = self.attempts.get_mut(group) {
-                    running.attempt.on_event(Event::StartsUnknown, now);
+                    running.attempt.on_event(Event::IncarnationsUnavailable, now);
                 }
             }
-            Command::ReadStarts => {
+            Command::ReadIncarnations => {
                 let members = known.members(group).all;
                 let instances = members.into_iter().map(|member| member.name).collect();
                 self.executor.read_starts(group.clone(), instances);
             }
-            Command::Ask(instance) => self.send_order(group, &instance, Order::Ask, known),
+            Command::QueryStatus(instance) => self.send_order(group, &instance, Order::Ask, known),
             Command::Stop { instance, term } => {
                 self.send_order(group, &instance, Order::Stop(term), known);
             }
@@ -366,11 +366,11 @@
                     self.executor.promote(group.clone(), instance, coordinator, &self.lease);
                 }
             }
-            Command::Record(ref intent) => {
+            Command::RecordIntent(ref intent) => {
                 self.executor.record(&self.lease, group.clone(), intent.clone());
                 self.keep_pending(group, command);
             }
-            Command::Install(successor) => {
+            Command::RecordSuccessor(successor) => {
                 self.executor.install(&self.lease, group.clone(), successor);
             }
             Command::Finish { id, ref successor } => {
--- a/crates/daemon/src/agent/promotion/executor.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -13,7 +13,7 @@
 use crossbeam::channel::{Receiver, Sender, bounded, unbounded};
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_core::promotion::{
-    Event, Intent, PromotionAnswer, ReplacementId, Standing, Successor,
+    Event, Intent, PromotionAnswer, ReplacementId, ReplicationStatus, Successor,
 };
 use kestrellock_store::control::{ControlError, ControlTarget, Order};
 use kestrellock_store::coordination::{Coordination, Hold};
@@ -177,7 +177,7 @@
     match command {
         StoreCommand::Record(lease, group, intent) => {
             match coordination.record(&lease, &group, &intent) {
-                Ok(true) => Report::Event(group, Event::Recorded(intent)),
+                Ok(true) => Report::Event(group, Event::IntentRecorded(intent)),
                 Ok(false) => Report::LeaseOver,
                 Err(_) => Report::StoreFailed(group),
             }
@@ -209,10 +209,10 @@
 fn read_starts(coordination: &dyn Coordination, instances: &[InstanceName]) -> Event {
     let asked = Instant::now();
     match coordination.starts(instances) {
-        Ok(told) => Event::Starts { told, asked },
+        Ok(told) => Event::Incarnations { by_instance: told, asked },
         Err(error) => {
             log::info!(event = "starts_unknown", error = error.to_string().as_str(); "the store did not return the incarnations of the instances");
-            Event::StartsUnknown
+            Event::IncarnationsUnavailable
         }
     }
 }
@@ -221,13 +221,14 @@
 fn events_for(
     target: &ControlTarget,
     order: Order,
-    outcome: Result<Standing, ControlError>,
+    outcome: Result<ReplicationStatus, ControlError>,
     sent: Instant,
 ) -> Vec<Event> {
     let instance = target.instance.clone();
     match outcome {
         Ok(standing) => {
-            let status_event = Event::Stands { instance: instance.clone(), standing, sent };
+            let status_event =
+                Event::StatusReported { instance: instance.clone(), status: standing, sent };
             match order {
                 Order::Release => vec![status_event, Event::Released(instance)],
                 Order::Ask | Order::Stop(_) | Order::Demote(_) => vec![status_event],
@@ -240,7 +241,7 @@
             vec![Event::Released(instance)]
         }
         Err(ControlError::Unanswered(_) | ControlError::Rejected(_)) => {
-            vec![Event::Unanswered(instance)]
+            vec![Event::NoAnswer(instance)]
         }
     }
 }
--- a/crates/daemon/src/agent/promotion/status_queries.rs
+++ b/crates/daemon/src/agent/promotion/status_queries.rs
@@ -12,7 +12,7 @@
 use crossbeam::channel::{Receiver, Sender, unbounded};
 use kestrellock_core::ids::{GroupName, InstanceName};
 use kestrellock_core::position::Term;
-use kestrellock_core::promotion::Standing;
+use kestrellock_core::promotion::ReplicationStatus;
 use kestrellock_core::routing::Role;
 use kestrellock_core::suspicion::Cause;
 use kestrellock_store::control::{ControlError, ControlTarget, InstanceControl, Order};
@@ -38,7 +38,7 @@
     /// The instance.
     pub subject: Subject,
     /// Its replication status.
-    pub status: Standing,
+    pub status: ReplicationStatus,
     /// When the query was sent.
     pub sent_at: Instant,
 }
@@ -47,7 +47,7 @@
 struct QueryResult {
     subject: Subject,
     assessment: Assessment,
-    status: Option<Standing>,
+    status: Option<ReplicationStatus>,
     sent_at: Instant,
 }
 
@@ -121,7 +121,7 @@
     control: &dyn InstanceControl,
     target: &ControlTarget,
     highest: Term,
-    outcome: Result<Standing, ControlError>,
+    outcome: Result<ReplicationStatus, ControlError>,
 ) -> Option<Cause> {
     match outcome {
         Ok(status) if status.role == Role::Primary && status.term < highest => {
--- a/crates/daemon/src/agent/promotion/watch.rs
+++ b/crates/daemon/src/agent/promotion/watch.rs
@@ -20,11 +20,11 @@
 use kestrellock_core::catalog::{Group, IndexedCatalog, Instance};
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_core::promotion::{
-    CoordinationView, Intent, KnownEra, KnownInstances, Need, NeedsEvidence, NeedsJudge, NodeVotes,
-    Vote, heeded,
+    CoordinationView, Intent, KnownInstances, Need, NeedsEvaluator, NeedsInput, NodeVotes,
+    StoreEraTracker, Vote, active_intents,
 };
 use kestrellock_core::routing::Role;
-use kestrellock_core::suspicion::{Cause, Judge};
+use kestrellock_core::suspicion::{Cause, FailureDetector};
 use kestrellock_peer::message::PeerMessage;
 use kestrellock_store::control::ControlTarget;
 use xxhash_rust::xxh3::xxh3_64;
@@ -58,8 +58,8 @@
 struct Watcher<'a> {
     context: &'a Arc<NodeContext>,
     services: &'a ReplacementServices,
-    judge: Judge,
-    needs_judge: NeedsJudge,
+    judge: FailureDetector,
+    needs_judge: NeedsEvaluator,
     known: KnownInstances,
     /// The catalog of the last step.
     last_catalog: Arc<IndexedCatalog>,
@@ -68,7 +68,7 @@
     /// Running replacements, as reported by the store or by their coordinators.
     intents: BTreeMap<GroupName, Intent>,
     announcer: ReplacementAnnouncer,
-    era: KnownEra,
+    era: StoreEraTracker,
     electors: Electors,
     votes: NodeVotes,
     vote_sender: Sender<NodeVotes>,
@@ -96,15 +96,15 @@
     let mut watcher = Watcher {
         context,
         services,
-        judge: Judge::default(),
-        needs_judge: NeedsJudge::default(),
+        judge: FailureDetector::default(),
+        needs_judge: NeedsEvaluator::default(),
         known: KnownInstances::default(),
         last_catalog: Arc::default(),
         owned: OwnedGroups::default(),
         view: Arc::default(),
         intents: BTreeMap::new(),
         announcer: ReplacementAnnouncer::default(),
-        era: KnownEra::default(),
+        era: StoreEraTracker::default(),
         electors: Electors::default(),
         votes: NodeVotes::new(),
         vote_sender: vote_publisher::start(context, services, stop),
@@ -128,7 +128,7 @@
 impl Watcher<'_> {
     fn step(&mut self) {
         let now = Instant::now();
-        self.judge.on_step(now);
+        self.judge.tick(now);
         let catalog = self.context.catalog.load();
         self.follow_catalog(&catalog, now);
         self.announcer.step(self.context, self.mailboxes, now);
@@ -155,11 +155,11 @@
     /// Updates the known instances if the catalog has changed since the last step.
     fn follow_catalog(&mut self, catalog: &Arc<IndexedCatalog>, now: Instant) {
         if Arc::ptr_eq(catalog, &self.last_catalog) {
-            self.known.pass_time(now);
+            self.known.advance_time(now);
             return;
         }
-        self.known.follow(catalog, now);
-        self.needs_judge.follow(catalog);
+        self.known.apply_catalog(catalog, now);
+        self.needs_judge.apply_catalog(catalog);
         self.last_catalog = catalog.clone();
     }
 
@@ -174,7 +174,7 @@
         if !is_new {
             return;
         }
-        if self.era.follow(view.era, now) {
+        if self.era.observe(view.era, now) {
             self.on_store_restored(&view);
         }
         if view.promoted != self.view.promoted {
@@ -190,7 +190,7 @@
             return;
         }
         // Evidence is revoked before the coordinator is told: from here on no read relies on it.
-        let active_intents = heeded(&intents);
+        let active_intents = active_intents(&intents);
         self.context.statuses.follow_replacements(&active_intents);
         log::info!(
             event = "intents",
@@ -254,13 +254,13 @@
             let is_revoked = {
                 let board = self.context.statuses.group(group);
                 let known = board.read().expect("a thread panicked while it held the status lock");
-                known.evidence.given_up() == Some(intent.id)
+                known.evidence.revoked_for() == Some(intent.id)
             };
             if !is_revoked {
                 continue;
             }
             let highest_position = self.context.statuses.highest_primary_position(group);
-            let witness = self.known.witness(group, highest_position);
+            let witness = self.known.restart_report(group, highest_position);
             if intent.holder == *own {
                 self.context.given_up.add(group, intent.id, own, witness);
                 continue;
@@ -282,7 +282,7 @@
             self.status_queries.step(now).into_iter().chain(self.refill_queries.step(now));
         for report in reports {
             let (group, instance) = &report.subject;
-            self.known.on_standing(group, instance, &report.status, report.sent_at);
+            self.known.on_status(group, instance, &report.status, report.sent_at);
         }
     }
 
@@ -294,7 +294,7 @@
         let refilling = self.known.refilling_groups().filter(|group| owned.contains(*group));
         let refilling: Vec<GroupName> = refilling.cloned().collect();
         for group in refilling {
-            for instance in self.known.to_ask_for_refills(&group) {
+            for instance in self.known.refill_status_targets(&group) {
                 let Some(target) = self.target(&group, &instance) else { continue };
                 let highest = self.context.statuses.highest_led_term(&group);
                 self.refill_queries.query(target, highest, self.services);
@@ -338,7 +338,7 @@
         if let Some(cause) = self.judge.suspect(&signs, now) {
             return Some(cause);
         }
-        let is_recent = signs.answered.is_some_and(|at| now < at + RECENT_RESPONSE_AGE);
+        let is_recent = signs.last_answer.is_some_and(|at| now < at + RECENT_RESPONSE_AGE);
         if !is_recent && self.is_suspected_elsewhere(group, primary) {
             self.query_status(group, primary);
         }
@@ -401,18 +401,18 @@
             std::mem::take(&mut coordinator_input.cancelled)
         };
         for group in cancelled {
-            self.needs_judge.on_called_off(&group, now);
+            self.needs_judge.on_cancelled(&group, now);
         }
         self.electors.refresh(self.context, now);
         let own = (&self.context.identity.node, &self.votes);
         let (live, listed) = (self.electors.live(), self.electors.counted());
-        let evidence = NeedsEvidence { catalog, view: &self.view, own, live, listed, now };
-        self.needs_judge.judge(&evidence)
+        let evidence = NeedsInput { catalog, view: &self.view, own, live, listed, now };
+        self.needs_judge.evaluate(&evidence)
     }
 
     fn start_coordinator_if_due(&mut self, needs: BTreeMap<GroupName, Need>, now: Instant) {
         let calls_for_action = |(group, need): (&GroupName, &Need)| {
-            need.calls_for_action() && self.known.knows_starts(group, now)
+            need.needs_coordinator() && self.known.knows_restarts(group, now)
         };
         let is_action_needed = needs.iter().any(calls_for_action);
         if is_action_needed || self.coordinator_thread.is_some() {
@@ -427,9 +427,9 @@
         }
         let since = *self.needed_since.get_or_insert(now);
         let may_start = self.coordinator_thread.is_none()
-            && self.view.holder.is_none()
+            && self.view.coordinator.is_none()
             && self.view.revision > 0
-            && !self.era.earlier_hold_may_last(now)
+            && !self.era.earlier_lease_may_be_valid(now)
             && !self.context.is_stopping();
         if !may_start || now < since + TURN_DELAY * self.turn_position() {
             return;
@@ -456,9 +456,9 @@
             Some(_) => coordinator_input.known.groups().cloned().collect(),
             None => Vec::new(),
         };
-        coordinator_input.known = self.known.part(needs.keys().chain(&current_groups));
+        coordinator_input.known = self.known.subset(needs.keys().chain(&current_groups));
         coordinator_input.needs = needs;
-        coordinator_input.incarnations_may_be_outdated = self.era.starts_may_be_old(now);
+        coordinator_input.incarnations_may_be_outdated = self.era.incarnations_may_be_stale(now);
     }
 
     /// Number of live nodes that are ahead of this one in the order of turns.
--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use kestrellock_core::catalog::{Elector, Group};
-use kestrellock_core::confirmation::{Confirmation, Evidence, ProbeNumber, Verdict};
+use kestrellock_core::confirmation::{Confirmation, FlushReport, ProbeNumber, Verdict};
 use kestrellock_core::exchange_state::{Effect, ExchangeImpact, Fault, Progress, failure_code};
 use kestrellock_core::ids::{GroupName, InstanceName, LeaseId, NodeName};
 use kestrellock_core::outcome::Refusal;
@@ -227,14 +227,14 @@
     ) {
         let flushed = answer.report.flushed;
         self.highest_term = self.highest_term.max(flushed.term);
-        let evidence = Evidence { instance, probe: answer.number, flushed };
+        let evidence = FlushReport { instance, probe: answer.number, flushed };
         let mut kept = Vec::new();
         for mut pending in std::mem::take(&mut self.pending) {
             let ConfirmationMethod::Probes(confirmation) = &mut pending.method else {
                 kept.push(pending);
                 continue;
             };
-            match confirmation.on_evidence(evidence, group.majority()) {
+            match confirmation.on_flush_report(evidence, group.majority()) {
                 Verdict::Waiting => kept.push(pending),
                 Verdict::Confirmed => {
                     let position = confirmation.position();
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_core::confirmation::ProbeNumber;
-use kestrellock_core::failover::{Pace, Sighting, Watch, confirmed_at, may_take_writes};
+use kestrellock_core::failover::{Pace, PaceTracker, TermReport, confirmed_at, may_take_writes};
 use kestrellock_core::freshness::{Freshness, Observation};
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
 use kestrellock_core::position::Term;
@@ -77,7 +77,7 @@
     subscribers: HashMap<NodeName, Instant>,
     started: Instant,
     is_standby: bool,
-    watch: Watch,
+    watch: PaceTracker,
     highest_term: Term,
     freshness: Freshness,
 }
@@ -92,7 +92,7 @@
             subscribers,
             started: now,
             is_standby: false,
-            watch: Watch::default(),
+            watch: PaceTracker::default(),
             highest_term: Term::default(),
             freshness: Freshness::default(),
         }
@@ -230,7 +230,7 @@
     /// The latest time at which a majority is known to have followed `term`.
     fn confirmed_at(&self, term: Term, majority: usize) -> Option<Instant> {
         let sightings = self.instances.values().filter_map(|monitored| {
-            Some(Sighting {
+            Some(TermReport {
                 term: monitored.status.as_ref()?.flushed.term,
                 asked: monitored.reported?,
             })
--- a/crates/daemon/src/shared/exchange_record.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -5,7 +5,7 @@
 use kestrellock_core::incarnation::{InstanceIncarnation, has_restarted};
 use kestrellock_core::position::{Position, Term};
 use kestrellock_core::routing::Role;
-use kestrellock_core::suspicion::{GivenUpRequests, Signs};
+use kestrellock_core::suspicion::{AbandonedRequests, HealthSignals};
 
 /// Time between two status queries to an instance in doubt. Reads avoid such an instance, so
 /// without queries nothing would show that it responds again. A query uses a connection slot for a
@@ -45,8 +45,8 @@
     /// When it was last sent a status query because it is in doubt.
     last_doubt_query: Option<Instant>,
     in_flight: Vec<InFlight>,
-    abandoned: GivenUpRequests,
-    abandoned_commits: GivenUpRequests,
+    abandoned: AbandonedRequests,
+    abandoned_commits: AbandonedRequests,
     next_number: u64,
     last_response: Option<Instant>,
     refused_since: Option<Instant>,
@@ -90,18 +90,18 @@
 
     /// Signs of the instance's health, except for what is known only of its group: the last commit,
     /// and whether the instance is an old primary.
-    pub(super) fn signs(&self) -> Signs {
+    pub(super) fn signs(&self) -> HealthSignals {
         let in_flight = self.in_flight.iter().map(|exchange| exchange.sent);
         let now = Instant::now();
-        let abandoned = self.abandoned.sent(now);
+        let abandoned = self.abandoned.oldest_sent(now);
         let committing = self.in_flight.iter().filter(|exchange| exchange.commits);
         let committing = committing.map(|exchange| exchange.sent);
-        Signs {
-            refused: self.refused_since,
-            waiting: in_flight.chain(abandoned).min(),
-            committing: committing.chain(self.abandoned_commits.sent(now)).min(),
-            committed: None,
-            answered: self.last_response,
+        HealthSignals {
+            refused_since: self.refused_since,
+            oldest_request: in_flight.chain(abandoned).min(),
+            oldest_commit: committing.chain(self.abandoned_commits.oldest_sent(now)).min(),
+            last_commit: None,
+            last_answer: self.last_response,
             is_outdated: false,
         }
     }
@@ -177,9 +177,9 @@
     }
 
     fn on_abandoned(&mut self, ended: InFlight, now: Instant) {
-        self.abandoned.on_given_up(ended.sent, now);
+        self.abandoned.on_abandoned(ended.sent, now);
         if ended.commits {
-            self.abandoned_commits.on_given_up(ended.sent, now);
+            self.abandoned_commits.on_abandoned(ended.sent, now);
         }
     }
 
--- a/crates/daemon/src/shared/quotas.rs
+++ b/crates/daemon/src/shared/quotas.rs
@@ -55,7 +55,7 @@
         let (live_names, working) = (names(&live), live.iter().filter(|node| node.accepts_work));
         self.working = working.map(|node| node.candidate.node.clone()).collect();
         self.counted =
-            self.electorate.counted(&names(&listed), &live_names, now).len().max(live_names.len());
+            self.electorate.eligible(&names(&listed), &live_names, now).len().max(live_names.len());
         (self.live_list, self.listed_list) = (live, listed);
         self.refreshed = Some(now);
     }
--- a/crates/daemon/src/shared/replacements.rs
+++ b/crates/daemon/src/shared/replacements.rs
@@ -7,7 +7,7 @@
 
 use kestrellock_core::ids::{GroupName, InstanceName};
 use kestrellock_core::position::Term;
-use kestrellock_core::promotion::{HeardReplacements, Intent, ReplacementId};
+use kestrellock_core::promotion::{Intent, KnownReplacements, ReplacementId};
 
 /// What the coordinator has to announce to the owners of the groups.
 #[derive(Clone, Debug, Default)]
@@ -22,31 +22,31 @@
 /// Primary replacements, shared by the threads of a node.
 #[derive(Debug, Default)]
 pub struct Replacements {
-    known: Mutex<HeardReplacements>,
+    known: Mutex<KnownReplacements>,
     updates: Mutex<ReplacementUpdates>,
 }
 
 impl Replacements {
     /// Updates the replacements with the intents that the store has now.
     pub fn follow_store(&self, intents: &BTreeMap<GroupName, Intent>, now: Instant) {
-        self.known().follow_store(intents, now);
+        self.known().update_from_store(intents, now);
     }
 
     /// Handles the report of a coordinator that it runs a replacement, and that the intent has been
     /// known to be recorded for `age`.
     pub fn on_reported(&self, group: &GroupName, intent: Intent, age: Duration, now: Instant) {
-        self.known().on_told(group, intent, age, now);
+        self.known().on_notification(group, intent, age, now);
     }
 
     /// Handles the report of a coordinator that a replacement has ended.
     pub fn on_reported_end(&self, group: &GroupName, id: ReplacementId) {
-        self.known().on_over(group, id);
+        self.known().on_finished(group, id);
     }
 
     /// The intents of running replacements, including cancelled ones.
     pub fn intents(&self, now: Instant) -> BTreeMap<GroupName, Intent> {
         let mut known = self.known();
-        known.pass_time(now);
+        known.expire(now);
         known.intents()
     }
 
@@ -57,7 +57,7 @@
         instance: &InstanceName,
         now: Instant,
     ) -> bool {
-        self.known().answer_counts(group, instance, now)
+        self.known().accepts_commit(group, instance, now)
     }
 
     /// Records that this node runs a replacement whose intent has been recorded since `recorded`.
@@ -98,7 +98,7 @@
         !updates.running.is_empty() || !updates.ended.is_empty()
     }
 
-    fn known(&self) -> MutexGuard<'_, HeardReplacements> {
+    fn known(&self) -> MutexGuard<'_, KnownReplacements> {
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/daemon/src/shared/revoked_evidence.rs
+++ b/crates/daemon/src/shared/revoked_evidence.rs
@@ -8,21 +8,27 @@
 use std::sync::{Mutex, PoisonError};
 
 use kestrellock_core::ids::{GroupName, NodeName};
-use kestrellock_core::promotion::{ReplacementId, Witness, Witnesses};
+use kestrellock_core::promotion::{ReplacementId, RestartReport, RestartReports};
 
 /// The nodes' reports by group, for the newest replacement of each group.
 #[derive(Debug, Default)]
 pub struct RevokedEvidence {
-    groups: Mutex<HashMap<GroupName, (ReplacementId, Witnesses)>>,
+    groups: Mutex<HashMap<GroupName, (ReplacementId, RestartReports)>>,
 }
 
 impl RevokedEvidence {
     /// Records that a node has revoked its evidence for the replacement `id`, and what it knows.
-    pub fn add(&self, group: &GroupName, id: ReplacementId, node: &NodeName, witness: Witness) {
+    pub fn add(
+        &self,
+        group: &GroupName,
+        id: ReplacementId,
+        node: &NodeName,
+        witness: RestartReport,
+    ) {
         let mut groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
-        let reports = groups.entry(group.clone()).or_insert_with(|| (id, Witnesses::default()));
+        let reports = groups.entry(group.clone()).or_insert_with(|| (id, RestartReports::default()));
         if reports.0 < id {
-            *reports = (id, Witnesses::default());
+            *reports = (id, RestartReports::default());
         }
         if reports.0 == id {
             reports.1.add(node, witness);
@@ -30,7 +36,7 @@
     }
 
     /// The reports for the replacement `id`.
-    pub fn for_replacement(&self, group: &GroupName, id: ReplacementId) -> Option<Witnesses> {
+    pub fn for_replacement(&self, group: &GroupName, id: ReplacementId) -> Option<RestartReports> {
         let groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
         let reports = groups.get(group).filter(|(newest, _)| *newest == id);
         reports.map(|(_, witnesses)| witnesses.clone())
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -8,11 +8,11 @@
 use kestrellock_core::ids::{GroupName, InstanceName};
 use kestrellock_core::incarnation::InstanceIncarnation;
 use kestrellock_core::position::{Position, Term};
-use kestrellock_core::primary_evidence::{Following, PrimaryEvidence, Replication};
+use kestrellock_core::primary_evidence::{PrimaryEvidence, ReplicaTerms, Replication};
 use kestrellock_core::primary_samples::PrimarySamples;
 use kestrellock_core::promotion::Intent;
 use kestrellock_core::routing::{InstanceStatus, Role};
-use kestrellock_core::suspicion::Signs;
+use kestrellock_core::suspicion::HealthSignals;
 use kestrellock_protocol::backend::Report;
 
 use super::exchange_record::ExchangeRecord;
@@ -167,7 +167,7 @@
     /// Drops the evidence of a group after a connection to it broke: the process behind the
     /// evidence may be gone.
     pub fn forget_evidence(&self, group: &GroupName) {
-        self.with_group(group, |known| known.evidence.forget());
+        self.with_group(group, |known| known.evidence.discard());
     }
 
     /// Records the incarnation of an instance that the platform reports. State of an earlier
@@ -190,7 +190,7 @@
         self.with_group(group, |known| {
             let record = known.exchange_records.entry(instance.clone()).or_default();
             if record.on_incarnation(incarnation) {
-                known.evidence.on_started_again(instance);
+                known.evidence.on_restart(instance);
                 log::info!(event = "instance_started_again", group = group.as_str(), instance = instance.as_str(); "an instance has restarted; its earlier state is dropped");
             }
         });
@@ -229,7 +229,7 @@
         let statuses = self.group(group);
         let known = statuses.read().expect("a thread panicked while it held the status lock");
         let evidence = &known.evidence;
-        if evidence.given_up().is_some() || term < evidence.highest_led() {
+        if evidence.revoked_for().is_some() || term < evidence.highest_led() {
             return CommitConfirmation::Replaced;
         }
         if evidence.confirms_commit(term, replication, answered) {
@@ -245,7 +245,7 @@
 
     /// Records that, as the store shows, an instance of the group has led `term`.
     pub fn on_led(&self, group: &GroupName, term: Term) {
-        self.with_group(group, |known| known.evidence.on_led(term));
+        self.with_group(group, |known| known.evidence.on_term_led(term));
     }
 
     /// Revokes the evidence of groups with an active intent, and allows evidence again for all
@@ -260,8 +260,8 @@
             .collect();
         for group in groups.iter().chain(intents.keys()) {
             self.with_group(group, |known| match intents.get(group) {
-                Some(intent) => known.evidence.give_up(intent.id),
-                None => known.evidence.take_up(),
+                Some(intent) => known.evidence.revoke(intent.id),
+                None => known.evidence.end_revocation(),
             });
         }
     }
@@ -275,15 +275,15 @@
         asked: Instant,
     ) {
         let term = report.flushed.term;
-        let following = Following { term, held: report.held };
+        let following = ReplicaTerms { term, min_term: report.held };
         self.with_group(group, |known| {
             let record = known.exchange_records.entry(instance.clone()).or_default();
             record.on_replication_status(report.role, term);
             if report.role == Role::Primary {
-                known.evidence.on_led(term);
+                known.evidence.on_term_led(term);
             }
             if report.role == Role::Replica {
-                known.evidence.on_replica(instance, following, asked, Instant::now());
+                known.evidence.on_replica_report(instance, following, asked, Instant::now());
             }
         });
     }
@@ -312,17 +312,17 @@
     /// Records the result of a replacement check: the store confirmed at `asked` that no
     /// replacement of the primary that this node uses was running.
     pub fn on_replacement_check(&self, group: &GroupName, asked: Instant) {
-        self.with_group(group, |known| known.evidence.on_unreplaced(asked));
+        self.with_group(group, |known| known.evidence.on_no_replacement(asked));
     }
 
     /// Signs of an instance's health from this node's exchanges with it.
-    pub fn signs(&self, group: &GroupName, instance: &InstanceName) -> Signs {
+    pub fn signs(&self, group: &GroupName, instance: &InstanceName) -> HealthSignals {
         let statuses = self.group(group);
         let known = statuses.read().expect("a thread panicked while it held the status lock");
         let signs =
             known.exchange_records.get(instance).map(ExchangeRecord::signs).unwrap_or_default();
         let is_outdated = known.evidence.is_outdated(known.led_term_of(instance));
-        Signs { committed: known.last_commit, is_outdated, ..signs }
+        HealthSignals { last_commit: known.last_commit, is_outdated, ..signs }
     }
 
     /// Highest position that a group's primary has reported to this node.
