--- a/crates/core/src/promotion/known_instances.rs
+++ b/crates/core/src/promotion/known_instances.rs
@@ -260,7 +260,8 @@
         self.synchronous = group.synchronous_replicas;
         for instance in &group.instances {
             let before = self.instances.get(&instance.name);
-            let known = KnownInstance::updated(before, instance, catalog.accepts_work(instance), now);
+            let known =
+                KnownInstance::updated(before, instance, catalog.accepts_work(instance), now);
             self.instances.insert(instance.name.clone(), known);
         }
         let is_address_reused = |known: &KnownInstance| {
--- a/crates/daemon/src/shared/revoked_evidence.rs
+++ b/crates/daemon/src/shared/revoked_evidence.rs
@@ -26,7 +26,8 @@
         witness: RestartReport,
     ) {
         let mut groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
-        let reports = groups.entry(group.clone()).or_insert_with(|| (id, RestartReports::default()));
+        let reports =
+            groups.entry(group.clone()).or_insert_with(|| (id, RestartReports::default()));
         if reports.0 < id {
             *reports = (id, RestartReports::default());
         }
