--- a/crates/daemon/src/environment.rs
+++ b/crates/daemon/src/environment.rs
@@ -7,8 +7,8 @@
 use kestrellock_platform::control::{LineControl, PlatformPromotions};
 use kestrellock_platform::coordination::StoreCoordination;
 use kestrellock_platform::keys::{KeyStore, Mirror};
-use kestrellock_platform::lines::Lines;
-use kestrellock_platform::nodes::{EnteredNodes, NodeList};
+use kestrellock_platform::lines::LineProtocol;
+use kestrellock_platform::nodes::{NodeList, RegisteredNodes};
 use kestrellock_platform::source::MirroredCatalog;
 use kestrellock_postgres::Postgres;
 use kestrellock_protocol::Protocol;
@@ -47,17 +47,17 @@
         let store = KeyStore::new(address);
         let mut mirror = Mirror::new(store.clone());
         if let Some(limit) = settings.revocation_limit {
-            mirror = mirror.with_longest_call(RevocationLimit::new(limit).max_store_call());
+            mirror = mirror.with_max_watch_wait(RevocationLimit::new(limit).max_store_call());
         }
         let mirror = Arc::new(mirror);
-        let entered_nodes = Arc::new(EnteredNodes::default());
+        let registered_nodes = Arc::new(RegisteredNodes::default());
         let catalog = MirroredCatalog::start(mirror.clone(), rand::random)?;
         let promotions = settings.promotion_endpoint.as_deref().unwrap_or_default();
         let succession = ReplacementServices {
             coordination: Arc::new(StoreCoordination::new(
                 store.clone(),
                 mirror.clone(),
-                entered_nodes.clone(),
+                registered_nodes.clone(),
             )),
             control: Arc::new(LineControl::default()),
             promotions: Arc::new(PlatformPromotions::new(promotions)),
@@ -65,9 +65,9 @@
         Ok(Self {
             store: Arc::new(store.clone()),
             catalog: Some(Box::new(catalog)),
-            machines: Some(Box::new(NodeList::new(store, mirror, entered_nodes))),
+            machines: Some(Box::new(NodeList::new(store, mirror, registered_nodes))),
             succession: Some(succession),
-            protocol: Arc::new(Lines),
+            protocol: Arc::new(LineProtocol),
         })
     }
 }
--- a/crates/lab/src/platform/caller.rs
+++ b/crates/lab/src/platform/caller.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use kestrellock_peer::message::TransactionState;
-use kestrellock_platform::standin::lines::{self, Heard};
+use kestrellock_platform::standin::lines::{self, ServerMessage};
 use miette::{IntoDiagnostic, miette};
 
 const READ_BYTES: usize = 16 * 1024;
@@ -62,8 +62,8 @@
         lines::put_startup(database, key, &mut output);
         session.send(&output)?;
         match session.heard()? {
-            Some(Heard::Ready(_)) => Ok(session),
-            Some(Heard::Error(word, text)) => Err(miette!("{word}: {text}")),
+            Some(ServerMessage::Ready(_)) => Ok(session),
+            Some(ServerMessage::Error(word, text)) => Err(miette!("{word}: {text}")),
             other => Err(miette!("unexpected: {other:?}")),
         }
     }
@@ -107,10 +107,10 @@
         let mut outcome = None;
         loop {
             match self.heard()? {
-                Some(Heard::Row(row)) => rows.push(row),
-                Some(Heard::Done(signature)) => outcome = Some(Ok(signature)),
-                Some(Heard::Error(word, text)) => outcome = Some(Err((word, text))),
-                Some(Heard::Ready(state)) => {
+                Some(ServerMessage::Row(row)) => rows.push(row),
+                Some(ServerMessage::Done(signature)) => outcome = Some(Ok(signature)),
+                Some(ServerMessage::Error(word, text)) => outcome = Some(Err((word, text))),
+                Some(ServerMessage::Ready(state)) => {
                     let outcome = outcome.ok_or_else(|| miette!("an answer without an outcome"))?;
                     return Ok(Answer { rows, outcome, state });
                 }
@@ -120,10 +120,10 @@
     }
 
     /// The next message; `None` at the end of the stream.
-    pub fn heard(&mut self) -> miette::Result<Option<Heard>> {
+    pub fn heard(&mut self) -> miette::Result<Option<ServerMessage>> {
         let mut chunk = [0; READ_BYTES];
         loop {
-            if let Some(heard) = lines::next_heard(&mut self.input) {
+            if let Some(heard) = lines::next_server_message(&mut self.input) {
                 return Ok(Some(heard));
             }
             match self.stream.read(&mut chunk) {
--- a/crates/lab/src/standin/instances/mod.rs
+++ b/crates/lab/src/standin/instances/mod.rs
@@ -69,7 +69,7 @@
             slots: state.options.slots,
             leaving: instance.leaving,
             role: instance.role,
-            born: Some(instance.born),
+            incarnation: Some(instance.born),
         };
         self.store.put(&InstanceEntry::key(name), &entry.value());
     }
--- a/crates/lab/src/standin/instances/promotions.rs
+++ b/crates/lab/src/standin/instances/promotions.rs
@@ -88,7 +88,7 @@
     calls.lock().expect("a holder of the lock panicked").push(Promoted {
         group: call.group,
         instance: call.instance,
-        holder: call.holder,
+        holder: call.coordinator,
         fence: call.fence,
     });
     thread::spawn(move || {
--- a/crates/lab/src/standin/instances/session.rs
+++ b/crates/lab/src/standin/instances/session.rs
@@ -11,7 +11,9 @@
 use kestrellock_core::position::Position;
 use kestrellock_core::routing::Role;
 use kestrellock_peer::message::TransactionState;
-use kestrellock_platform::standin::lines::{self, InstanceCall, InstanceError, InstanceStatement};
+use kestrellock_platform::standin::lines::{
+    self, InstanceError, InstanceRequest, InstanceStatement,
+};
 
 use super::Shared;
 use super::state::{Commit, Instance, Run};
@@ -104,7 +106,7 @@
         let mut input = BytesMut::new();
         let mut chunk = vec![0; READ_BYTES];
         loop {
-            while let Some(call) = lines::next_call(&mut input) {
+            while let Some(call) = lines::next_request(&mut input) {
                 if !self.handle(call) {
                     let _ = self.stream.write_all(&self.output);
                     return;
@@ -120,20 +122,20 @@
     }
 
     /// Handles a call; false if the connection is over.
-    fn handle(&mut self, call: InstanceCall) -> bool {
+    fn handle(&mut self, call: InstanceRequest) -> bool {
         match call {
-            InstanceCall::Startup { group, who, instance } => {
-                self.who = who;
+            InstanceRequest::Startup { group, account, instance } => {
+                self.who = account;
                 self.start(&group, instance.as_deref())
             }
-            InstanceCall::Statement { id, after, statement } if self.started => {
+            InstanceRequest::Statement { id, after, statement } if self.started => {
                 self.statement(&id, after, statement)
             }
-            InstanceCall::Statement { .. } | InstanceCall::Unknown => {
+            InstanceRequest::Statement { .. } | InstanceRequest::Unknown => {
                 lines::put_error(InstanceError::Malformed, "unexpected", &mut self.output);
                 false
             }
-            InstanceCall::Terminate => false,
+            InstanceRequest::Terminate => false,
         }
     }
 
@@ -144,7 +146,11 @@
         let too_many = open > state.options.connections;
         drop(state);
         if wrong || too_many {
-            let error = if wrong { InstanceError::WrongInstance } else { InstanceError::TooMany };
+            let error = if wrong {
+                InstanceError::WrongInstance
+            } else {
+                InstanceError::TooManyConnections
+            };
             lines::put_error(error, "refused", &mut self.output);
             return false;
         }
@@ -217,10 +223,10 @@
                 self.transaction = None;
                 done()
             }
-            InstanceStatement::Read { thing } => self.read(id, &thing, thing.clone()),
-            InstanceStatement::Write { thing, data } => {
-                let what = thing.clone();
-                self.write(id, thing, data, what)
+            InstanceStatement::Read { row } => self.read(id, &row, row.clone()),
+            InstanceStatement::Write { row, data } => {
+                let what = row.clone();
+                self.write(id, row, data, what)
             }
             InstanceStatement::Set { name, value } => {
                 self.values.insert(name, value);
@@ -230,9 +236,7 @@
                 self.prepared.insert(name, (writes, shape));
                 done()
             }
-            InstanceStatement::Execute { name, thing, data } => {
-                self.execute(id, &name, thing, data)
-            }
+            InstanceStatement::Execute { name, row, data } => self.execute(id, &name, row, data),
             InstanceStatement::Deallocate { name } => {
                 self.prepared.remove(&name);
                 done()
@@ -284,7 +288,7 @@
         let look =
             |one: &Instance| (one.role, one.term, one.position(), one.held, one.streams.len());
         let Some((role, term, position, held, open)) = self.with_instance(look) else { return };
-        lines::put_standing(role, term, position, held, open, &mut self.output);
+        lines::put_status_row(role, term, position, held, open, &mut self.output);
     }
 
     fn begin(&mut self, read_only: bool) -> Outcome {
--- a/crates/lab/src/standin/store/key_calls.rs
+++ b/crates/lab/src/standin/store/key_calls.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_platform::standin::keys::{
-    self, CONDITION_FAILED, ChangeCall, ERA_HEADER, HISTORY_GONE, HeldEvent, HeldItem, KeyCall,
-    NOT_FOUND, TOO_MANY,
+    self, CONDITION_FAILED, ChangeCall, ERA_HEADER, HISTORY_GONE, KeyCall, NOT_FOUND, RATE_LIMITED,
+    StoredEvent, StoredItem,
 };
 
 use super::contents::{Contents, Entry, Event, KeyRange};
@@ -29,7 +29,7 @@
 impl Shared {
     /// The refusal of a call beyond the rate.
     pub(super) fn beyond_rate(&self) -> Reply {
-        reply(failure(TOO_MANY), &self.contents())
+        reply(failure(RATE_LIMITED), &self.contents())
     }
 
     /// Carries a call out.
@@ -119,7 +119,7 @@
         .map(|(key, entry)| (String::from_utf8_lossy(&key).into_owned(), entry))
         .filter(|(key, _)| after.is_none_or(|after| key.as_str() > after))
         .collect();
-    let items: Vec<HeldItem> =
+    let items: Vec<StoredItem> =
         found.iter().take(PAGE).map(|(key, entry)| held(key, entry)).collect();
     success(keys::range_answer(&items, found.len() > PAGE, contents.revision))
 }
@@ -147,8 +147,8 @@
     success(keys::change_answer(contents.revision))
 }
 
-fn held<'a>(key: &'a str, entry: &'a Entry) -> HeldItem<'a> {
-    HeldItem {
+fn held<'a>(key: &'a str, entry: &'a Entry) -> StoredItem<'a> {
+    StoredItem {
         key,
         value: &entry.value,
         modified: entry.modified,
@@ -162,11 +162,11 @@
         .iter()
         .map(|event| (String::from_utf8_lossy(&event.key).into_owned(), event))
         .collect();
-    let told: Vec<HeldEvent> = named
+    let told: Vec<StoredEvent> = named
         .iter()
         .map(|(key, event)| match &event.entry {
-            Some(entry) => HeldEvent::Written(held(key, entry)),
-            None => HeldEvent::Gone { key, revision: event.revision },
+            Some(entry) => StoredEvent::Written(held(key, entry)),
+            None => StoredEvent::Gone { key, revision: event.revision },
         })
         .collect();
     keys::watch_answer(&told, revision)
--- a/crates/lab/tests/instance_entries.rs
+++ b/crates/lab/tests/instance_entries.rs
@@ -126,7 +126,7 @@
         slots: 3,
         leaving: false,
         role: Role::Replica,
-        born: Some(1_790_000_000_000),
+        incarnation: Some(1_790_000_000_000),
     };
     platform.store.put(&InstanceEntry::key("i-right"), &right.value());
     let broken = broken_entries(&right);
@@ -137,7 +137,7 @@
     // One after the other as well, each as the newest that the store has.
     for entry in &broken {
         platform.store.put(&entry.key, &entry.value);
-        change_routes(&mut platform, &entry.what);
+        change_routes(&mut platform, &entry.fault);
     }
     for number in 0..20 {
         let name = format!("i-many-{number}");
@@ -151,7 +151,7 @@
         assert!(known.contains(&name), "{name} is known");
     }
     for entry in &broken {
-        assert!(!known.contains(&entry.name), "{} is not used", entry.what);
+        assert!(!known.contains(&entry.name), "{} is not used", entry.fault);
     }
     let used = known.len() - platform.groups[0].instances().len();
     assert_eq!(used, 21, "the right ones are known: {known:?}");
--- a/crates/lab/tests/platform_path.rs
+++ b/crates/lab/tests/platform_path.rs
@@ -10,7 +10,7 @@
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, database, wait};
 use kestrellock_peer::message::TransactionState;
 use kestrellock_platform::standin::entries::{CONFIGURATION_KEY, InstanceEntry};
-use kestrellock_platform::standin::lines::Heard;
+use kestrellock_platform::standin::lines::ServerMessage;
 
 fn start() -> Platform {
     let platform = Platform::start(PlatformOptions::default()).expect("it starts");
@@ -135,7 +135,7 @@
         let heard = session.heard().expect("an answer or the end");
         match (heard, word) {
             (None, None) => {}
-            (Some(Heard::Error(found, _)), Some(word)) => {
+            (Some(ServerMessage::Error(found, _)), Some(word)) => {
                 assert_eq!(found, word);
             }
             other => panic!("{other:?}"),
@@ -146,7 +146,7 @@
     // Whoever refuses it may close before all of it is taken.
     let _ = oversized.send(&vec![b'x'; 2 * 1024 * 1024]);
     let heard = oversized.heard().ok().flatten();
-    assert!(!matches!(heard, Some(Heard::Row(_))));
+    assert!(!matches!(heard, Some(ServerMessage::Row(_))));
     assert!(run(&mut bystander, "READ anything").is_success());
 }
 
--- a/crates/lab/tests/store_copy.rs
+++ b/crates/lab/tests/store_copy.rs
@@ -102,14 +102,17 @@
     let (store, mirror) = start();
     store.put(NODE, b"1");
     let first = advance(&mirror);
-    assert_eq!(first.whole_revision, first.revision);
+    assert_eq!(first.all_keys_revision, first.revision);
     mirror.set_scope(Scope::OwnKeys);
     store.put(CONFIGURATION_KEY, b"{}");
     store.put(OTHER_NODE, b"1");
     store.put(VOTE, b"{}");
     let view = advance(&mirror);
     assert_eq!(names(&view), [NODE, VOTE]);
-    assert_eq!(view.whole_revision, first.whole_revision, "what it has not followed is not new");
+    assert_eq!(
+        view.all_keys_revision, first.all_keys_revision,
+        "what it has not followed is not new"
+    );
     assert_eq!(mirror.complete_revision().expect("an answer"), Some(view.revision));
 }
 
@@ -141,7 +144,7 @@
     store.put(VOTE, b"{}");
     store.put(NODE, b"1");
     let written = Item::written(NODE, b"1", store.position());
-    mirror.take_in_own_entry(written).expect("an answer");
+    mirror.insert_own_entry(written).expect("an answer");
     assert_eq!(names(&mirror.view()), [NODE, VOTE]);
     assert!(mirror.view().revision >= store.position());
 }
@@ -158,12 +161,12 @@
     store.remove(OTHER_NODE);
     mirror.read_nodes(Freshness::Newest).expect("an answer");
     store.put(THIRD_NODE, b"1");
-    let before = mirror.read_nodes(Freshness::MayBeOld).expect("an answer");
+    let before = mirror.read_nodes(Freshness::MayBeStale).expect("an answer");
     assert_eq!(names(&before), [NODE, THIRD_NODE]);
     mirror.set_scope(Scope::Everything);
     let view = advance(&mirror);
     assert_eq!(names(&view), [NODE, THIRD_NODE, CONFIGURATION_KEY]);
-    assert_eq!(view.whole_revision, view.revision);
+    assert_eq!(view.all_keys_revision, view.revision);
     assert!(view.revision >= before.revision);
 }
 
@@ -177,11 +180,11 @@
     let mirror = Mirror::new(KeyStore::new(&store.endpoint()));
     let first = advance(&mirror);
     assert_eq!(names(&first), [NODE]);
-    assert_eq!(first.whole_revision, 0, "the rest has not been read");
+    assert_eq!(first.all_keys_revision, 0, "the rest has not been read");
     mirror.set_scope(Scope::Everything);
     let whole = advance(&mirror);
     assert_eq!(names(&whole), [NODE, CONFIGURATION_KEY]);
-    assert_eq!(whole.whole_revision, whole.revision);
+    assert_eq!(whole.all_keys_revision, whole.revision);
 }
 
 /// What happened: on 77 nodes copies of the store gathered changes for 308 ms; whoever had ended a replacement saw
@@ -245,7 +248,7 @@
         slots: 1,
         leaving: false,
         role: Role::Replica,
-        born,
+        incarnation: born,
     };
     for (name, born) in [("i-1", Some(7)), ("i-10", Some(8)), ("i-2", None)] {
         store.put(&InstanceEntry::key(name), &entry(name, born).value());
--- a/crates/lab/tests/store_put_back.rs
+++ b/crates/lab/tests/store_put_back.rs
@@ -5,7 +5,7 @@
 
 use kestrellock_core::catalog::Consistency;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, ZONES, database, wait};
-use kestrellock_platform::configuration::DRAINS;
+use kestrellock_platform::configuration::DRAINS_PREFIX;
 
 /// Time for which the store is away before it comes back.
 const AWAY: Duration = Duration::from_millis(500);
@@ -162,7 +162,7 @@
 fn a_drain_that_is_written_again_is_in_force() {
     let platform = start();
     let copy = platform.store.copy();
-    let key = format!("{DRAINS}{}", ZONES[0]);
+    let key = format!("{DRAINS_PREFIX}{}", ZONES[0]);
     let is_drained = |platform: &Platform| {
         platform.nodes().all(|node| !node.context.catalog.load().drained_zones().is_empty())
     };
--- a/crates/lab/tests/zone_drain.rs
+++ b/crates/lab/tests/zone_drain.rs
@@ -8,7 +8,7 @@
 use kestrellock_lab::platform::caller::LineSession;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, ZONES, database, wait};
 use kestrellock_lab::standin::instances::InstanceGroup;
-use kestrellock_platform::configuration::DRAINS;
+use kestrellock_platform::configuration::DRAINS_PREFIX;
 
 /// Longest time for which anything may reach a drained zone.
 const LIMIT: Duration = Duration::from_secs(2);
@@ -21,12 +21,12 @@
 }
 
 fn drain(platform: &Platform, zone: &str) {
-    platform.store.put(&format!("{DRAINS}{zone}"), b"{}");
+    platform.store.put(&format!("{DRAINS_PREFIX}{zone}"), b"{}");
     wait("the drain is in force", || drained_everywhere(platform, zone)).expect("in time");
 }
 
 fn take_back(platform: &Platform, zone: &str) {
-    platform.store.remove(&format!("{DRAINS}{zone}"));
+    platform.store.remove(&format!("{DRAINS_PREFIX}{zone}"));
     wait("the drain is over", || !drained_anywhere(platform, zone)).expect("in time");
 }
 
