--- a/crates/lab/src/standin/store/key_calls.rs
+++ b/crates/lab/src/standin/store/key_calls.rs
@@ -101,7 +101,7 @@
             Some(number) => success(keys::lease_answer(number, *life)),
             None => failure(MALFORMED),
         },
-        KeyCall::Keep(number) => match contents.keep_alive(*number, now) {
+        KeyCall::Renew(number) => match contents.keep_alive(*number, now) {
             Some(life) => success(keys::lease_answer(*number, life)),
             None => failure(NOT_FOUND),
         },
