--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -83,9 +83,7 @@
         }
         let reason = match found {
             InstanceChoice::NeedsEvidence => "no evidence that the primary leads",
-            InstanceChoice::NeedsStore => {
-                "the store has not confirmed that the primary is not being replaced"
-            }
+            InstanceChoice::NeedsStore => "the store has not said that nobody replaces the primary",
             InstanceChoice::NoneQualifies | InstanceChoice::Instance(_) => "no instance qualifies",
         };
         let evidence = io.context.evidence_age(name, io.now);
