--- a/crates/daemon/benches/classes.rs
+++ b/crates/daemon/benches/classes.rs
@@ -1,4 +1,4 @@
-//! Cost of finding the class of a statement whose text was seen before.
+//! Cost of looking up the class of a statement whose text is in the cache.
 
 use std::hint::black_box;
 
@@ -18,7 +18,7 @@
     let mut next = texts.iter().cycle();
     criterion.bench_function("class of a text seen before", |bencher| {
         bencher.iter(|| {
-            let text = next.next().expect("a cycle does not end");
+            let text = next.next().expect("a cycle is infinite");
             classes.of(black_box(text))
         });
     });
--- a/crates/daemon/src/admin/configuration.rs
+++ b/crates/daemon/src/admin/configuration.rs
@@ -1,4 +1,4 @@
-//! Pages that read and change the configuration.
+//! Admin pages that read and change the configuration.
 
 use std::time::{Duration, Instant};
 
@@ -12,19 +12,20 @@
 use kestrellock_store::catalog::{self, CatalogError, PREFIX};
 
 use super::Admin;
-use super::answer::Answer;
+use super::response::AdminResponse;
 
-/// Time that other nodes have to tell their revisions.
-const ANSWER_LIMIT: Duration = Duration::from_millis(500);
-const ANSWER_STEP: Duration = Duration::from_millis(10);
+/// Longest wait for other nodes to report their revisions.
+const REVISIONS_TIMEOUT: Duration = Duration::from_millis(500);
+const REVISIONS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-type Page = Result<Answer, AdminError>;
+type Page = Result<AdminResponse, AdminError>;
 
-/// Entries of one kind, or one of them.
+/// All entries of one kind, or the one with the given name. If the store cannot be read, they come
+/// from the active configuration.
 pub fn list(admin: &Admin, kind: EntryKind, name: Option<&str>) -> Page {
     let mut listing = match read_entries(admin, kind) {
         Ok(listing) => listing,
-        Err(CatalogError::Store(_)) => in_force(&admin.context.catalog.load(), kind),
+        Err(CatalogError::Store(_)) => active_entries(&admin.context.catalog.load(), kind),
         Err(error) => return Err(malformed(&error)),
     };
     if let Some(name) = name {
@@ -33,7 +34,7 @@
             return Err(no_such_entry(&EntryId { kind, name: name.to_owned() }));
         }
     }
-    Ok(Answer::json(&listing))
+    Ok(AdminResponse::json(&listing))
 }
 
 fn read_entries(admin: &Admin, kind: EntryKind) -> Result<Listing, CatalogError> {
@@ -46,8 +47,8 @@
     Ok(Listing { revision: catalog::revision_of(&snapshot), source: Source::Store, entries })
 }
 
-/// Without the store, authors are not known: the catalog carries values alone.
-fn in_force(catalog: &Catalog, kind: EntryKind) -> Listing {
+/// Entries of the active configuration, without authors: the catalog contains only their values.
+fn active_entries(catalog: &Catalog, kind: EntryKind) -> Listing {
     let entries = catalog.entries(kind).into_iter().map(|change| Entry {
         name: change.name,
         revision: catalog.revision,
@@ -58,7 +59,7 @@
     Listing { revision: catalog.revision, source: Source::InForce, entries }
 }
 
-/// Kept versions of an entry, newest first.
+/// Stored versions of an entry, newest first.
 pub fn history(admin: &Admin, id: &EntryId) -> Page {
     let versions =
         catalog::read_history(admin.store.as_ref(), id).map_err(|error| match error {
@@ -68,15 +69,15 @@
     if versions.is_empty() {
         return Err(no_such_entry(id));
     }
-    Ok(Answer::json(&versions))
+    Ok(AdminResponse::json(&versions))
 }
 
-/// Writes entries.
+/// Writes entries to the store.
 pub fn change(admin: &Admin, body: &[u8]) -> Page {
     let request: ApplyRequest = serde_json::from_slice(body)
         .map_err(|error| AdminError::new(ResultCode::AdminRequestRefused, error.to_string()))?;
     match apply(admin.store.as_ref(), &request, &ApplyLimits::default()) {
-        Ok(applied) => Ok(Answer::json(&applied)),
+        Ok(applied) => Ok(AdminResponse::json(&applied)),
         Err(error) => Err(refusal(error)),
     }
 }
@@ -99,19 +100,20 @@
     refusal
 }
 
-/// Asks the nodes that are not known to be up to date, and gives them a moment.
-fn wait_for_answers(admin: &Admin) {
+/// Requests the revisions of the nodes that are not known to be up to date, and waits until all are
+/// or the timeout has passed.
+fn wait_for_revisions(admin: &Admin) {
     admin.configuration.request_revisions();
-    let end = Instant::now() + ANSWER_LIMIT;
-    while !admin.configuration.nodes_behind().is_empty() && Instant::now() < end {
-        std::thread::sleep(ANSWER_STEP);
+    let deadline = Instant::now() + REVISIONS_TIMEOUT;
+    while !admin.configuration.nodes_behind().is_empty() && Instant::now() < deadline {
+        std::thread::sleep(REVISIONS_CHECK_INTERVAL);
     }
 }
 
-/// Live nodes and the revision that each has in force.
+/// Live nodes and the active revision of each.
 pub fn nodes(admin: &Admin) -> Page {
     let context = &admin.context;
-    wait_for_answers(admin);
+    wait_for_revisions(admin);
     let live = context.live.load();
     let own = context.catalog.load().revision;
     let revision = |node: &_| match *node == context.identity.node {
@@ -126,7 +128,7 @@
             zone: live.candidate.zone.clone(),
         })
         .collect();
-    Ok(Answer::json(&nodes))
+    Ok(AdminResponse::json(&nodes))
 }
 
 fn no_such_entry(id: &EntryId) -> AdminError {
--- a/crates/daemon/src/admin/groups.rs
+++ b/crates/daemon/src/admin/groups.rs
@@ -1,11 +1,11 @@
-//! `/v1/groups`: what the node knows of the back ends.
+//! `/v1/groups`: owners and status of each instance.
 
 use kestrellock_core::ids::{GroupName, InstanceName, NodeName, ZoneName};
 use kestrellock_core::routing::InstanceStatus;
 use serde::Serialize;
 
 use super::Admin;
-use super::answer::Answer;
+use super::response::AdminResponse;
 
 #[derive(Serialize)]
 struct GroupReport {
@@ -20,19 +20,19 @@
     zone: ZoneName,
     owner: Option<NodeName>,
     standby: Option<NodeName>,
-    /// Absent if this node does not use the group.
+    /// `None` if this node does not use the group and so has no status of its instances.
     status: Option<InstanceStatus>,
 }
 
-/// Every group with its instances, their owners, and their status as far as this node uses them.
-pub fn report(admin: &Admin) -> Answer {
+/// All groups with their instances. An instance has a status only if this node uses its group.
+pub fn report(admin: &Admin) -> AdminResponse {
     let context = &admin.context;
     let catalog = context.catalog.load();
     let owners = context.ownership_snapshot();
     let mut groups = Vec::new();
     for (name, group) in &catalog.groups {
         let statuses = context.statuses.group(name);
-        let statuses = statuses.read().expect("a holder of the status lock panicked");
+        let statuses = statuses.read().expect("the lock of the group's statuses is poisoned");
         let instances = group.instances.iter().map(|instance| {
             let ownership = owners.get(&instance.name);
             InstanceReport {
@@ -50,5 +50,5 @@
             instances,
         });
     }
-    Answer::json(&groups)
+    AdminResponse::json(&groups)
 }
--- a/crates/daemon/src/admin/mod.rs
+++ b/crates/daemon/src/admin/mod.rs
@@ -1,12 +1,13 @@
 //! The admin port: health, status, metrics and configuration over HTTP.
 //!
-//! Everything but `/healthz` and `/readyz`, which are the same, needs the administration token as a
-//! bearer token; where the settings leave only health pages, `/metrics` needs none either.
+//! Every page except `/healthz` and `/readyz`, which are equivalent, requires the administration
+//! token as a bearer token. If the settings restrict the port to health pages, `/metrics` does not
+//! require it either.
 
-mod answer;
 mod configuration;
 mod groups;
 mod report;
+mod response;
 
 use std::io::Read;
 use std::sync::{Arc, Mutex};
@@ -24,68 +25,69 @@
 use crate::settings::AdminPages;
 use crate::shard::Shard;
 use crate::supervisor::StopFlag;
-use answer::Answer;
+use response::AdminResponse;
 
-/// Longest wait for a request before a thread looks whether it is to stop.
-const ACCEPT_WAIT: Duration = Duration::from_millis(250);
+/// Longest wait for a request before a thread checks whether it must stop.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Largest request body, in bytes.
 const MAX_BODY_BYTES: u64 = 4 * 1024 * 1024;
 const BEARER: &str = "Bearer ";
 
-/// What the pages are made from.
+/// Serves the pages of the admin port.
 pub struct Admin {
-    /// The node.
+    /// State shared by the node's threads.
     pub context: Arc<NodeContext>,
-    /// Its shards.
+    /// Shards of the node.
     pub shards: Vec<Arc<Mutex<Shard>>>,
-    /// Whether it is stopping.
+    /// Whether the node is stopping or has failed.
     pub stop: StopFlag,
     /// The configuration store.
     pub store: Arc<dyn ConfigStore>,
-    /// The configuration and the way to ask others for theirs.
+    /// Access to the revisions of this and other nodes.
     pub configuration: Arc<Configuration>,
-    /// Which pages there are.
+    /// Pages that are served.
     pub pages: AdminPages,
-    /// Token that operators must show; without one only `/healthz` answers.
+    /// Token with which operators authenticate. Without it, every page that requires the token is
+    /// refused.
     pub token: Option<Secret>,
 }
 
 impl Admin {
-    /// Serves requests until told to stop. Several threads may serve one port.
+    /// Serves requests until the node stops. Several threads may serve one port.
     pub fn serve(&self, server: &Server) {
         while !self.stop.is_stopping() {
-            let Ok(Some(mut request)) = server.recv_timeout(ACCEPT_WAIT) else { continue };
+            let Ok(Some(mut request)) = server.recv_timeout(ACCEPT_TIMEOUT) else { continue };
             self.stop.wait_while_paused();
-            let answer = self.answer(&mut request);
-            // A caller that went away before its answer is no matter of ours.
-            let _ = request.respond(answer.into_response());
+            let response = self.respond(&mut request);
+            // An error means that the client has disconnected.
+            let _ = request.respond(response.into_response());
         }
     }
 
-    fn answer(&self, request: &mut Request) -> Answer {
+    fn respond(&self, request: &mut Request) -> AdminResponse {
         match request.url() {
             "/healthz" | "/readyz" => return report::health(self),
             "/metrics" if self.pages == AdminPages::Health => {
-                return Answer::text(self.context.metrics.text());
+                return AdminResponse::metrics(self.context.metrics.text());
             }
             _ => {}
         }
         if !self.is_authorized(request) {
             let problem = "a valid administration token is needed";
-            return Answer::refused(AdminError::new(ResultCode::AdminTokenRefused, problem));
+            return AdminResponse::error(AdminError::new(ResultCode::AdminTokenRefused, problem));
         }
-        let outcome = match request.method() {
+        let result = match request.method() {
             Method::Post => self.post(request),
             _ => self.get(request.url()),
         };
-        outcome.unwrap_or_else(Answer::refused)
+        result.unwrap_or_else(AdminResponse::error)
     }
 
-    fn get(&self, url: &str) -> Result<Answer, AdminError> {
-        let parts: Vec<&str> = url.split('/').skip(1).collect();
-        match parts.as_slice() {
+    fn get(&self, url: &str) -> Result<AdminResponse, AdminError> {
+        let segments: Vec<&str> = url.split('/').skip(1).collect();
+        match segments.as_slice() {
             ["status"] => Ok(report::status(self)),
-            ["metrics"] => Ok(Answer::text(self.context.metrics.text())),
+            ["metrics"] => Ok(AdminResponse::metrics(self.context.metrics.text())),
             ["v1", "nodes"] => configuration::nodes(self),
             ["v1", "groups"] => Ok(groups::report(self)),
             ["v1", "configuration", table] => configuration::list(self, kind_of(table)?, None),
@@ -100,7 +102,7 @@
         }
     }
 
-    fn post(&self, request: &mut Request) -> Result<Answer, AdminError> {
+    fn post(&self, request: &mut Request) -> Result<AdminResponse, AdminError> {
         if request.url() != "/v1/apply" {
             return Err(no_such_page());
         }
@@ -115,7 +117,7 @@
         let header = request.headers().iter().find(|header| header.field.equiv("Authorization"));
         header
             .and_then(|header| header.value.as_str().strip_prefix(BEARER))
-            .is_some_and(|shown| token.matches(shown))
+            .is_some_and(|presented| token.matches(presented))
     }
 }
 
--- a/crates/daemon/src/admin/report.rs
+++ b/crates/daemon/src/admin/report.rs
@@ -1,4 +1,4 @@
-//! `/healthz` and `/status`.
+//! `/healthz` and `/status`: the state of this node.
 
 use std::sync::PoisonError;
 
@@ -6,12 +6,12 @@
 use kestrellock_core::catalog::Revision;
 
 use super::Admin;
-use super::answer::Answer;
+use super::response::AdminResponse;
 
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// Ready, or why not.
-pub fn health(admin: &Admin) -> Answer {
+/// Whether the node is ready, and otherwise the reasons.
+pub fn health(admin: &Admin) -> AdminResponse {
     let mut reasons = Vec::new();
     if admin.context.catalog.load().revision == Revision::default() {
         reasons.push("no configuration has arrived".to_owned());
@@ -27,11 +27,11 @@
     }
     let health = Health { ready: reasons.is_empty(), reasons };
     let status = if health.ready { 200 } else { SERVICE_UNAVAILABLE };
-    Answer::json_with_status(status, &health)
+    AdminResponse::json_with_status(status, &health)
 }
 
-/// What the node says of itself.
-pub fn status(admin: &Admin) -> Answer {
+/// Identity, version and load of the node.
+pub fn status(admin: &Admin) -> AdminResponse {
     let context = &admin.context;
     let mut status = NodeStatus {
         node: context.identity.node.clone(),
@@ -49,5 +49,5 @@
         status.callers += shard.front.callers();
         status.backend_connections += shard.gateway.connection_count();
     }
-    Answer::json(&status)
+    AdminResponse::json(&status)
 }
--- a/crates/daemon/src/admin/answer.rs
+++ b/crates/daemon/src/admin/response.rs
@@ -1,4 +1,4 @@
-//! An answer of the admin port before it becomes HTTP.
+//! Responses of the admin port.
 
 use std::io::Cursor;
 
@@ -10,15 +10,15 @@
 const JSON: &str = "application/json";
 const PROMETHEUS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Status, type and body.
+/// Status, content type and body of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct AdminResponse {
     status: u16,
     content_type: &'static str,
     body: String,
 }
 
-impl Answer {
+impl AdminResponse {
     /// A JSON body with status 200.
     pub fn json(value: &impl Serialize) -> Self {
         Self::json_with_status(200, value)
@@ -30,13 +30,13 @@
         Self { status, content_type: JSON, body: body + "\n" }
     }
 
-    /// Metrics.
-    pub fn text(body: String) -> Self {
+    /// Metrics in the OpenMetrics text format, with status 200.
+    pub fn metrics(body: String) -> Self {
         Self { status: 200, content_type: PROMETHEUS, body }
     }
 
-    /// A numbered error, with the HTTP status that fits its number.
-    pub fn refused(error: AdminError) -> Self {
+    /// A numbered error, with the HTTP status for its number.
+    pub fn error(error: AdminError) -> Self {
         let is = |code: ResultCode| error.code == code.to_string();
         let status = match () {
             () if is(ResultCode::AdminTokenRefused) => 401,
@@ -50,7 +50,7 @@
         Self::json_with_status(status, &error)
     }
 
-    /// The HTTP response.
+    /// Converts to an HTTP response.
     pub fn into_response(self) -> Response<Cursor<Vec<u8>>> {
         let response = Response::from_string(self.body).with_status_code(self.status);
         match Header::from_bytes("Content-Type", self.content_type) {
--- a/crates/daemon/src/arguments.rs
+++ b/crates/daemon/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of `kestrellockd`: a flag overrides the settings field of its name.
+//! Command line of `kestrellockd`. A flag overrides the settings field of the same name.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -18,7 +18,7 @@
     /// settings file
     #[argh(option, short = 's')]
     pub settings: Option<PathBuf>,
-    /// check this settings file, with the flags laid over it, and exit
+    /// check this settings file, with the other flags applied, and exit
     #[argh(option)]
     pub check_settings: Option<PathBuf>,
     /// print the version and exit
@@ -33,37 +33,37 @@
     /// zone of this node
     #[argh(option)]
     pub zone: Option<String>,
-    /// where callers connect
+    /// address for client connections
     #[argh(option)]
     pub caller_address: Option<SocketAddr>,
-    /// where other nodes connect
+    /// address for connections from other nodes
     #[argh(option)]
     pub peer_address: Option<SocketAddr>,
-    /// where other nodes reach this one, if not at the peer address itself
+    /// address at which other nodes reach this one, if it differs from the peer address
     #[argh(option)]
     pub advertised_peer_address: Option<SocketAddr>,
-    /// where operators connect
+    /// address of the admin port
     #[argh(option)]
     pub admin_address: Option<SocketAddr>,
-    /// event-loop threads
+    /// number of event-loop threads
     #[argh(option)]
     pub shards: Option<u16>,
-    /// endpoint of the configuration store; may be given several times
+    /// endpoint of the configuration store; may be repeated
     #[argh(option)]
     pub store_endpoint: Vec<String>,
-    /// address of the platform's machine list
+    /// URL of the platform's machine list
     #[argh(option)]
     pub machine_list: Option<String>,
-    /// least severe log lines shown: error, warn, info, debug or trace
+    /// least severe level that is logged: error, warn, info, debug or trace
     #[argh(option, default = "LevelFilter::Info")]
     pub log_level: LevelFilter,
-    /// shape of log lines: text or json
+    /// format of log lines: text or json
     #[argh(option, default = "LogFormat::Text")]
     pub log_format: LogFormat,
 }
 
 impl Arguments {
-    /// Lays the flags over what a file says.
+    /// Overrides fields of a settings file with the flags that are set.
     pub fn override_fields(&self, file: &mut SettingsFile) {
         replace(&mut file.cluster, self.cluster.clone());
         replace(&mut file.node, self.node.as_deref().map(NodeName::new));
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Reads the file, lays the flags over it, and validates the whole.
+    /// Reads the file, applies the flags, and validates the result.
     pub fn read_settings(&self, path: &Path) -> Result<Settings, FileDiagnostic> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| {
@@ -89,7 +89,7 @@
         self.settings_from(path, &text)
     }
 
-    /// Like [`Arguments::read_settings`], with the file's text given.
+    /// Like [`Arguments::read_settings`], for a file whose content is `text`.
     pub fn settings_from(&self, path: &Path, text: &str) -> Result<Settings, FileDiagnostic> {
         let mut file = settings::parse(path, text)?;
         self.override_fields(&mut file);
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -1,4 +1,5 @@
-//! What every part of a node shares: who it is, which nodes live, the catalog, instance statuses.
+//! State that all threads of a node share: its identity, the live nodes, the catalog, the statuses
+//! of instances, and the primary replacements in progress.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -34,108 +35,112 @@
 use crate::shared::stage::{SharedStage, Stage};
 use crate::shared::statuses::StatusTable;
 
-/// Who this process is.
+/// Identity of this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// Name from the settings.
     pub node: NodeName,
     /// Zone from the settings.
     pub zone: ZoneName,
-    /// Address of this machine; connections to other machines leave from it.
+    /// Address of this machine, and the source address of its connections to other machines.
     pub address: IpAddr,
-    /// Differs between processes of one name; grows.
+    /// Distinguishes successive processes of one node name; a later process has a higher number.
     pub incarnation: u64,
 }
 
-/// Everything a node's threads share.
+/// State shared by all threads of a node.
 #[derive(Debug)]
 pub struct NodeContext {
     /// This node.
     pub identity: Identity,
-    /// Nodes believed to live, this one among them; empty until membership has found its feet.
+    /// Nodes that membership considers alive, including this one; empty until this node has joined
+    /// the cluster.
     pub live: Shared<Vec<LiveNode>>,
-    /// What membership knows beyond that, and what it is asked to do.
+    /// Further state of membership, and requests to it.
     pub membership: SharedMembership,
-    /// Keys under which nodes authenticate to each other.
+    /// Keys with which nodes authenticate to each other.
     pub cluster_keys: ClusterKeys,
-    /// Name of the cluster; nodes of others are refused.
+    /// Name of the cluster. Nodes of other clusters are refused.
     pub cluster: String,
-    /// Configuration in force.
+    /// Active configuration.
     pub catalog: Shared<IndexedCatalog>,
-    /// Owners of instances by the two above.
+    /// Owners of instances, computed from `live` and `catalog`.
     pub ownership_cache: OwnershipCache,
-    /// Replacements of primaries that are under way, where the proxy replaces them.
+    /// Active intents of primary replacements, for groups whose primary the proxy replaces.
     pub intents: Shared<BTreeMap<GroupName, Intent>>,
-    /// Where work goes other than to the owners.
+    /// Temporary exceptions to sending work to the owners.
     pub routing_overrides: RoutingOverrides,
-    /// How far a planned stop has come.
+    /// Progress of a planned stop.
     pub stage: SharedStage,
-    /// When a planned stop ends transactions that are still open; `None` while there is none, or if
-    /// they may last as long as it does.
+    /// When a planned stop ends transactions that are still open. `None` if no stop is in progress,
+    /// or if transactions may last until the end of the stop.
     pub transaction_deadline: Shared<Option<Instant>>,
-    /// What is known of back ends.
+    /// Status of each instance.
     pub statuses: StatusTable,
-    /// Which of several instances told at one address answers there.
+    /// For addresses at which several instances are announced: the instance that answers there.
     pub occupants: AddressOccupants,
-    /// Passwords of the roles under which gateways log in to back ends.
+    /// Passwords of the database roles with which gateways log in to instances.
     pub backend_passwords: BTreeMap<String, Secret>,
     /// Number of shards.
     pub shards: u16,
-    /// What callers and back ends speak.
+    /// Protocol of clients and instances.
     pub protocol: Arc<dyn Protocol>,
-    /// Which decisions the node takes.
+    /// Routing and confirmation decisions that the node takes.
     pub policy: Policy,
-    /// Nodes to join through that the machine list names.
+    /// Seed nodes from the machine list.
     pub listed_seeds: ListedSeeds,
-    /// Nodes that the machine list named last, whether they live or not; empty before it was read.
+    /// Nodes in the last copy of the machine list, alive or not; empty before the list was read.
     pub listed_nodes: Shared<Vec<LiveNode>>,
-    /// Nodes that have given their evidence up, for replacements that this node carries out.
+    /// Nodes that have revoked their evidence, for replacements that this node coordinates.
     pub revoked_evidence: RevokedEvidence,
-    /// Replacements that this node has heard of, and those that it tells others of.
+    /// Replacements that this node has learned of, and those that it announces to other nodes.
     pub replacements: Replacements,
-    /// Groups for which the store has to say that nobody replaces their primary.
+    /// Groups that need a replacement check: the store must confirm that no replacement of their
+    /// primary is in progress.
     pub replacement_check_requests: ReplacementCheckRequests,
-    /// Messages of peers about the configuration.
+    /// Configuration messages from peers.
     pub distribution_inbox: Inbox,
-    /// Revisions that other nodes have in force.
+    /// Revisions that are active on other nodes.
     pub revisions: Revisions,
-    /// How soon credentials that are taken away must be out of use on every node, also on one that nothing
-    /// reaches; without a limit they are as soon as the configuration arrives.
+    /// Time within which every node must stop using revoked credentials, even a node that is
+    /// isolated. Without a limit, a node stops using them once it receives the new configuration.
     pub revocation_limit: Option<RevocationLimit>,
-    /// Time after the word of operators to drain a zone at which nothing may reach instances there any more;
-    /// without a limit, open transactions go on until they end.
+    /// Time after operators start to drain a zone from which no work may reach instances there.
+    /// Without a limit, open transactions continue until they end.
     pub zone_drain_limit: Option<Duration>,
-    /// When the configuration was last known to be the newest.
+    /// When the active configuration was last confirmed to be the newest.
     pub confirmations: Confirmations,
-    /// How much accounts may still ask.
+    /// Remaining quota of accounts.
     pub quotas: SharedQuotas,
-    /// How many ordinary successes are told in the log.
+    /// Rate limit for routine log lines.
     pub routine_log_limiter: RoutineLogLimiter,
     /// Counters and histograms.
     pub metrics: Metrics,
 }
 
 impl NodeContext {
-    /// Owners and standbys of all instances by the nodes now live.
+    /// Owners and standbys of all instances, given the nodes that are alive now.
     pub fn ownership_snapshot(&self) -> Arc<OwnershipSnapshot> {
         let own = &self.identity.node;
         let leaving = self.is_leaving().then_some(own);
         self.ownership_cache.current(&self.live, &self.catalog, own, leaving, &self.listed_nodes)
     }
 
-    /// The node to whose gateway work for an instance goes.
+    /// The node whose gateway receives work for an instance.
     pub fn gateway_of(&self, instance: &InstanceName, now: Instant) -> Option<NodeName> {
         let owners = self.ownership_snapshot();
         Some(self.routing_overrides.choose(instance, owners.get(instance)?, now))
     }
 
-    /// Whether this node is one of several owners of a group.
+    /// Whether this node is one of the owners of a group that has several.
     pub fn owns(&self, group: &GroupName) -> bool {
         self.ownership_snapshot().is_owner(&self.identity.node, group)
     }
 
-    /// The node to whose gateway work for a group goes that has several owners: this one, if it is among
-    /// them and serves the account.
+    /// The owner whose gateway receives work for a group that has several owners.
+    ///
+    /// Without an account, this node if it is an owner, else one of the nearest owners. With an
+    /// account, one of the nearest owners that serve the account.
     pub fn owner_for_group(
         &self,
         group: &GroupName,
@@ -151,71 +156,74 @@
         let chosen = match account {
             Some(account) => {
                 let nearest = self.routing_overrides.nearest(owners, zone, now);
-                let part = self.catalog.load().quota_share(account);
-                account_owners::choose_owner(group, account, part, &nearest, rand::random())
+                let share = self.catalog.load().quota_share(account);
+                account_owners::choose_owner(group, account, share, &nearest, rand::random())
             }
             None => self.routing_overrides.choose_among(owners, zone, rand::random(), now),
         };
         chosen.cloned()
     }
 
-    /// The instance that leads a group, as its platform and the replacements under way tell it. One in
-    /// whose place another instance answers leads no more, whatever it said last.
+    /// The primary of a group, according to its platform and the replacements in progress. An
+    /// instance whose address another instance now uses is no longer primary, whatever it last
+    /// reported.
     pub fn leader<'a>(&self, name: &GroupName, group: &'a Group) -> Option<&'a Instance> {
         let intents = self.intents.load();
-        let former = intents.get(name).and_then(|intent| intent.former.as_ref());
-        group.leader_where(former, |instance| !self.occupants.is_displaced(group, instance))
+        let old_primary = intents.get(name).and_then(|intent| intent.former.as_ref());
+        group.leader_where(old_primary, |instance| !self.occupants.is_displaced(group, instance))
     }
 
-    /// Age of the newest evidence that the group's primary leads.
+    /// Age of the newest evidence that the group's primary leads its term.
     pub fn evidence_age(&self, group: &GroupName, now: Instant) -> Option<Duration> {
-        let board = self.statuses.group(group);
-        let known = board.read().expect("a holder of the status lock panicked");
-        known.evidence.newest().map(|seen| now.saturating_duration_since(seen))
+        let statuses = self.statuses.group(group);
+        let statuses = statuses.read().expect("the lock of the group's statuses is poisoned");
+        statuses.evidence.newest().map(|seen| now.saturating_duration_since(seen))
     }
 
-    /// Whether credentials of the configuration in force may be used for a request that arrived at
+    /// Whether credentials of the active configuration may be used for a request that arrived at
     /// `arrived`.
     pub fn is_credential_confirmed(&self, arrived: Instant) -> bool {
         let Some(limit) = self.revocation_limit else { return true };
         self.confirmations.covers(self.catalog.load().version(), arrived, limit)
     }
 
-    /// Names of the nodes that the machine list named last.
+    /// Names of the nodes in the last copy of the machine list.
     pub fn listed_node_names(&self) -> Vec<NodeName> {
         let listed = self.listed_nodes.load();
         listed.iter().map(|node| node.candidate.node.clone()).collect()
     }
 
-    /// Whether whoever replaces a primary waits for this node's word: the machine list names it, and it knows that.
+    /// Whether the machine list contains this node, as far as this node knows. A coordinator waits
+    /// for the evidence of listed nodes to be revoked or to expire before it promotes a replica.
     pub fn is_listed(&self) -> bool {
         let listed = self.listed_nodes.load();
         listed.iter().any(|listed| listed.candidate.node == self.identity.node)
     }
 
-    /// How long evidence lasts here: other nodes wait only for those that they know of.
+    /// Lifetime of evidence on this node. Other nodes do not know an unlisted node and so do not wait
+    /// until it revokes its evidence; its evidence therefore expires sooner.
     pub fn evidence_lifetime(&self) -> Duration {
         if self.is_listed() { EVIDENCE_LIFE } else { UNLISTED_EVIDENCE_LIFE }
     }
 
-    /// Whether the node takes no new work, because it is being stopped.
+    /// Whether the node is being stopped and accepts no new work.
     pub fn is_leaving(&self) -> bool {
         self.stage.load() >= Stage::Leaving
     }
 
-    /// Whether the node is being stopped, though it may serve yet.
+    /// Whether the node is being stopped. It may still accept work.
     pub fn is_stopping(&self) -> bool {
         self.stage.load() >= Stage::Notice
     }
 
-    /// Where a node accepts peers that lives, or that the machine list names.
+    /// Peer address of a node that is alive or in the machine list.
     pub fn peer_address(&self, node: &NodeName) -> Option<SocketAddr> {
         let (live, listed) = (self.live.load(), self.listed_nodes.load());
         let mut known = live.iter().chain(listed.iter());
         known.find(|peer| peer.candidate.node == *node).map(|peer| peer.peer_address)
     }
 
-    /// The shard of this node that holds a group's gateway.
+    /// The shard of this node whose gateway serves a group.
     pub fn shard_of(&self, group: &GroupName) -> u16 {
         let hash = xxhash_rust::xxh3::xxh3_64(group.as_str().as_bytes());
         (hash % u64::from(self.shards)) as u16
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -1,8 +1,9 @@
-//! A planned stop, in stages that every thread of the node sees.
+//! Planned stop of a node: drains it in stages that every thread of the node observes.
 //!
-//! While *leaving*, the node accepts no callers, sends those at rest away, finishes what is under
-//! way, and refers work for its instances to their standbys. Once nothing is left it is *closed*:
-//! from then on it runs nothing that other nodes still send, and can tell them so.
+//! In the stage *leaving*, the node accepts no clients, disconnects idle ones, finishes open work,
+//! and refers new work for its instances to their standbys. Once no work is left, the node is
+//! *closed*: it runs nothing that other nodes still send, and can therefore tell them that their
+//! unanswered messages will not run.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,22 +15,22 @@
 use crate::shard::mailbox::{Mailboxes, ShardMessage};
 use crate::shared::stage::Stage;
 
-/// Time between two looks at whether the node has drained.
+/// Interval of checks whether the node has drained.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Time without work from other nodes after which they are taken to go elsewhere.
+/// After this time without work from other nodes, they are assumed to send their work elsewhere.
 const QUIET_PERIOD: Duration = Duration::from_millis(200);
-/// Longest wait for the shards to take leave of other nodes.
-const GOODBYE_LIMIT: Duration = Duration::from_secs(1);
+/// Longest wait for the shards to send their leave messages to other nodes.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a planned stop may take.
+/// Time limits of a planned stop, each from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainLimits {
-    /// Time in which everything is as before, but for the node saying that it will stop.
+    /// Time in which the node still serves clients and only announces that it will stop.
     pub notice: Duration,
-    /// Time after which open transactions are ended, if that is before the end of all.
+    /// Time after which open transactions are ended; `None`: they may last until `total`.
     pub transactions: Option<Duration>,
-    /// Time after which everything is cut.
-    pub whole: Duration,
+    /// Time after which all remaining work is aborted.
+    pub total: Duration,
 }
 
 impl DrainLimits {
@@ -38,68 +39,70 @@
         Self {
             notice: settings.drain_notice,
             transactions: settings.drain_transactions,
-            whole: settings.drain_limit,
+            total: settings.drain_limit,
         }
     }
 }
 
-/// The parts of a node that a stop deals with.
+/// The parts of a node that a planned stop drains.
 pub struct Drain {
-    /// What the node's threads share.
+    /// State shared by the node's threads.
     pub context: Arc<NodeContext>,
-    /// Its shards.
+    /// Shards of the node.
     pub shards: Vec<Arc<Mutex<Shard>>>,
-    /// Their mailboxes.
+    /// Mailboxes of the shards.
     pub mailboxes: Arc<Mailboxes>,
-    /// Whether the listener for callers is closed, and all that it accepted is with the shards.
-    pub callers_closed: Arc<AtomicBool>,
+    /// Whether the client listener is closed and all connections that it accepted were sent to the
+    /// shards.
+    pub client_listener_closed: Arc<AtomicBool>,
 }
 
 impl Drain {
-    /// Finishes what is under way within `limits`. Returns whether everything was finished.
+    /// Drains the node within `limits`. Returns whether all open work was finished.
     pub fn run(&self, limits: DrainLimits) -> bool {
-        let began = Instant::now();
-        let until = began + limits.whole;
-        self.context.transaction_deadline.store(limits.transactions.map(|limit| began + limit));
+        let start = Instant::now();
+        let deadline = start + limits.total;
+        self.context.transaction_deadline.store(limits.transactions.map(|limit| start + limit));
         if !limits.notice.is_zero() {
             self.context.stage.advance_to(Stage::Notice);
             std::thread::sleep(limits.notice);
         }
         self.context.stage.advance_to(Stage::Leaving);
-        // A caller that connected before the listener closed may not have reached its shard yet.
-        if !wait_until(until, || self.has_taken_in_callers()) {
+        // A client that connected before the listener closed may not have reached its shard yet.
+        if !wait_until(deadline, || self.all_clients_delivered()) {
             return false;
         }
-        if !self.wait(until, |shard| shard.is_drained(QUIET_PERIOD)) {
+        if !self.wait(deadline, |shard| shard.is_drained(QUIET_PERIOD)) {
             return false;
         }
         self.context.stage.advance_to(Stage::Closed);
-        // Work may have come in between the look and the change of stage.
-        if !self.wait(until, |shard| shard.is_drained(Duration::ZERO)) {
+        // Work may have arrived between the check and the change of stage.
+        if !self.wait(deadline, |shard| shard.is_drained(Duration::ZERO)) {
             return false;
         }
         for number in 0..self.shards.len() {
             self.mailboxes.send(number as u16, ShardMessage::Goodbye);
         }
-        self.wait(Instant::now() + GOODBYE_LIMIT, Shard::has_said_goodbye)
+        self.wait(Instant::now() + LEAVE_TIMEOUT, Shard::has_said_goodbye)
     }
 
-    fn has_taken_in_callers(&self) -> bool {
-        self.callers_closed.load(Ordering::Acquire) && self.mailboxes.are_empty()
+    fn all_clients_delivered(&self) -> bool {
+        self.client_listener_closed.load(Ordering::Acquire) && self.mailboxes.are_empty()
     }
 
-    fn wait(&self, until: Instant, is_done: impl Fn(&Shard) -> bool) -> bool {
-        let lock = |shard: &Arc<Mutex<Shard>>| {
+    /// Waits until the condition holds for every shard; false if it does not by the deadline.
+    fn wait(&self, deadline: Instant, is_done: impl Fn(&Shard) -> bool) -> bool {
+        let check = |shard: &Arc<Mutex<Shard>>| {
             is_done(&shard.lock().unwrap_or_else(PoisonError::into_inner))
         };
-        wait_until(until, || self.shards.iter().all(lock))
+        wait_until(deadline, || self.shards.iter().all(check))
     }
 }
 
-/// Looks again and again until something holds; false if it does not in time.
-fn wait_until(end: Instant, holds: impl Fn() -> bool) -> bool {
-    while !holds() {
-        if Instant::now() >= end {
+/// Polls the condition until it holds; false if it does not by the deadline.
+fn wait_until(deadline: Instant, condition: impl Fn() -> bool) -> bool {
+    while !condition() {
+        if Instant::now() >= deadline {
             return false;
         }
         std::thread::sleep(CHECK_INTERVAL);
--- a/crates/daemon/src/environment.rs
+++ b/crates/daemon/src/environment.rs
@@ -1,4 +1,5 @@
-//! What a node runs in: the services that it uses, and what its callers and back ends speak.
+//! The external services that a node uses, and the protocol of its clients and instances. They are
+//! either plain PostgreSQL groups with an etcd store, or the users' platform.
 
 use std::io;
 use std::sync::Arc;
@@ -19,17 +20,18 @@
 use crate::agent::promotion::ReplacementServices;
 use crate::settings::Settings;
 
-/// What a node runs in: the services that it uses, and what its callers and back ends speak.
+/// The external services that a node uses, and the protocol of its clients and instances.
 pub struct Environment {
-    /// Store of the configuration, as operators change it through this node.
+    /// Store of the configuration that operators change through this node.
     pub store: Arc<dyn ConfigStore>,
-    /// Where the configuration in force comes from, if not from `store` as operators wrote it.
+    /// Source of the active configuration; `None` if that is the operators' configuration in
+    /// `store`.
     pub catalog: Option<Box<dyn CatalogSource>>,
     /// Machine list, if there is one.
     pub machines: Option<Box<dyn MachineList>>,
-    /// What replacing primaries needs, on a platform where groups do not elect.
+    /// Services for primary replacement, on a platform whose groups do not elect their primaries.
     pub replacement: Option<ReplacementServices>,
-    /// Protocol of callers and back ends.
+    /// Protocol of clients and instances.
     pub protocol: Arc<dyn Protocol>,
 }
 
@@ -41,7 +43,7 @@
         Self { store, catalog: None, machines, replacement: None, protocol: Arc::new(Postgres) }
     }
 
-    /// The users' platform: its wire, its store, and the replacement of its primaries.
+    /// The users' platform: its protocol, its store, and the replacement of its primaries.
     pub fn of_platform(settings: &Settings) -> io::Result<Self> {
         let address = settings.store_endpoints.first().map_or("", String::as_str);
         let store = KeyStore::new(address);
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,5 +1,6 @@
-//! What a handler of events is given, and what it may ask for: below the handlers (front, gateway,
-//! links), which know nothing of the shard that hosts them.
+//! Interface between a shard and its event handlers (front, gateway, links): the input of a handler
+//! and the messages that it may send. The handlers depend on this module and not on the shard that
+//! hosts them.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -11,38 +12,38 @@
 
 use crate::context::NodeContext;
 
-/// Which part of a shard a connection belongs to; the low bits of its token.
+/// What an event comes from. Stored in the low bits of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
     /// The shard's mailbox.
     Mailbox,
-    /// A caller.
+    /// A client connection.
     Client,
-    /// A back end.
+    /// A connection to an instance.
     Server,
-    /// Another node.
+    /// A link to another node.
     Link,
 }
 
-const PART_BITS: usize = 2;
+const SOURCE_BITS: usize = 2;
 
-/// The token of connection `key` of `part`.
-pub fn token(part: EventSource, key: usize) -> Token {
-    Token(key << PART_BITS | part as usize)
+/// The token of connection `key` of the kind `source`.
+pub fn token(source: EventSource, key: usize) -> Token {
+    Token(key << SOURCE_BITS | source as usize)
 }
 
-/// Part and key of a token.
+/// Source and connection key of a token.
 pub fn event_source(token: Token) -> (EventSource, usize) {
-    let part = match token.0 & ((1 << PART_BITS) - 1) {
+    let source = match token.0 & ((1 << SOURCE_BITS) - 1) {
         0 => EventSource::Mailbox,
         1 => EventSource::Client,
         2 => EventSource::Server,
         _ => EventSource::Link,
     };
-    (part, token.0 >> PART_BITS)
+    (source, token.0 >> SOURCE_BITS)
 }
 
-/// A message that a part of the shard wants delivered.
+/// A message that the shard delivers for an event handler.
 #[derive(Debug)]
 pub enum Outgoing {
     /// To the gateway of a group on a node.
@@ -52,7 +53,7 @@
         /// The message.
         message: ToGateway,
     },
-    /// To a front; `shard` is `None` for news that concerns the whole node.
+    /// To a front; `shard` is `None` for a message to all shards of the node.
     Front {
         /// Node of the front.
         node: NodeName,
@@ -61,15 +62,15 @@
         /// The message.
         message: ToFront,
     },
-    /// To the session with this key, wherever it is.
+    /// To the session with this key, on whichever node it is.
     Cancel(CancelKey),
 }
 
-/// What a part of the shard works with while it handles an event.
+/// Context of an event handler while it handles one event.
 pub struct Io<'a> {
     /// Event registrations.
     pub registry: &'a Registry,
-    /// Time at which the event was taken up.
+    /// Time at which the shard started to handle the event.
     pub now: Instant,
     /// Messages to deliver after the event.
     pub outbox: &'a mut VecDeque<Outgoing>,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! kestrellockd: the proxy daemon, as a library so that the lab can start nodes in its process.
+//! The proxy daemon `kestrellockd`, as a library so that the lab can run nodes in its own process.
 //!
 //! The module tree is the supervisor tree: [`node`] is the root; [`shard`], [`agent`] and
-//! [`admin`] are its children, each with children of their own. A shard hosts one [`front`], one
-//! [`gateway`] and the [`links`] to other nodes, all under the shard's lock.
+//! [`admin`] are its children, each with children of its own. A shard hosts one [`front`], one
+//! [`gateway`] and the [`links`] to other nodes, all protected by the shard's lock.
 
 pub mod admin;
 pub mod agent;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -16,11 +16,11 @@
 use kestrellock_store::etcd::EtcdStore;
 use miette::IntoDiagnostic;
 
-/// Exit code of a stop that did not finish what was under way.
-const INTERRUPTED: i32 = 1;
-const SIGNAL_CHECK: Duration = Duration::from_millis(50);
-/// The settings file is looked at after so many looks at the signals.
-const FILE_CHECK: u32 = 20;
+/// Exit code after a second signal, which interrupts a stop before open work is finished.
+const EXIT_INTERRUPTED: i32 = 1;
+const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The settings file is checked for changes at every 20th check for signals, once a second.
+const SIGNAL_CHECKS_PER_FILE_CHECK: u32 = 20;
 
 fn main() -> ExitCode {
     command_line::run("kestrellockd", |arguments: Arguments| run(&arguments))
@@ -41,37 +41,38 @@
     serve(arguments, path, settings)
 }
 
-/// Takes a changed settings file in; one that cannot be used leaves the settings as they are.
+/// Applies a changed settings file. If the file is invalid, the current settings stay in use.
 fn reload(arguments: &Arguments, path: &Path, settings: &mut Settings, node: &Node) {
     let changed = match arguments.read_settings(path) {
         Ok(changed) => changed,
         Err(diagnostic) => {
             let number = diagnostic.code.to_string();
-            log::error!(event = "reload_refused", code = number.as_str(), error = diagnostic.to_string().as_str(); "the settings file cannot be used; the settings stay as they are");
+            log::error!(event = "reload_refused", code = number.as_str(), error = diagnostic.to_string().as_str(); "the settings file is invalid; keeping the current settings");
             return;
         }
     };
     node.reload(&changed);
-    let later = settings.changes_requiring_restart(&changed);
-    log::info!(event = "reload", at_next_start:? = later; "settings read again");
+    let needs_restart = settings.changes_requiring_restart(&changed);
+    log::info!(event = "reload", at_next_start:? = needs_restart; "settings reloaded");
     settings.drain_limit = changed.drain_limit;
     settings.drain_notice = changed.drain_notice;
     settings.drain_transactions = changed.drain_transactions;
 }
 
-/// When the file was last written; `None` if that cannot be told.
-fn written_at(path: &Path) -> Option<SystemTime> {
+/// When the file was last modified; `None` if that is unknown.
+fn modified_at(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).ok()?.modified().ok()
 }
 
 fn serve(arguments: &Arguments, path: &Path, mut settings: Settings) -> miette::Result<()> {
-    let hung_up = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(signal_hook::consts::SIGHUP, hung_up.clone()).into_diagnostic()?;
+    let reload_requested = Arc::new(AtomicBool::new(false));
+    signal_hook::flag::register(signal_hook::consts::SIGHUP, reload_requested.clone())
+        .into_diagnostic()?;
 
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         // A second signal ends the process at once.
-        signal_hook::flag::register_conditional_shutdown(signal, INTERRUPTED, stop.clone())
+        signal_hook::flag::register_conditional_shutdown(signal, EXIT_INTERRUPTED, stop.clone())
             .into_diagnostic()?;
         signal_hook::flag::register(signal, stop.clone()).into_diagnostic()?;
     }
@@ -86,15 +87,15 @@
     let node =
         Node::start_in(&settings, listeners, environment, Policy::Standard).into_diagnostic()?;
     log::info!(event = "start", node = settings.node.as_str(), version = env!("CARGO_PKG_VERSION"); "the node runs");
-    let mut written = written_at(path);
+    let mut modified = modified_at(path);
     let mut checks = 0_u32;
     while !stop.load(Ordering::Acquire) && !node.has_failed() {
-        std::thread::sleep(SIGNAL_CHECK);
+        std::thread::sleep(SIGNAL_CHECK_INTERVAL);
         checks += 1;
-        let is_due = checks.is_multiple_of(FILE_CHECK);
-        let newest = if is_due { written_at(path) } else { written };
-        if hung_up.swap(false, Ordering::AcqRel) || newest != written {
-            written = written_at(path);
+        let is_due = checks.is_multiple_of(SIGNAL_CHECKS_PER_FILE_CHECK);
+        let newest = if is_due { modified_at(path) } else { modified };
+        if reload_requested.swap(false, Ordering::AcqRel) || newest != modified {
+            modified = modified_at(path);
             reload(arguments, path, &mut settings, &node);
         }
     }
@@ -102,5 +103,5 @@
     let failed = node.has_failed();
     node.stop();
     logging::finish();
-    if failed { Err(miette::miette!("a part of the node gave up; see the log")) } else { Ok(()) }
+    if failed { Err(miette::miette!("a thread of the node failed; see the log")) } else { Ok(()) }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,7 +1,8 @@
-//! Counters and histograms of a node, in Prometheus' terms.
+//! Prometheus metrics of a node.
 //!
-//! Every handle is made at start, so that counting is one atomic addition (observing a histogram
-//! also takes an uncontended lock). Labels are enums: no text from outside becomes a label.
+//! All counters are registered at start, so that counting costs one atomic addition (observing a
+//! histogram also takes an uncontended lock). Label values come from enums: text from outside the
+//! process never becomes a label.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -18,11 +19,11 @@
 use prometheus_client::registry::Registry;
 
 const PREFIX: &str = "kestrellock";
-/// Smallest bucket of a duration: 50 microseconds; sixteen doublings reach 1.6 s.
+/// Upper bound of the first bucket of durations: 50 µs. Sixteen doublings reach 3.3 s.
 const FIRST_BUCKET_SECONDS: f64 = 50e-6;
-const BUCKETS: u16 = 17;
+const BUCKET_COUNT: u16 = 17;
 
-/// A closed set of label values.
+/// A fixed set of label values.
 pub trait Label: Copy + 'static {
     /// Every value, in the order of [`Label::index`].
     const ALL: &'static [Self];
@@ -30,7 +31,7 @@
     /// Position in [`Label::ALL`].
     fn index(self) -> usize;
 
-    /// Text of the label.
+    /// The label value as exported.
     fn text(self) -> String;
 }
 
@@ -67,21 +68,21 @@
 }
 
 labels! {
-    /// How a statement ended for its caller.
+    /// Result of a statement for its client.
     StatementResult {
-        /// A read that a back end answered.
+        /// A read that an instance answered.
         ReadAnswered = "read_answered",
-        /// A write that a back end answered.
+        /// A write that an instance answered.
         WriteAnswered = "write_answered",
         /// Refused by the proxy; it did not run.
         NotRun = "not_run",
-        /// The proxy cannot say whether it ran.
+        /// The proxy does not know whether it ran.
         InDoubt = "in_doubt",
     }
 }
 
 labels! {
-    /// Where an exchange was sent.
+    /// Destination of an exchange.
     Route {
         /// To a replica.
         Replica = "replica",
@@ -93,41 +94,42 @@
 }
 
 labels! {
-    /// What became of a connection.
+    /// Event of a connection.
     ConnectionEvent {
         /// Opened.
         Opened = "opened",
         /// Closed, by either side.
         Closed = "closed",
-        /// Refused by the one asked.
+        /// Refused by the side that was asked to accept it.
         Refused = "refused",
         /// Closed while idle, to make room for a connection of another account.
         Replaced = "replaced",
-        /// Given up because another one to the same process stands.
+        /// Abandoned because another connection to the same process exists.
         Duplicate = "doubled",
-        /// Given up because the other side, which runs, was not heard on it any more.
+        /// Abandoned because nothing arrived on it any more, although the process at the other end
+        /// runs.
         Silent = "silent",
     }
 }
 
 labels! {
-    /// What became of a position probe.
+    /// Event of a position probe.
     ProbeEvent {
         /// Sent.
         Sent = "sent",
         /// Answered.
         Answered = "answered",
-        /// Lost, refused or unreadable.
+        /// Lost, refused, or with an invalid answer.
         Failed = "failed",
     }
 }
 
 labels! {
-    /// What became of a datagram or message between nodes.
+    /// Event of a datagram or message between nodes.
     MessageEvent {
         /// Sent.
         Sent = "sent",
-        /// Received and taken in.
+        /// Received and processed.
         Received = "received",
         /// Malformed, of another version or cluster, or a replay.
         Refused = "refused",
@@ -135,39 +137,39 @@
 }
 
 labels! {
-    /// How a request to the store ended.
+    /// Result of a request to the store.
     StoreResult {
         /// Answered.
         Answered = "answered",
-        /// Never sent.
+        /// Not sent, because the store was unreachable.
         Unreachable = "unreachable",
         /// Sent but not answered.
         Unanswered = "unanswered",
-        /// Refused for its rate.
+        /// Refused by the store's rate limit.
         RateLimited = "rate_limited",
-        /// Answered out of protocol.
+        /// Answered in violation of the protocol.
         Protocol = "protocol",
     }
 }
 
 labels! {
-    /// What became of a configuration that reached the node.
+    /// Event of a configuration that the node received, or sent to a peer.
     ConfigurationEvent {
-        /// Put in force.
+        /// Activated.
         Applied = "applied",
-        /// Malformed or invalid as a whole; the one in force stayed.
+        /// Malformed or invalid as a whole; the active configuration stayed.
         Refused = "refused",
-        /// An entry or instance of it that cannot be used, and was left out.
+        /// An entry or instance was invalid and left out.
         LeftOut = "left_out",
-        /// An entry of the store that cannot be read.
+        /// An entry in the store could not be parsed.
         Unreadable = "unreadable",
-        /// Taken from a peer.
+        /// Fetched from a peer.
         Fetched = "pulled",
-        /// Not sent by a peer in time.
+        /// A fetch that a peer did not complete in time.
         TimedOut = "given_up",
-        /// Told to the peers that ask this node.
+        /// Announced to the peers that fetch from this node.
         Announced = "announced",
-        /// Given to a peer.
+        /// Sent to a peer.
         Served = "served",
     }
 }
@@ -204,24 +206,24 @@
         self.counters[label.index()].inc_by(amount);
     }
 
-    /// What has been counted.
+    /// The current count.
     pub fn get(&self, label: L) -> u64 {
         self.counters[label.index()].get()
     }
 }
 
-/// Everything a node counts.
+/// All metrics of a node.
 pub struct Metrics {
     registry: Registry,
     /// Statements by result.
     pub statements: CounterSet<StatementResult>,
-    /// Refusals and doubts by numbered code.
+    /// Refusals and in-doubt outcomes by numbered code.
     pub codes: CounterSet<ResultCode>,
     /// Exchanges by destination.
     pub routes: CounterSet<Route>,
-    /// Callers' connections.
+    /// Connections from clients.
     pub client_connections: CounterSet<ConnectionEvent>,
-    /// Connections to back ends.
+    /// Connections to instances.
     pub instance_connections: CounterSet<ConnectionEvent>,
     /// Connections between nodes.
     pub link_connections: CounterSet<ConnectionEvent>,
@@ -235,23 +237,23 @@
     pub messages: CounterSet<MessageEvent>,
     /// Requests to the store.
     pub store: CounterSet<StoreResult>,
-    /// Configurations that arrived.
+    /// Configurations by event.
     pub configuration: CounterSet<ConfigurationEvent>,
-    /// Bytes of configuration taken from and given to peers.
+    /// Bytes of configuration fetched from and sent to peers.
     pub configuration_bytes: CounterSet<ConfigurationEvent>,
     /// Threads restarted after a panic.
     pub restarts: Counter,
-    /// Revision of the configuration in force.
+    /// Revision of the active configuration.
     pub revision: Gauge,
-    /// Returns of the store from an older copy.
+    /// Detected restores of the store from an older copy.
     pub store_restores: Counter,
-    /// Messages of nodes that replace primaries.
+    /// Messages from coordinators that announce a primary replacement.
     pub replacement_messages: Counter,
     /// Seconds from a statement's arrival to its answer.
     pub statement_seconds: Histogram,
     /// Seconds from a commit's answer to its confirmation by a majority.
     pub confirmation_seconds: Histogram,
-    /// Seconds that an exchange waited for a connection.
+    /// Seconds that an exchange waited for a connection to an instance.
     pub queue_seconds: Histogram,
 }
 
@@ -268,7 +270,7 @@
 }
 
 impl Metrics {
-    /// All zero; `restarts` is the supervisors' own counter.
+    /// Registers all metrics. `restarts` is the counter that the supervisors increase.
     pub fn new(restarts: Counter) -> Self {
         let mut registry = Registry::with_prefix(PREFIX);
         let r = &mut registry;
@@ -303,23 +305,23 @@
             revision,
             store_restores,
             replacement_messages,
-            statement_seconds: durations(r, "statement_seconds", "From arrival to answer"),
-            confirmation_seconds: durations(
+            statement_seconds: duration_histogram(r, "statement_seconds", "From arrival to answer"),
+            confirmation_seconds: duration_histogram(
                 r,
                 "confirmation_seconds",
                 "From a commit's answer to its confirmation",
             ),
-            queue_seconds: durations(r, "queue_seconds", "Wait for a back-end connection"),
+            queue_seconds: duration_histogram(r, "queue_seconds", "Wait for a back-end connection"),
             registry,
         }
     }
 
-    /// Counts a numbered refusal or doubt.
+    /// Counts a numbered refusal or in-doubt outcome.
     pub fn count_code(&self, code: ResultCode) {
         self.codes.count(code);
     }
 
-    /// Counts an exchange for which an instance of that role was chosen.
+    /// Counts an exchange that was sent to an instance with this role.
     pub fn count_route(&self, access: &Access, role: Option<Role>) {
         self.routes.count(match (access, role) {
             (Access::Write { .. }, _) => Route::PrimaryWrite,
@@ -329,13 +331,13 @@
         });
     }
 
-    /// Counts a statement and the time it took.
-    pub fn count_statement(&self, result: StatementResult, took: Duration) {
+    /// Counts a statement and its duration.
+    pub fn count_statement(&self, result: StatementResult, duration: Duration) {
         self.statements.count(result);
-        self.statement_seconds.observe(took.as_secs_f64());
+        self.statement_seconds.observe(duration.as_secs_f64());
     }
 
-    /// The Prometheus text format.
+    /// All metrics in the OpenMetrics text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
@@ -345,8 +347,8 @@
     }
 }
 
-fn durations(registry: &mut Registry, name: &str, help: &str) -> Histogram {
-    let histogram = Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKETS));
+fn duration_histogram(registry: &mut Registry, name: &str, help: &str) -> Histogram {
+    let histogram = Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, 2.0, BUCKET_COUNT));
     registry.register(name, help, histogram.clone());
     histogram
 }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,5 @@
-//! The root supervisor: starts a node's parts and stops them together.
+//! A running node: the root of the supervisor tree, which starts the threads of the node and stops
+//! them together.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -49,57 +50,60 @@
 use crate::shared::statuses::StatusTable;
 use crate::supervisor::{StopFlag, Supervisor};
 
-/// Threads that serve the admin port, so that one request that waits for the store stops no other.
+/// Number of threads that serve the admin port. With several, a request that waits for the store
+/// does not block the others.
 const ADMIN_THREADS: usize = 3;
-/// Attempts to find a port that is free for both TCP and UDP.
-const PORT_ATTEMPTS: usize = 50;
+/// Largest number of attempts to find a port that is free for both TCP and UDP.
+const MAX_PORT_ATTEMPTS: usize = 50;
 
 /// Why a node could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// An address cannot be listened on.
+    /// The node cannot listen on an address.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The cluster keys cannot be used.
+    /// The cluster keys are invalid.
     #[error("cannot authenticate to other nodes: {0}")]
     ClusterKeys(#[from] KeyError),
-    /// The event loops cannot be made.
-    #[error("cannot make an event loop: {0}")]
+    /// An event loop or server thread cannot be set up.
+    #[error("cannot create an event loop: {0}")]
     EventLoop(io::Error),
 }
 
-/// Listening sockets of a node, bound before anything runs so that port 0 can be resolved first.
+/// Listening sockets of a node. They are bound before the node starts, so that the settings with
+/// which it starts contain the actual ports instead of port 0.
 pub struct Listeners {
-    callers: TcpListener,
+    clients: TcpListener,
     peers: TcpListener,
     datagrams: UdpSocket,
     admin: TcpListener,
 }
 
 impl Listeners {
-    /// Binds the addresses of `settings`, and writes the ports that the system chose back to it.
+    /// Binds the addresses of `settings`, and stores the ports that the operating system chose in
+    /// `settings`.
     pub fn bind(settings: &mut Settings) -> Result<Self, StartError> {
         let (peers, datagrams) = bind_peers(&mut settings.peer_address)?;
-        let callers = bind(&mut settings.caller_address)?;
+        let clients = bind(&mut settings.caller_address)?;
         let address = settings.caller_address;
         let failed = |source| StartError::Listen { address, source };
-        OF_CALLERS.set_on(&callers).map_err(failed)?;
-        Ok(Self { callers, peers, datagrams, admin: bind(&mut settings.admin_address)? })
+        OF_CALLERS.set_on(&clients).map_err(failed)?;
+        Ok(Self { clients, peers, datagrams, admin: bind(&mut settings.admin_address)? })
     }
 }
 
-/// Binds one port for connections and datagrams of other nodes.
+/// Binds the same port for connections (TCP) and datagrams (UDP) of other nodes.
 fn bind_peers(address: &mut SocketAddr) -> Result<(TcpListener, UdpSocket), StartError> {
-    let wanted = *address;
-    let attempts = if wanted.port() == 0 { PORT_ATTEMPTS } else { 1 };
+    let requested = *address;
+    let attempts = if requested.port() == 0 { MAX_PORT_ATTEMPTS } else { 1 };
     let mut failure = None;
     for _ in 0..attempts {
-        *address = wanted;
+        *address = requested;
         let listener = bind(address)?;
         match UdpSocket::bind(*address) {
             Ok(socket) => return Ok((listener, socket)),
@@ -120,7 +124,7 @@
 
 /// A running node.
 pub struct Node {
-    /// What its threads share.
+    /// State shared by the node's threads.
     pub context: Arc<NodeContext>,
     stop: StopFlag,
     root: Supervisor,
@@ -129,7 +133,7 @@
 }
 
 impl Node {
-    /// Starts a node on its listeners that speaks PostgreSQL.
+    /// Starts a node on its listeners, for PostgreSQL groups and the configuration in `store`.
     pub fn start(
         settings: &Settings,
         listeners: Listeners,
@@ -164,17 +168,17 @@
                 event_loop::run(&shard, &mut mailbox, &stop);
             });
         }
-        let Listeners { callers, peers, datagrams, admin } = listeners;
-        let callers_closed = Arc::new(AtomicBool::new(false));
+        let Listeners { clients, peers, datagrams, admin } = listeners;
+        let client_listener_closed = Arc::new(AtomicBool::new(false));
         spawn_acceptor(
             &mut root,
             "callers",
-            callers,
+            clients,
             mailboxes.clone(),
             AcceptorStop {
                 flag: stop.clone(),
                 leaving_node: Some(context.clone()),
-                closed: callers_closed.clone(),
+                closed: client_listener_closed.clone(),
             },
             ShardMessage::Caller,
         )?;
@@ -185,12 +189,12 @@
             context: context.clone(),
             shards: shards.clone(),
             mailboxes: mailboxes.clone(),
-            callers_closed,
+            client_listener_closed,
         };
         let token = settings.secrets.admin_token.clone();
         let store: Arc<dyn ConfigStore> = Arc::new(CountedStore::new(store, context.clone()));
-        let in_store = || Box::new(WatchedCatalog::new(store.clone())) as Box<dyn CatalogSource>;
-        let catalog = catalog.unwrap_or_else(in_store);
+        let from_store = || Box::new(WatchedCatalog::new(store.clone())) as Box<dyn CatalogSource>;
+        let catalog = catalog.unwrap_or_else(from_store);
         let configuration =
             Configuration::new(context.clone(), mailboxes.clone(), machines.is_some());
         let configuration = Arc::new(configuration);
@@ -212,35 +216,36 @@
         Ok(Self { context, stop, root, drain, limits })
     }
 
-    /// Stops every part at once, as a killed process would: whatever was under way is lost.
+    /// Stops all threads without a drain, like a killed process. Open work is lost.
     pub fn kill(self) {
         self.stop.stop();
         self.root.join();
     }
 
-    /// Freezes or thaws every thread, as an operating system that does not run the process.
+    /// Pauses or resumes every thread, to simulate a process that the operating system does not
+    /// schedule.
     pub fn set_paused(&self, paused: bool) {
         self.stop.set_paused(paused);
     }
 
-    /// Puts those settings in force that can change while the node runs.
+    /// Applies those settings that can change while the node runs.
     pub fn reload(&self, settings: &Settings) {
         *self.limits.lock().unwrap_or_else(PoisonError::into_inner) = DrainLimits::of(settings);
     }
 
-    /// Stops taking work, finishes what is under way, then stops every part. Statements and
-    /// transactions that outlast the drain limit of the settings are cut.
+    /// Drains the node, then stops all threads. Statements and transactions that last longer than
+    /// the drain limit of the settings are aborted.
     pub fn stop(self) {
         self.set_paused(false);
         log::info!("{} is leaving", self.context.identity.node);
         let limits = *self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         if !self.drain.run(limits) {
-            log::warn!("{} stops with work under way", self.context.identity.node);
+            log::warn!("{} stops before its open work is finished", self.context.identity.node);
         }
         self.kill();
     }
 
-    /// Whether a part of the node gave up.
+    /// Whether a thread of the node exceeded its restarts.
     pub fn has_failed(&self) -> bool {
         self.stop.has_failed()
     }
@@ -293,17 +298,17 @@
     })
 }
 
-/// The keys of the settings; without any, one that no other node has.
+/// The cluster keys of the settings. Without any, a random key that no other node has.
 fn cluster_keys(settings: &Settings) -> Result<ClusterKeys, KeyError> {
     let keys = &settings.secrets.cluster_keys;
     if keys.is_empty() {
-        let own_only: [u8; 32] = rand::random();
-        return ClusterKeys::new([own_only.as_slice()]);
+        let random_key: [u8; 32] = rand::random();
+        return ClusterKeys::new([random_key.as_slice()]);
     }
     ClusterKeys::new(keys.iter().map(|key| key.reveal().as_bytes()))
 }
 
-/// Starts the child that looks at the machine list, if there is one.
+/// Starts the child that polls the machine list, if there is one.
 fn spawn_machines(
     root: &mut Supervisor,
     settings: &Settings,
@@ -328,17 +333,17 @@
     stop: &StopFlag,
 ) {
     let process = context.identity.incarnation;
-    let joining = MembershipConfig::new(settings, process, context.cluster_keys.clone());
+    let config = MembershipConfig::new(settings, process, context.cluster_keys.clone());
     let (context, stop) = (context.clone(), stop.clone());
-    root.spawn("membership", move || agent::membership::run(&socket, &joining, &context, &stop));
+    root.spawn("membership", move || agent::membership::run(&socket, &config, &context, &stop));
 }
 
-/// How long a listener accepts.
+/// When an acceptor stops, and how it reports that.
 struct AcceptorStop {
     flag: StopFlag,
-    /// Set for a listener that closes when the node begins to leave.
+    /// The node, for a listener that closes when the node starts to leave.
     leaving_node: Option<Arc<NodeContext>>,
-    /// Told once it is closed, and all that it has accepted is with the shards.
+    /// Set once the listener is closed and all connections that it accepted were sent to the shards.
     closed: Arc<AtomicBool>,
 }
 
@@ -349,7 +354,7 @@
     }
 }
 
-/// Starts the child that accepts connections and deals them out to the shards in turn.
+/// Starts the child that accepts connections and distributes them to the shards in turn.
 fn spawn_acceptor(
     root: &mut Supervisor,
     name: &str,
@@ -362,12 +367,12 @@
     let mut next = 0;
     root.spawn(format!("accept-{name}"), move || {
         let Some(acceptor) = acceptor.take() else { return };
-        let take = |stream| {
+        let on_accepted = |stream| {
             mailboxes.send(next, wrap(stream));
             next = (next + 1) % mailboxes.count() as u16;
         };
-        acceptor.run(|| stop.is_requested(), || stop.flag.wait_while_paused(), take);
-        // Callers that come now are refused by the operating system and go elsewhere.
+        acceptor.run(|| stop.is_requested(), || stop.flag.wait_while_paused(), on_accepted);
+        // From now on, the operating system refuses new connections, and clients try another node.
         stop.closed.store(true, Ordering::Release);
     });
     Ok(())
@@ -395,17 +400,17 @@
     mut catalog: Box<dyn CatalogSource>,
     stop: &StopFlag,
 ) {
-    let (following, flag) = (configuration.clone(), stop.clone());
+    let (watching, flag) = (configuration.clone(), stop.clone());
     root.spawn("configuration-store", move || {
-        agent::configuration::watch_source(&following, catalog.as_mut(), &flag);
+        agent::configuration::watch_source(&watching, catalog.as_mut(), &flag);
     });
-    let (exchanging, flag) = (configuration.clone(), stop.clone());
+    let (distributing, flag) = (configuration.clone(), stop.clone());
     root.spawn("configuration-peers", move || {
-        agent::configuration::distribute(&exchanging, &flag);
+        agent::configuration::distribute(&distributing, &flag);
     });
 }
 
-/// Starts the child that replaces primaries, where that is the proxy's part.
+/// Starts the child that replaces primaries, if the proxy does so on this platform.
 fn spawn_replacement(
     root: &mut Supervisor,
     services: Option<ReplacementServices>,
--- a/crates/daemon/src/ownership.rs
+++ b/crates/daemon/src/ownership.rs
@@ -1,7 +1,9 @@
-//! Which node's gateway holds an instance, by the nodes and the catalog now known.
+//! Owners of instances: the nodes whose gateways hold the connections to them.
 //!
-//! Computed when either changes, not when it is asked for. Ownership is an optimisation, never a
-//! safety argument: two gateways at once cost connections and nothing else.
+//! Each node computes the owners from the live nodes and the catalog that it knows, and caches the
+//! result until one of them changes. Nodes may therefore disagree for a while. Ownership is an
+//! optimisation and no safety property depends on it: two gateways that both consider themselves
+//! owners only use more connections.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,10 +22,10 @@
 
 use crate::shared::live::{LiveNode, Shared, listed_but_unknown};
 
-const POISONED: &str = "a holder of the ownership lock panicked";
+const POISONED: &str = "the lock of the ownership snapshot is poisoned";
 
-/// What `own`, one of the `owners` of a group, may hold to a replica; `sharers` nodes share its connections,
-/// some of which may not accept work.
+/// The share of a replica's connections for `own`, one of the `owners` of the group. `sharers` is the
+/// number of nodes that share the connections, including nodes that do not accept work.
 fn own_share_of_replica(
     replica: &Instance,
     owners: &[Candidate],
@@ -37,20 +39,22 @@
     replica_share(replica.connections, near, far, own_is_near)
 }
 
-/// Owners and standbys at one moment.
+/// Owners and standbys for one set of live nodes and one catalog.
 #[derive(Debug, Default)]
 pub struct OwnershipSnapshot {
     live: Arc<Vec<LiveNode>>,
     catalog: Arc<IndexedCatalog>,
-    without: Option<NodeName>,
-    /// Nodes that the machine list named while this node was young; `None` afterwards.
+    /// This node, if it was leaving and so could not own anything.
+    excluded: Option<NodeName>,
+    /// Nodes in the machine list during this node's startup period; `None` afterwards.
     listed: Option<Arc<Vec<LiveNode>>>,
     table: OwnershipTable,
     /// Owners of the groups that have several.
     group_owners: GroupOwnerTable,
-    /// Connections that this node may hold to each instance of those that it owns.
+    /// This node's share of the connections to each instance of the groups in `group_owners` that
+    /// it owns.
     shares: HashMap<InstanceName, Share>,
-    /// This node, where it was told.
+    /// This node as the owner of the instances in `shares`; `None` in the initial snapshot.
     own: Option<Ownership>,
 }
 
@@ -68,30 +72,31 @@
         self.group_owners.owners_of(group)
     }
 
-    /// Whether `node` is one of several owners of a group.
+    /// Whether `node` is an owner of a group that has several.
     pub fn is_owner(&self, node: &NodeName, group: &GroupName) -> bool {
         self.owners_of(group).iter().any(|owner| owner.node == *node)
     }
 
-    /// Connections that this node may hold to an instance whose group has several owners.
+    /// This node's share of the connections to an instance whose group has several owners, if it is
+    /// one of them.
     pub fn share(&self, instance: &InstanceName) -> Option<Share> {
         self.shares.get(instance).copied()
     }
 
-    /// The groups that `node` is one of several owners of.
+    /// The groups with several owners of which `node` is one.
     pub fn owned_by<'a>(&'a self, node: &'a NodeName) -> impl Iterator<Item = &'a GroupName> {
         self.group_owners.owned_by(node).map(|(group, _)| group)
     }
 
-    /// The catalog it was computed from.
+    /// The catalog from which the snapshot was computed.
     pub fn catalog(&self) -> &Arc<IndexedCatalog> {
         &self.catalog
     }
 
-    fn is_of(&self, sources: &Sources) -> bool {
+    fn is_computed_from(&self, sources: &Sources) -> bool {
         Arc::ptr_eq(&self.live, &sources.live)
             && Arc::ptr_eq(&self.catalog, &sources.catalog)
-            && self.without.as_ref() == sources.without
+            && self.excluded.as_ref() == sources.excluded
             && same_list(self.listed.as_ref(), sources.listed.as_ref())
     }
 }
@@ -104,23 +109,23 @@
     }
 }
 
-/// What a snapshot is computed from.
+/// Inputs of a snapshot.
 struct Sources<'a> {
     live: Arc<Vec<LiveNode>>,
     catalog: Arc<IndexedCatalog>,
     own: &'a NodeName,
-    without: Option<&'a NodeName>,
+    excluded: Option<&'a NodeName>,
     listed: Option<Arc<Vec<LiveNode>>>,
 }
 
 impl Sources<'_> {
-    /// Brings the owners up to date of the groups that have several: those whose primary the proxy replaces
-    /// come from a platform that tells limits for all nodes together.
-    fn follow_group_owners(&self, table: &mut GroupOwnerTable) {
-        let nodes = self.nodes();
+    /// Updates the owners of the groups that have several. These are the groups whose primary the
+    /// proxy replaces: their platform reports connection limits that apply to all nodes together.
+    fn update_group_owners(&self, table: &mut GroupOwnerTable) {
+        let nodes = self.node_count();
         let owned = self.catalog.groups.iter().filter(|(_, group)| group.elector == Elector::Proxy);
         let counted = owned.map(|(name, group)| (name, group.owner_count(nodes)));
-        table.update(self.expected(), counted);
+        table.update(self.group_owner_candidates(), counted);
     }
 
     /// This node's share of the connections to each instance of the groups that it owns.
@@ -131,7 +136,7 @@
             let instances = instances.unwrap_or_default().iter();
             instances.map(move |instance| (instance, owners, sharers))
         });
-        let young = self.listed.is_some();
+        let starting_up = self.listed.is_some();
         let has_accounts = !self.catalog.accounts.is_empty();
         let shares = shares.map(|(instance, owners, sharers)| {
             let share = match instance.announced_role {
@@ -140,34 +145,34 @@
                 }
                 _ => share(instance.connections, sharers),
             };
-            let share = if young { share.during_startup() } else { share };
+            let share = if starting_up { share.during_startup() } else { share };
             (instance.name.clone(), share)
         });
         shares.collect()
     }
 
-    /// Nodes among which connections are divided.
-    fn nodes(&self) -> usize {
+    /// Number of nodes among which connections are divided.
+    fn node_count(&self) -> usize {
         let listed = self.listed.as_ref().map_or(0, |listed| listed.len());
         sharing_nodes(self.live.len(), listed, self.listed.is_some())
     }
 
-    /// Nodes that may own groups. A node that has just started may know few of the others yet, and
-    /// must not take their places: for it those of the machine list count as well, unless most of
-    /// them are known to live.
-    fn expected(&self) -> Vec<&Candidate> {
-        let mut expected = self.candidates();
+    /// Nodes that may own groups. A node that has just started may know few other nodes and must not
+    /// become owner in their place. During its startup period, nodes in the machine list are
+    /// therefore candidates as well, unless most of them are known to be alive.
+    fn group_owner_candidates(&self) -> Vec<&Candidate> {
+        let mut candidates = self.candidates();
         let listed = self.listed.as_deref().map(Vec::as_slice).unwrap_or_default();
         let missing = listed_but_unknown(&self.live, listed);
-        expected.extend(missing.filter(|missing| Some(&missing.node) != self.without));
-        expected
+        candidates.extend(missing.filter(|missing| Some(&missing.node) != self.excluded));
+        candidates
     }
 
-    /// Nodes that may own instances: those that accept work, or all if none does, because
-    /// somebody has to finish what is under way.
+    /// Nodes that may own instances: the nodes that accept work, or all live nodes if none does,
+    /// because open work must still be finished.
     fn candidates(&self) -> Vec<&Candidate> {
         let accepts =
-            |node: &&LiveNode| node.accepts_work && Some(&node.candidate.node) != self.without;
+            |node: &&LiveNode| node.accepts_work && Some(&node.candidate.node) != self.excluded;
         let accepting: Vec<&Candidate> =
             self.live.iter().filter(accepts).map(|node| &node.candidate).collect();
         match accepting.is_empty() {
@@ -177,13 +182,14 @@
     }
 }
 
-/// The newest snapshot, brought up to date by whoever first asks after a change.
+/// The newest snapshot. The first thread that needs it after a change of its inputs computes it
+/// again.
 #[derive(Debug)]
 pub struct OwnershipCache {
     newest: ShardedLock<Arc<OwnershipSnapshot>>,
     started: Instant,
-    /// Whether the node was no longer young when that was last looked at.
-    grown: AtomicBool,
+    /// Whether the node's startup period was found to be over.
+    startup_over: AtomicBool,
 }
 
 impl Default for OwnershipCache {
@@ -191,14 +197,14 @@
         Self {
             newest: ShardedLock::default(),
             started: Instant::now(),
-            grown: AtomicBool::new(false),
+            startup_over: AtomicBool::new(false),
         }
     }
 }
 
 impl OwnershipCache {
-    /// The snapshot of the nodes and the catalog in force. `leaving` is this node once it may own
-    /// nothing any more, whatever the list of live nodes says of it.
+    /// The snapshot for the live nodes and the active catalog. `leaving` is this node once it must
+    /// not own anything, even if the list of live nodes still says that it accepts work.
     pub fn current(
         &self,
         live: &Shared<Vec<LiveNode>>,
@@ -208,45 +214,46 @@
         listed: &Shared<Vec<LiveNode>>,
     ) -> Arc<OwnershipSnapshot> {
         let newest = self.newest.read().expect(POISONED).clone();
-        let listed = self.is_young().then(|| listed.load());
+        let listed = self.is_starting_up().then(|| listed.load());
         let (live, catalog) = (live.load(), catalog.load());
-        let sources = Sources { live, catalog, own, without: leaving, listed };
-        if newest.is_of(&sources) {
+        let sources = Sources { live, catalog, own, excluded: leaving, listed };
+        if newest.is_computed_from(&sources) {
             return newest;
         }
-        self.renew(sources)
+        self.recompute(sources)
     }
 
-    fn is_young(&self) -> bool {
-        if self.grown.load(Ordering::Acquire) {
+    fn is_starting_up(&self) -> bool {
+        if self.startup_over.load(Ordering::Acquire) {
             return false;
         }
-        let young = self.started.elapsed() < STARTUP_PERIOD;
-        self.grown.store(!young, Ordering::Release);
-        young
+        let starting_up = self.started.elapsed() < STARTUP_PERIOD;
+        self.startup_over.store(!starting_up, Ordering::Release);
+        starting_up
     }
 
-    fn renew(&self, sources: Sources) -> Arc<OwnershipSnapshot> {
+    fn recompute(&self, sources: Sources) -> Arc<OwnershipSnapshot> {
         let mut newest = self.newest.write().expect(POISONED);
-        if newest.is_of(&sources) {
+        if newest.is_computed_from(&sources) {
             return newest.clone();
         }
         let mut table = newest.table.clone();
         let mut group_owners = newest.group_owners.clone();
-        sources.follow_group_owners(&mut group_owners);
+        sources.update_group_owners(&mut group_owners);
         let shares = sources.shares(&group_owners);
-        let single = sources.catalog.groups.iter();
-        let single = single.filter(|(name, _)| group_owners.owner_count_of(name).is_none());
-        let instances = single.flat_map(|(_, group)| &group.instances);
-        let placed = instances.map(|instance| (&instance.name, &instance.zone));
-        table.update(sources.candidates(), placed);
-        let without = sources.without.cloned();
+        let single_owner = sources.catalog.groups.iter();
+        let single_owner =
+            single_owner.filter(|(name, _)| group_owners.owner_count_of(name).is_none());
+        let instances = single_owner.flat_map(|(_, group)| &group.instances);
+        let zones = instances.map(|instance| (&instance.name, &instance.zone));
+        table.update(sources.candidates(), zones);
+        let excluded = sources.excluded.cloned();
         let own = Some(Ownership { owner: sources.own.clone(), standby: None });
         let Sources { live, catalog, listed, .. } = sources;
         *newest = Arc::new(OwnershipSnapshot {
             live,
             catalog,
-            without,
+            excluded,
             listed,
             table,
             group_owners,
--- a/crates/daemon/src/policy.rs
+++ b/crates/daemon/src/policy.rs
@@ -1,20 +1,22 @@
-//! Which decisions a node takes: the product's, or a baseline's to compare it with.
+//! Routing and confirmation policies of a node: the standard one, and baselines for comparison.
 //!
-//! Only the lab chooses a baseline; no settings file can.
+//! Only the lab can select a baseline; a settings file cannot.
 
-/// A set of decisions.
+/// A policy for routing and confirmation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Policy {
-    /// The product's.
+    /// The policy of the product.
     #[default]
     Standard,
     /// Every statement goes to the primary.
     PrimaryOnly,
     /// A session stays on the primary for a time after a write.
     StickyPrimary,
-    /// Reads go to the instances in turn, whatever they have applied. Unsafe.
+    /// Reads go to the instances in turn, regardless of what they have applied. Unsafe: a read may
+    /// miss the session's own writes.
     RoundRobin,
-    /// A commit is acknowledged as soon as its primary answers. Unsafe.
+    /// A commit is acknowledged as soon as its primary answers, without confirmation by replicas.
+    /// Unsafe.
     NoConfirmation,
     /// A write whose connection was lost is sent again. Unsafe.
     ResendOnError,
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,6 +1,6 @@
-//! Settings of one node: addresses, zone, peers and store, from a TOML file and flags.
+//! Settings of one node (addresses, zone, peers, store and so on), from a TOML file and flags.
 //!
-//! Nothing operators change at run time stands here; that is the catalog's part.
+//! Configuration that operators change at run time is part of the catalog and not of the settings.
 
 mod file;
 mod validate;
@@ -18,34 +18,34 @@
 pub use file::{SettingsFile, parse};
 pub use validate::{SettingsError, validate};
 
-/// Cluster of a node whose settings name none.
+/// Cluster name, unless set.
 pub const DEFAULT_CLUSTER: &str = "kestrellock";
-/// Key of nodes that run inside one program on loopback addresses.
+/// Cluster key of nodes that run in one process on loopback addresses.
 const LOOPBACK_CLUSTER_KEY: &str = "key of nodes on loopback";
 
-/// What a node stands on.
+/// Kind of database groups and store that a node works with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Backing {
     /// PostgreSQL groups, and a store that speaks etcd's protocol.
     #[default]
     Postgres,
-    /// The users' platform: its instances, its wire and its store.
+    /// The users' platform, with its own instances, protocol and store.
     Platform,
 }
 
-/// Which pages the admin port has.
+/// Pages that the admin port serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AdminPages {
-    /// All, for whoever shows the administration token.
+    /// All pages; those other than health and readiness require the administration token.
     #[default]
     All,
-    /// Health, readiness and metrics, for whoever can connect.
+    /// Health, readiness and metrics, without a token.
     Health,
 }
 
-/// One other node, known before membership has run.
+/// Another node, configured as a seed for membership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
@@ -53,92 +53,95 @@
     pub node: NodeName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Where it accepts peers.
+    /// Its peer address.
     pub address: SocketAddr,
 }
 
-/// Where the node's secrets are read from.
+/// Sources of the node's secrets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SecretSources {
-    /// Token that operators show on the admin port.
+    /// Token with which operators authenticate on the admin port.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub admin_token: Option<SecretSource>,
-    /// Keys under which nodes authenticate to each other; the first signs, all are accepted.
+    /// Keys with which nodes authenticate to each other. The first one signs; all are accepted.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub cluster_keys: Vec<SecretSource>,
-    /// Passwords of the roles under which gateways log in to back ends, by role.
+    /// Passwords with which gateways log in to instances, by database role.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub backend_passwords: BTreeMap<String, SecretSource>,
 }
 
-/// The node's secrets, read.
+/// Values of the node's secrets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Secrets {
-    /// Token of the admin port; without one only `/healthz` answers.
+    /// Token of the admin port. Without it, every page that requires the token is refused.
     pub admin_token: Option<Secret>,
-    /// Cluster keys, the signing one first.
+    /// Cluster keys. The first one signs.
     pub cluster_keys: Vec<Secret>,
-    /// Back-end passwords by role.
+    /// Passwords with which gateways log in to instances, by database role.
     pub backend_passwords: BTreeMap<String, Secret>,
 }
 
 /// Complete and valid settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Name of the cluster; nodes of another one are refused.
+    /// Name of the cluster. Nodes of other clusters are refused.
     pub cluster: String,
     /// Name of this node, unique in the cluster.
     pub node: NodeName,
-    /// Zone it runs in.
+    /// Zone of this node.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Address for client connections.
     pub caller_address: SocketAddr,
-    /// Where other nodes connect.
+    /// Address for connections and datagrams from other nodes.
     pub peer_address: SocketAddr,
-    /// Where other nodes reach `peer_address`, if that is not the address itself.
+    /// Address at which other nodes reach this one, if it differs from `peer_address`.
     pub advertised_peer_address: Option<SocketAddr>,
-    /// Where operators connect.
+    /// Address of the admin port.
     pub admin_address: SocketAddr,
-    /// Which pages are served there.
+    /// Pages that the admin port serves.
     pub admin_pages: AdminPages,
-    /// What the node stands on.
+    /// Kind of database groups and store that the node works with.
     pub backing: Backing,
     /// Service that promotes instances, on a platform that has one.
     pub promotion_endpoint: Option<String>,
-    /// Event-loop threads.
+    /// Number of event-loop threads.
     pub shards: u16,
-    /// What this machine's link carries, in Mbit/s: nodes with wide links read the configuration and
-    /// send it to the others.
+    /// Bandwidth of this machine's network link, in Mbit/s. Nodes with high-bandwidth links read the
+    /// configuration from the store and distribute it to the others.
     pub link_mbps: Option<u32>,
-    /// Time after which a credential that was taken away must be out of use on every node, also on one that
-    /// nothing reaches; `None`: as soon as a node hears of it.
+    /// Time within which every node must stop using a revoked credential, even a node that is
+    /// isolated. `None`: a node stops using it once it learns of the revocation.
     pub revocation_limit: Option<Duration>,
-    /// Time after which nothing may reach the instances of a zone that operators drain; `None`: transactions
-    /// that are open there go on until they end.
+    /// Time after operators start to drain a zone from which no work may reach its instances.
+    /// `None`: transactions that are open there continue until they end.
     pub zone_drain_limit: Option<Duration>,
-    /// Time that a planned stop gives to statements and transactions under way.
+    /// Longest time that a planned stop waits for open statements and transactions.
     pub drain_limit: Duration,
-    /// Time within that in which callers still come, because whoever sends them has not heard yet.
+    /// First part of `drain_limit`, in which the node still accepts clients, because load balancers
+    /// have not noticed the stop yet.
     pub drain_notice: Duration,
-    /// Time within that after which open transactions are ended; `None`: they get all of it.
+    /// Time from the start of a planned stop after which it ends open transactions. `None`: they may
+    /// last for the whole `drain_limit`.
     pub drain_transactions: Option<Duration>,
-    /// Lines in the log that tell of ordinary successes, in a second at most.
+    /// Largest number of routine log lines per second.
     pub ordinary_lines_per_second: u32,
-    /// Other nodes to join through.
+    /// Seed nodes through which this node joins the cluster.
     pub peers: Vec<PeerSettings>,
     /// Endpoints of the configuration store, such as `http://127.0.0.1:2379`.
     pub store_endpoints: Vec<String>,
-    /// Address of the platform's machine list, such as `http://127.0.0.1:8080/machines`.
+    /// URL of the platform's machine list, such as `http://127.0.0.1:8080/machines`.
     pub machine_list: Option<String>,
     /// Secrets, read by [`Settings::read_secrets`] or set by a program that embeds nodes.
     pub secrets: Secrets,
-    /// Where the secrets are read from.
+    /// Sources of the secrets.
     pub secret_sources: SecretSources,
 }
 
 impl Settings {
-    /// Settings of a node on loopback ports that the system chooses, without peers and store.
+    /// Settings of a node on loopback ports that the operating system chooses, without peers and
+    /// store.
     pub fn loopback(node: NodeName, zone: ZoneName) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let cluster_keys = vec![Secret::new(LOOPBACK_CLUSTER_KEY)];
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Names of the fields that differ from `other`'s and take effect at the next start only.
+    /// Names of the fields that differ from those of `other` and take effect only after a restart.
     pub fn changes_requiring_restart(&self, other: &Self) -> Vec<&'static str> {
         let fields = [
             ("cluster", self.cluster != other.cluster),
--- a/crates/daemon/src/settings/file.rs
+++ b/crates/daemon/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The settings file as written, before flags are laid over it.
+//! The settings file, before flags and defaults are applied.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -19,14 +19,15 @@
 };
 
 const DEFAULT_SHARDS: u16 = 1;
-/// A limit in seconds is the time after which the platform kills the process; so much of it is used.
-const USED_OF_KILL_TIME: f64 = 0.95;
-/// Mbit/s of a link, from a modem's to what no machine has yet.
+/// `drain_limit_s` is the time after which the platform kills the process. The drain uses this part
+/// of it, so that it ends before the kill.
+const DRAIN_SHARE_OF_KILL_TIMEOUT: f64 = 0.95;
+/// Accepted bandwidths of a link in Mbit/s: from a modem's to more than any machine has.
 const LINK_MBPS: RangeInclusive<f64> = 0.01..=10_000_000.0;
-/// Time that a planned stop gives to what is under way, unless set.
+/// Longest time that a planned stop waits for open work, unless set.
 pub const DEFAULT_DRAIN_LIMIT: Duration = Duration::from_secs(30);
 
-/// Every field that a file or a flag may set; the names are those of [`Settings`].
+/// The fields that a settings file or a flag may set, with the names of the fields of [`Settings`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs, reason = "documented at the field of the same name in Settings")]
@@ -62,17 +63,17 @@
 }
 
 impl SettingsFile {
-    /// Completes the settings; a field without a default must be there.
+    /// Applies the defaults. Fails if a field without a default is missing.
     pub fn complete(self) -> Result<Settings, SettingsError> {
         let drain_limit = drain_limit(self.drain_limit_ms, self.drain_limit_s)?;
         Ok(Settings {
             cluster: self.cluster.unwrap_or_else(|| DEFAULT_CLUSTER.to_owned()),
-            node: needed(self.node, "node")?,
-            zone: needed(self.zone, "zone")?,
-            caller_address: needed(self.caller_address, "caller_address")?,
-            peer_address: needed(self.peer_address, "peer_address")?,
+            node: required(self.node, "node")?,
+            zone: required(self.zone, "zone")?,
+            caller_address: required(self.caller_address, "caller_address")?,
+            peer_address: required(self.peer_address, "peer_address")?,
             advertised_peer_address: self.advertised_peer_address,
-            admin_address: needed(self.admin_address, "admin_address")?,
+            admin_address: required(self.admin_address, "admin_address")?,
             admin_pages: self.admin_pages,
             backing: self.backing,
             promotion_endpoint: self.promotion_endpoint,
@@ -95,23 +96,23 @@
     }
 }
 
-/// The limit may be given in milliseconds or in seconds, but not in both.
+/// The drain limit, which is set in milliseconds or in seconds, but not both.
 fn drain_limit(
     milliseconds: Option<Milliseconds>,
     seconds: Option<f64>,
 ) -> Result<Duration, SettingsError> {
     match (milliseconds, seconds) {
         (Some(_), Some(_)) => {
-            Err(SettingsError::contradiction("drain_limit_s", "drain_limit_ms is set, too"))
+            Err(SettingsError::contradiction("drain_limit_s", "drain_limit_ms is also set"))
         }
         (Some(limit), None) => Ok(limit.into()),
-        (None, Some(limit)) => Duration::try_from_secs_f64(limit * USED_OF_KILL_TIME)
+        (None, Some(limit)) => Duration::try_from_secs_f64(limit * DRAIN_SHARE_OF_KILL_TIMEOUT)
             .map_err(|error| SettingsError::invalid("drain_limit_s", error.to_string())),
         (None, None) => Ok(DEFAULT_DRAIN_LIMIT),
     }
 }
 
-/// In whole Mbit/s; a slower link counts as one of 1 Mbit/s.
+/// Rounds the bandwidth up to whole Mbit/s, so that a slower link counts as 1 Mbit/s.
 fn link_mbps(rate: Option<f64>) -> Result<Option<u32>, SettingsError> {
     match rate {
         Some(rate) if !LINK_MBPS.contains(&rate) => Err(SettingsError::invalid(
@@ -122,7 +123,7 @@
     }
 }
 
-/// Open transactions may get a share of the limit.
+/// The part of the drain limit after which open transactions are ended.
 fn drain_transactions(
     limit: Duration,
     share: Option<f64>,
@@ -136,7 +137,7 @@
     }
 }
 
-fn needed<T>(value: Option<T>, field: &str) -> Result<T, SettingsError> {
+fn required<T>(value: Option<T>, field: &str) -> Result<T, SettingsError> {
     value.ok_or_else(|| SettingsError {
         code: ResultCode::SettingsMissingField,
         field: field.to_owned(),
--- a/crates/daemon/src/settings/validate.rs
+++ b/crates/daemon/src/settings/validate.rs
@@ -1,4 +1,4 @@
-//! Ranges and contradictions of settings.
+//! Validation of settings: the range of each field, and contradictions between fields.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,24 +13,26 @@
 use super::{AdminPages, Backing, Settings};
 
 const MAX_SHARDS: u16 = 256;
-/// From the least within which calls to a store and other nodes can confirm it to what is no limit any more.
+/// Accepted revocation limits. Nodes must be able to confirm their credentials with the store or
+/// other nodes within the lower bound; a limit above the upper bound would have no practical effect.
 const REVOCATION_LIMIT: RangeInclusive<Duration> =
     Duration::from_secs(1)..=Duration::from_secs(600);
-/// From a second, in which the word of a drain reaches every node, to what is no limit any more.
+/// Accepted limits of a zone drain. A drain reaches every node within the lower bound of one second;
+/// a limit above the upper bound would have no practical effect.
 const ZONE_DRAIN_LIMIT: RangeInclusive<Duration> =
     Duration::from_secs(1)..=Duration::from_secs(600);
-/// Two keys are accepted while one is replaced by the other.
+/// During a key rotation, the old and the new key are both accepted.
 const MAX_CLUSTER_KEYS: usize = 2;
 
-/// A numbered complaint about one field.
+/// A numbered error in one field.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{field}: {problem}")]
 pub struct SettingsError {
-    /// Number of the complaint.
+    /// Number of the error.
     pub code: ResultCode,
     /// Path of the field, such as `peers[0].address`.
     pub field: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub problem: String,
 }
 
@@ -51,7 +53,7 @@
     }
 }
 
-/// Checks every field and the fields against each other.
+/// Validates every field, and the fields against each other.
 pub fn validate(settings: &Settings) -> Result<(), SettingsError> {
     check_name("cluster", &settings.cluster)?;
     check_name("node", settings.node.as_str())?;
@@ -82,7 +84,7 @@
     let Some(limit) = settings.revocation_limit else { return Ok(()) };
     if !REVOCATION_LIMIT.contains(&limit) {
         let problem =
-            "must be 1000 to 600000: nodes confirm within a third of it that credentials stand";
+            "must be 1000 to 600000: nodes confirm their credentials within a third of this time";
         return Err(SettingsError::invalid("revocation_limit_ms", problem));
     }
     Ok(())
@@ -92,7 +94,7 @@
     match settings.zone_drain_limit {
         Some(limit) if !ZONE_DRAIN_LIMIT.contains(&limit) => Err(SettingsError::invalid(
             "zone_drain_limit_ms",
-            "must be 1000 to 600000: the word of a drain takes up to a second to reach a node",
+            "must be 1000 to 600000: a zone drain takes up to a second to reach every node",
         )),
         _ => Ok(()),
     }
@@ -123,7 +125,7 @@
     if let Some(advertised) = settings.advertised_peer_address {
         check_reachable("advertised_peer_address", advertised)
     } else if settings.peer_address.ip().is_unspecified() {
-        let problem = "must be set when peer_address names no single address";
+        let problem = "must be set when peer_address is an unspecified address";
         Err(SettingsError::contradiction("advertised_peer_address", problem))
     } else {
         Ok(())
@@ -138,7 +140,7 @@
 
 fn check_reachable(field: &str, address: SocketAddr) -> Result<(), SettingsError> {
     if address.ip().is_unspecified() || address.port() == 0 {
-        return Err(SettingsError::invalid(field, "must name one address and port"));
+        return Err(SettingsError::invalid(field, "must be a specific address and port"));
     }
     Ok(())
 }
@@ -152,11 +154,11 @@
         check_name(&format!("{field}.zone"), peer.zone.as_str())?;
         check_reachable(&format!("{field}.address"), peer.address)?;
         if !names.insert(&peer.node) {
-            let problem = format!("{} is named twice", peer.node);
+            let problem = format!("{} is listed twice", peer.node);
             return Err(SettingsError::contradiction(format!("{field}.node"), problem));
         }
         if !addresses.insert(peer.address) {
-            let problem = format!("{} is named twice", peer.address);
+            let problem = format!("{} is listed twice", peer.address);
             return Err(SettingsError::contradiction(format!("{field}.address"), problem));
         }
     }
@@ -169,11 +171,11 @@
         let field = format!("store_endpoints[{index}]");
         check_url(&field, endpoint)?;
         if !known.insert(endpoint.trim_end_matches('/')) {
-            return Err(SettingsError::contradiction(field, "is named twice"));
+            return Err(SettingsError::contradiction(field, "is listed twice"));
         }
     }
     if settings.store_endpoints.is_empty() {
-        return Err(SettingsError::invalid("store_endpoints", "must name at least one"));
+        return Err(SettingsError::invalid("store_endpoints", "must list at least one endpoint"));
     }
     for (field, url) in [
         ("machine_list", &settings.machine_list),
@@ -220,7 +222,7 @@
         || settings.machine_list.is_some()
         || settings.backing == Backing::Platform;
     if has_others && sources.cluster_keys.is_empty() {
-        let problem = "must be set where there are other nodes";
+        let problem = "must be set if there are other nodes";
         return Err(SettingsError::contradiction("secrets.cluster_keys", problem));
     }
     for (index, source) in sources.cluster_keys.iter().enumerate() {
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -1,5 +1,6 @@
-//! Supervision of threads: a child that panics is restarted with backoff; a child that keeps
-//! panicking brings its supervisor down, which is its own parent's matter.
+//! Supervision of threads. A child that panics is restarted with exponential backoff. A child that
+//! panics more than `MAX_RESTARTS` times within `RESTART_WINDOW` stops all children, and the
+//! supervisor's parent is informed through [`StopFlag::has_failed`].
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,51 +10,52 @@
 
 use prometheus_client::metrics::counter::Counter;
 
-const FIRST_BACKOFF: Duration = Duration::from_millis(10);
-const LAST_BACKOFF: Duration = Duration::from_secs(1);
-/// Restarts allowed within [`RESTART_WINDOW`] before the supervisor escalates.
+const MIN_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// Restarts of a child within [`RESTART_WINDOW`] before the supervisor escalates.
 const MAX_RESTARTS: usize = 10;
 const RESTART_WINDOW: Duration = Duration::from_secs(60);
 
-/// Time between looks at the pause flag while paused.
-const PAUSE_CHECK: Duration = Duration::from_millis(1);
+/// Interval of checks of the pause flag while paused.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Tells children to finish, and the parent that a child gave up.
+/// Asks children to stop or pause, and informs the parent if a child failed for good.
 #[derive(Clone, Debug, Default)]
 pub struct StopFlag {
     stopping: Arc<AtomicBool>,
     failed: Arc<AtomicBool>,
     paused: Arc<AtomicBool>,
     restarts: Counter,
-    /// Wakes children that sleep when they are to finish.
-    waker: Arc<(Mutex<()>, Condvar)>,
+    /// Wakes sleeping children when they must stop.
+    stop_signal: Arc<(Mutex<()>, Condvar)>,
 }
 
 impl StopFlag {
-    /// Asks every child to finish.
+    /// Asks every child to stop.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
-        let (lock, wakes) = &*self.waker;
-        // Whoever is between its look at the flag and its wait holds the lock.
+        let (lock, wakeup) = &*self.stop_signal;
+        // A child holds the lock between its check of the flag and its wait. Taking the lock here
+        // ensures that it does not miss the notification.
         drop(lock.lock().unwrap_or_else(PoisonError::into_inner));
-        wakes.notify_all();
+        wakeup.notify_all();
     }
 
-    /// Whether children are to finish.
+    /// Whether children must stop.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Freezes or thaws every child that calls [`StopFlag::wait_while_paused`]: stands for a
-    /// process that the operating system does not run for a while.
+    /// Pauses or resumes every child that calls [`StopFlag::wait_while_paused`]. This simulates a
+    /// process that the operating system does not schedule for a while.
     pub fn set_paused(&self, paused: bool) {
         self.paused.store(paused, Ordering::Release);
     }
 
-    /// Returns once the children are not paused, or are to finish.
+    /// Returns once the children are not paused, or must stop.
     pub fn wait_while_paused(&self) {
         while self.paused.load(Ordering::Acquire) && !self.is_stopping() {
-            thread::sleep(PAUSE_CHECK);
+            thread::sleep(PAUSE_CHECK_INTERVAL);
         }
     }
 
@@ -62,15 +64,15 @@
         self.failed.load(Ordering::Acquire)
     }
 
-    /// Sleeps for `time`, or until the children are to finish.
+    /// Sleeps for `time`, or until the children must stop.
     pub fn sleep(&self, time: Duration) {
-        let (lock, wakes) = &*self.waker;
+        let (lock, wakeup) = &*self.stop_signal;
         let guard = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        // Only a poisoned lock is an error, and nothing is kept under this one.
-        drop(wakes.wait_timeout_while(guard, time, |()| !self.is_stopping()));
+        // The only error is a poisoned lock, which is harmless because the lock protects no data.
+        drop(wakeup.wait_timeout_while(guard, time, |()| !self.is_stopping()));
     }
 
-    /// Counts the restarts of children after a panic.
+    /// Counter of restarts of children after a panic.
     pub fn restarts(&self) -> Counter {
         self.restarts.clone()
     }
@@ -81,7 +83,7 @@
     }
 }
 
-/// A group of child threads with one life.
+/// A group of child threads that are started and stopped together.
 #[derive(Debug)]
 pub struct Supervisor {
     name: &'static str,
@@ -95,8 +97,7 @@
         Self { name, stop, children: Vec::new() }
     }
 
-    /// Starts a child. `body` runs until it returns (then the child is done) and again after a
-    /// panic.
+    /// Starts a child. The child is finished once `body` returns; after a panic, `body` runs again.
     pub fn spawn(&mut self, child: impl Into<String>, body: impl FnMut() + Send + 'static) {
         let stop = self.stop.clone();
         let name = format!("{}/{}", self.name, child.into());
@@ -104,14 +105,14 @@
         let thread = thread::Builder::new()
             .name(thread_name)
             .spawn(move || run_child(&name, &stop, body))
-            .expect("the operating system refused a thread");
+            .expect("the operating system could not create a thread");
         self.children.push(thread);
     }
 
     /// Waits until every child has finished.
     pub fn join(self) {
         for child in self.children {
-            // A child's panics are caught inside it; what remains is a bug in this module.
+            // `run_child` catches the panics of `body`, so an error here is a bug in this module.
             let _ = child.join();
         }
     }
@@ -119,20 +120,20 @@
 
 fn run_child(name: &str, stop: &StopFlag, mut body: impl FnMut()) {
     let mut restarts: Vec<Instant> = Vec::new();
-    let mut backoff = FIRST_BACKOFF;
+    let mut backoff = MIN_BACKOFF;
     while catch_unwind(AssertUnwindSafe(&mut body)).is_err() {
         stop.restarts.inc();
         let now = Instant::now();
         restarts.retain(|at| now.duration_since(*at) < RESTART_WINDOW);
         restarts.push(now);
         if restarts.len() > MAX_RESTARTS {
-            log::error!("{name} panicked {MAX_RESTARTS} times in a minute; its supervisor stops");
+            log::error!("{name} panicked more than {MAX_RESTARTS} times in a minute; stopping");
             stop.escalate();
             return;
         }
-        log::error!("{name} panicked; restarted in {backoff:?}");
+        log::error!("{name} panicked; restarting in {backoff:?}");
         thread::sleep(backoff);
-        backoff = (backoff * 2).min(LAST_BACKOFF);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
         if stop.is_stopping() {
             return;
         }
