--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -200,8 +200,8 @@
         listed.iter().any(|listed| listed.candidate.node == self.identity.node)
     }
 
-    /// Lifetime of evidence on this node. Other nodes do not know an unlisted node and so do not wait
-    /// until it revokes its evidence; its evidence therefore expires sooner.
+    /// Lifetime of evidence on this node. Other nodes do not know an unlisted node and so do not
+    /// wait until it revokes its evidence; its evidence therefore expires sooner.
     pub fn evidence_lifetime(&self) -> Duration {
         if self.is_listed() { EVIDENCE_LIFE } else { UNLISTED_EVIDENCE_LIFE }
     }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -196,17 +196,17 @@
         Self { counters, label: PhantomData }
     }
 
-    /// Counts one.
+    /// Increments the counter for `label`.
     pub fn count(&self, label: L) {
         self.counters[label.index()].inc();
     }
 
-    /// Counts several.
+    /// Adds `amount` to the counter for `label`.
     pub fn add(&self, label: L, amount: u64) {
         self.counters[label.index()].inc_by(amount);
     }
 
-    /// The current count.
+    /// The current value of the counter for `label`.
     pub fn get(&self, label: L) -> u64 {
         self.counters[label.index()].get()
     }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -343,7 +343,8 @@
     flag: StopFlag,
     /// The node, for a listener that closes when the node starts to leave.
     leaving_node: Option<Arc<NodeContext>>,
-    /// Set once the listener is closed and all connections that it accepted were sent to the shards.
+    /// Set once the listener is closed and all connections that it accepted were sent to the
+    /// shards.
     closed: Arc<AtomicBool>,
 }
 
--- a/crates/daemon/src/ownership.rs
+++ b/crates/daemon/src/ownership.rs
@@ -24,8 +24,8 @@
 
 const POISONED: &str = "the lock of the ownership snapshot is poisoned";
 
-/// The share of a replica's connections for `own`, one of the `owners` of the group. `sharers` is the
-/// number of nodes that share the connections, including nodes that do not accept work.
+/// The share of a replica's connections for `own`, one of the `owners` of the group. `sharers` is
+/// the number of nodes that share the connections, including nodes that do not accept work.
 fn own_share_of_replica(
     replica: &Instance,
     owners: &[Candidate],
@@ -157,8 +157,8 @@
         sharing_nodes(self.live.len(), listed, self.listed.is_some())
     }
 
-    /// Nodes that may own groups. A node that has just started may know few other nodes and must not
-    /// become owner in their place. During its startup period, nodes in the machine list are
+    /// Nodes that may own groups. A node that has just started may know few other nodes and must
+    /// not become owner in their place. During its startup period, nodes in the machine list are
     /// therefore candidates as well, unless most of them are known to be alive.
     fn group_owner_candidates(&self) -> Vec<&Candidate> {
         let mut candidates = self.candidates();
--- a/crates/daemon/src/routing_overrides.rs
+++ b/crates/daemon/src/routing_overrides.rs
@@ -79,7 +79,8 @@
         candidates.into_iter().find(|node| reachable(node)).unwrap_or(&known.owner).clone()
     }
 
-    /// Chooses one of the [nearest](Self::nearest) of `owners`. `random` spreads the work over them.
+    /// Chooses one of the [nearest](Self::nearest) of `owners`. `random` spreads the work over
+    /// them.
     pub fn choose_among<'a>(
         &self,
         owners: &'a [Candidate],
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -108,8 +108,8 @@
     pub promotion_endpoint: Option<String>,
     /// Number of event-loop threads.
     pub shards: u16,
-    /// Bandwidth of this machine's network link, in Mbit/s. Nodes with high-bandwidth links read the
-    /// configuration from the store and distribute it to the others.
+    /// Bandwidth of this machine's network link, in Mbit/s. Nodes with high-bandwidth links read
+    /// the configuration from the store and distribute it to the others.
     pub link_mbps: Option<u32>,
     /// Time within which every node must stop using a revoked credential, even a node that is
     /// isolated. `None`: a node stops using it once it learns of the revocation.
@@ -122,8 +122,8 @@
     /// First part of `drain_limit`, in which the node still accepts clients, because load balancers
     /// have not noticed the stop yet.
     pub drain_notice: Duration,
-    /// Time from the start of a planned stop after which it ends open transactions. `None`: they may
-    /// last for the whole `drain_limit`.
+    /// Time from the start of a planned stop after which it ends open transactions. `None`: they
+    /// may last for the whole `drain_limit`.
     pub drain_transactions: Option<Duration>,
     /// Largest number of routine log lines per second.
     pub ordinary_lines_per_second: u32,
--- a/crates/daemon/src/settings/validate.rs
+++ b/crates/daemon/src/settings/validate.rs
@@ -14,11 +14,12 @@
 
 const MAX_SHARDS: u16 = 256;
 /// Accepted revocation limits. Nodes must be able to confirm their credentials with the store or
-/// other nodes within the lower bound; a limit above the upper bound would have no practical effect.
+/// other nodes within the lower bound; a limit above the upper bound would have no practical
+/// effect.
 const REVOCATION_LIMIT: RangeInclusive<Duration> =
     Duration::from_secs(1)..=Duration::from_secs(600);
-/// Accepted limits of a zone drain. A drain reaches every node within the lower bound of one second;
-/// a limit above the upper bound would have no practical effect.
+/// Accepted limits of a zone drain. A drain reaches every node within the lower bound of one
+/// second; a limit above the upper bound would have no practical effect.
 const ZONE_DRAIN_LIMIT: RangeInclusive<Duration> =
     Duration::from_secs(1)..=Duration::from_secs(600);
 /// During a key rotation, the old and the new key are both accepted.
--- a/crates/daemon/tests/admin.rs
+++ b/crates/daemon/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin port: who may see what, and what it tells.
+//! The admin port: authorization, and the content of its pages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,13 +14,13 @@
 use kestrellock_store::etcd::EtcdStore;
 
 const TOKEN: &str = "a-token-nobody-guesses";
-const LIMIT: Duration = Duration::from_secs(30);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn start(token: Option<&str>) -> (Node, SocketAddr) {
     let mut settings = Settings::loopback(NodeName::new("a"), ZoneName::new("z"));
     settings.secrets.admin_token = token.map(Secret::new);
     let listeners = Listeners::bind(&mut settings).expect("free ports");
-    // Nothing listens there: the node runs without configuration.
+    // No store listens at this address, so the node runs without a configuration.
     let store = Arc::new(EtcdStore::new(vec!["http://127.0.0.1:1".to_owned()]));
     let node = Node::start(&settings, listeners, store, Policy::Standard).expect("it starts");
     (node, settings.admin_address)
@@ -33,9 +33,9 @@
     if let Some(value) = authorization {
         request = request.header("Authorization", value);
     }
-    let mut answer = request.call().expect("an answer");
-    let body = answer.body_mut().read_to_string().expect("a body");
-    (answer.status().as_u16(), body)
+    let mut response = request.call().expect("a response");
+    let body = response.body_mut().read_to_string().expect("a body");
+    (response.status().as_u16(), body)
 }
 
 #[test]
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn without_a_token_nobody_enters() {
+fn without_a_configured_token_all_requests_are_unauthorized() {
     let (node, address) = start(None);
     assert_eq!(get(address, "/status", Some("Bearer ")).0, 401);
     assert_eq!(get(address, "/healthz", None).0, 503);
@@ -77,12 +77,12 @@
 }
 
 #[test]
-fn health_tells_why_not_and_status_and_metrics_tell_the_state() {
+fn health_reports_why_a_node_is_not_ready_and_status_and_metrics_report_its_state() {
     let (node, address) = start(Some(TOKEN));
     let bearer = format!("Bearer {TOKEN}");
-    let end = Instant::now() + LIMIT;
+    let deadline = Instant::now() + JOIN_TIMEOUT;
     while node.context.live.load().is_empty() {
-        assert!(Instant::now() < end, "the node does not join itself");
+        assert!(Instant::now() < deadline, "the node does not list itself as alive");
         std::thread::sleep(Duration::from_millis(5));
     }
     let (status, body) = get(address, "/healthz", None);
--- a/crates/daemon/tests/backend_login.rs
+++ b/crates/daemon/tests/backend_login.rs
@@ -1,4 +1,4 @@
-//! Gateways log in to back ends that ask for a password.
+//! Login of gateways to instances that require a password.
 
 mod support;
 
@@ -13,7 +13,7 @@
 const READ: &str = "SELECT 1";
 
 #[test]
-fn the_password_of_the_group_role_opens_back_ends() {
+fn a_gateway_logs_in_with_the_password_of_the_group_role() {
     let group = ScriptedGroup::start();
     group.script().password = Some(BACKEND_PASSWORD);
     let pair = Pair::start(&group, Duration::from_secs(20), Policy::Standard);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_wrong_password_runs_nothing() {
+fn no_statement_runs_with_a_wrong_password() {
     let group = ScriptedGroup::start();
     group.script().password = Some("another");
     let pair = Pair::start(&group, DEADLINE, Policy::Standard);
--- a/crates/daemon/tests/connect.rs
+++ b/crates/daemon/tests/connect.rs
@@ -1,4 +1,4 @@
-//! Connections from a machine's own address.
+//! Connections that are bound to this machine's address, and their TCP options.
 
 use std::net::{TcpListener, TcpStream};
 
@@ -7,21 +7,21 @@
 use socket2::SockRef;
 
 #[test]
-fn a_port_in_use_by_a_connection_can_be_listened_on() {
+fn a_listener_can_bind_to_the_local_port_of_a_connection() {
     let elsewhere = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = elsewhere.local_addr().expect("its address");
-    let connection = connect_from(address.ip(), address, None).expect("it begins to connect");
+    let connection = connect_from(address.ip(), address, None).expect("it starts to connect");
     let (_accepted, client) = elsewhere.accept().expect("it connects");
     assert_eq!(connection.local_addr().expect("its address"), client);
-    TcpListener::bind(client).expect("a node started again gets its port");
+    TcpListener::bind(client).expect("a restarted node can bind its port");
 }
 
 #[test]
-fn limits_for_silence_are_in_force_on_connections_to_instances() {
+fn connections_to_instances_have_keepalive_and_user_timeouts() {
     let instance = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = instance.local_addr().expect("its address");
     let connection =
-        connect_from(address.ip(), address, Some(&TO_INSTANCES)).expect("it begins to connect");
+        connect_from(address.ip(), address, Some(&TO_INSTANCES)).expect("it starts to connect");
     let socket = SockRef::from(&connection);
     assert!(socket.keepalive().expect("the option"));
     assert_eq!(socket.tcp_keepalive_time().expect("the option"), TO_INSTANCES.idle);
@@ -30,11 +30,11 @@
 }
 
 #[test]
-fn accepted_connections_have_the_limits_of_their_listener() {
+fn accepted_connections_inherit_the_keepalive_of_their_listener() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     OF_CALLERS.set_on(&listener).expect("the options");
     let address = listener.local_addr().expect("its address");
-    let _caller = TcpStream::connect(address).expect("it connects");
+    let _client = TcpStream::connect(address).expect("it connects");
     let (accepted, _) = listener.accept().expect("it connects");
     let socket = SockRef::from(&accepted);
     assert!(socket.keepalive().expect("the option"));
--- a/crates/daemon/tests/counters.rs
+++ b/crates/daemon/tests/counters.rs
@@ -1,4 +1,4 @@
-//! The counters of a statement's way: what clients and back ends did shows on the node.
+//! Counters on the path of a statement: statements, routes, refusals, connections and probes.
 
 mod support;
 
@@ -35,7 +35,9 @@
     assert!(front.client_connections.get(ConnectionEvent::Opened) >= 1);
     drop(client);
     let opened = front.client_connections.get(ConnectionEvent::Opened);
-    wait_until("the close", || front.client_connections.get(ConnectionEvent::Closed) == opened);
+    wait_until("the client connection is closed", || {
+        front.client_connections.get(ConnectionEvent::Closed) == opened
+    });
 
     let gateway = &pair.gateway.as_ref().expect("running").context.metrics;
     assert!(gateway.instance_connections.get(ConnectionEvent::Opened) > 0);
--- a/crates/daemon/tests/crossing_links.rs
+++ b/crates/daemon/tests/crossing_links.rs
@@ -1,20 +1,11 @@
-//! Two nodes that open a connection to each other at the same moment keep the same one.
+//! Two nodes that open a connection to each other at the same moment must keep the same one.
 //!
-//! What happened: a test of large changes failed now and then beside load. Its counter of connections that
-//! carry nothing had moved, and two nodes were not heard for 300 ms, though no node stood still for longer than
-//! 50 ms and no link was full:
-//!
-//! ```text
-//! 38.132922 link_replaced peer=node-4 received=0
-//! 38.133026 link_replaced peer=node-13 received=0
-//! 38.434663 link_unheard peer=node-9 unanswered_ms=300 looks=13 longest_step_ms=50
-//! 38.435621 peer_silent peer=node-9
-//! ```
-//!
-//! Two nodes had opened connections to each other, and both came to stand at both ends, in another order at each.
-//! Each end took the one that stood last for a replacement: they kept different ones, and each read nothing on
-//! the one that the other sent on, until a heartbeat found it silent. So for 300 ms work between them waited, and
-//! went elsewhere.
+//! Both connections complete their handshake at both ends, but each end may see them in a different
+//! order. An end that takes the later one for a replacement of the earlier one may keep a different
+//! connection than the other end, and then reads nothing on the one that its peer sends on. Work
+//! between the two nodes waits until the heartbeat finds the connection silent after 300 ms, and is
+//! then sent to other nodes. The log shows `link_replaced` with `received=0` at both ends, followed
+//! by `link_unheard` and `peer_silent`.
 
 use std::time::{Duration, Instant};
 
@@ -27,28 +18,29 @@
     LinkClaim { id: [id; 16], opener: NodeName::new(opener), replaces: None, begun }
 }
 
-/// The connection that an end keeps at which they come to stand in this order.
+/// The connection that an end keeps if the handshakes complete there in this order.
 fn kept(order: [&LinkClaim; 2]) -> &LinkClaim {
     let [first, second] = order;
     if second.settle(first, HANDSHAKE).keeps_newer() { second } else { first }
 }
 
 #[test]
-fn both_ends_keep_the_same_of_two_that_crossed() {
+fn both_ends_keep_the_same_of_two_crossing_connections() {
     let start = Instant::now();
-    for apart in [0, 3, 40, 300] {
-        let of_lesser = claim(1, "a", start + Duration::from_millis(apart));
-        let of_greater = claim(2, "b", start);
-        for order in [[&of_lesser, &of_greater], [&of_greater, &of_lesser]] {
-            assert_eq!(kept(order), &of_lesser, "{apart} ms apart, {order:?}");
+    for apart_ms in [0, 3, 40, 300] {
+        let opened_by_a = claim(1, "a", start + Duration::from_millis(apart_ms));
+        let opened_by_b = claim(2, "b", start);
+        for order in [[&opened_by_a, &opened_by_b], [&opened_by_b, &opened_by_a]] {
+            assert_eq!(kept(order), &opened_by_a, "{apart_ms} ms apart, {order:?}");
             assert!(!order[1].settle(order[0], HANDSHAKE).was_silent());
         }
     }
 }
 
-/// A node whose connection is silent opens another one: that one is to be used, whoever opened the first.
+/// A node whose connection is silent opens a new one, which must be used regardless of which node
+/// opened the silent one.
 #[test]
-fn a_connection_that_replaces_another_one_takes_its_place() {
+fn a_replacement_for_a_silent_connection_is_kept() {
     let start = Instant::now();
     for (opener, other) in [("a", "b"), ("b", "a"), ("a", "a")] {
         let retired = claim(1, opener, start);
@@ -56,26 +48,26 @@
         let replacing = LinkClaim { replaces: Some(retired.id), ..claim(2, other, begun) };
         assert_eq!(kept([&retired, &replacing]), &replacing);
         assert!(replacing.settle(&retired, HANDSHAKE).was_silent());
-        // The other end may see them in the other order.
+        // The other end may see them in the opposite order.
         assert_eq!(kept([&replacing, &retired]), &replacing);
     }
 }
 
-/// Both ends have retired the same connection, and each opens another one.
+/// Both ends have retired the same connection, and each opens a new one.
 #[test]
-fn two_replacements_that_cross_come_to_the_same_one() {
+fn both_ends_keep_the_same_of_two_crossing_replacements() {
     let start = Instant::now();
     let retired = claim(1, "a", start);
     let begun = start + Duration::from_millis(310);
-    let of_lesser = LinkClaim { replaces: Some(retired.id), ..claim(2, "a", begun) };
-    let of_greater = LinkClaim { replaces: Some(retired.id), ..claim(3, "b", begun) };
-    assert_eq!(kept([&of_lesser, &of_greater]), &of_lesser);
-    assert_eq!(kept([&of_greater, &of_lesser]), &of_lesser);
+    let opened_by_a = LinkClaim { replaces: Some(retired.id), ..claim(2, "a", begun) };
+    let opened_by_b = LinkClaim { replaces: Some(retired.id), ..claim(3, "b", begun) };
+    assert_eq!(kept([&opened_by_a, &opened_by_b]), &opened_by_a);
+    assert_eq!(kept([&opened_by_b, &opened_by_a]), &opened_by_a);
 }
 
-/// A connection that broke without this end's hearing of it: its opener opens another one much later.
+/// The first connection broke without this end noticing; the other node opens a new one much later.
 #[test]
-fn a_connection_that_is_opened_long_after_another_one_takes_its_place() {
+fn a_connection_opened_long_after_another_replaces_it() {
     let start = Instant::now();
     let old = claim(1, "a", start);
     let new = claim(2, "b", start + Duration::from_secs(20));
@@ -83,10 +75,10 @@
     assert!(!new.settle(&old, HANDSHAKE).was_silent());
 }
 
-/// A node opens a second connection only where it cannot use the first: beside load it had given that up before
-/// it stood for itself, while it did for the other end.
+/// A node opens a second connection only if it cannot use the first. Under load, it may have
+/// abandoned the first before its own handshake completed, although the other end's had.
 #[test]
-fn the_second_of_one_opener_takes_the_place_of_the_first() {
+fn a_second_connection_of_the_same_opener_replaces_the_first() {
     let start = Instant::now();
     let first = claim(1, "b", start);
     let second = claim(2, "b", start + Duration::from_millis(5));
--- a/crates/daemon/tests/group_ownership.rs
+++ b/crates/daemon/tests/group_ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns a group by what a node knows of the others, and where others send its work.
+//! Owners of a group as computed from the nodes that a node knows, and the choice among them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
     IndexedCatalog::new(catalog)
 }
 
-/// What `own` takes for the owners, a moment after its start.
+/// Ownership as computed by `own` just after its start.
 fn owners_by(own: usize, live: &[usize], listed: &[usize]) -> Arc<OwnershipSnapshot> {
     let nodes =
         |numbers: &[usize]| Shared::new(numbers.iter().map(|number| node(*number)).collect());
@@ -65,10 +65,11 @@
     owners.map(|owner| owner.node.clone()).collect()
 }
 
-/// Swanreach grown, after all machines lost power: each node knew a few others for half a second,
-/// took itself for an owner of every group, and 8,265 connections over the cap were reset.
+/// After all machines of a large cluster lost power, each node knew only a few others for half a
+/// second and considered itself an owner of every group. Instances reset 8,265 connections above
+/// their limit.
 #[test]
-fn a_node_that_knows_few_others_yet_leaves_the_places_of_listed_nodes_to_them() {
+fn a_starting_node_does_not_own_groups_in_place_of_listed_nodes_it_does_not_know_yet() {
     let all: Vec<usize> = (0..NODES).collect();
     let expected = names(&owners_by(0, &all, &all));
     assert_eq!(expected.len(), 9);
@@ -82,29 +83,29 @@
         };
         all.iter().copied().filter(|own| claims(own)).count()
     };
-    assert_eq!(claimants(&|own| vec![own]), 9, "each knows itself alone");
+    assert_eq!(claimants(&|own| vec![own]), 9, "each node knows only itself");
     assert_eq!(claimants(&|own| vec![own, (own + 1) % NODES]), 9);
 }
 
 #[test]
-fn nodes_that_stay_away_lose_their_places_once_most_of_the_others_are_known() {
+fn a_missing_node_stops_being_owner_once_most_other_nodes_are_known() {
     let all: Vec<usize> = (0..NODES).collect();
-    let gone: NodeName = names(&owners_by(0, &all, &all))[0].clone();
+    let missing: NodeName = names(&owners_by(0, &all, &all))[0].clone();
     let live: Vec<usize> =
-        all.iter().copied().filter(|number| node(*number).candidate.node != gone).collect();
+        all.iter().copied().filter(|number| node(*number).candidate.node != missing).collect();
     let owners = names(&owners_by(live[0], &live, &all));
     assert_eq!(owners.len(), 9);
-    assert!(!owners.contains(&gone));
+    assert!(!owners.contains(&missing));
 }
 
 #[test]
-fn without_a_list_the_live_nodes_count() {
+fn without_a_machine_list_owners_are_chosen_among_live_nodes() {
     assert!(names(&owners_by(0, &[], &[])).is_empty());
     assert_eq!(names(&owners_by(0, &[0], &[])), [NodeName::new("node-0")]);
 }
 
 #[test]
-fn work_goes_to_an_owner_nearby_that_can_be_reached() {
+fn work_goes_to_reachable_owners_of_the_same_zone_first() {
     let all: Vec<usize> = (0..NODES).collect();
     let snapshot = owners_by(0, &all, &all);
     let owners = snapshot.owners_of(&GroupName::new(GROUP));
@@ -117,11 +118,11 @@
     };
     let nearby: Vec<&NodeName> = (0..12).map(choose).collect();
     assert!(nearby.iter().all(|name| zone_of(name).as_ref() == Some(&zone)));
-    assert!(nearby.iter().any(|name| **name != *nearby[0]), "the work is spread");
+    assert!(nearby.iter().any(|name| **name != *nearby[0]), "all work goes to one owner");
     for name in &nearby {
         routing_overrides.avoid(name, now);
     }
-    let further = routing_overrides.choose_among(owners, &zone, 0, now).expect("an owner");
-    assert!(zone_of(further).is_some_and(|found| found != zone));
+    let distant = routing_overrides.choose_among(owners, &zone, 0, now).expect("an owner");
+    assert!(zone_of(distant).is_some_and(|found| found != zone));
     assert_eq!(routing_overrides.choose_among(&[], &zone, 0, now), None);
 }
--- a/crates/daemon/tests/heartbeat.rs
+++ b/crates/daemon/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! When a node takes another one for silent.
+//! When the heartbeat of a link considers the other node silent.
 
 use std::time::{Duration, Instant};
 
@@ -6,11 +6,12 @@
 
 const TICK: Duration = Duration::from_millis(10);
 
-/// What ticks of 10 ms for `time` call for, with the moment of each.
-fn beats(heartbeat: &mut Heartbeat, start: Instant, time: Duration) -> Vec<(u128, Beat)> {
+/// Ticks every 10 ms for `duration` and returns the resulting beats with their times in
+/// milliseconds.
+fn beats(heartbeat: &mut Heartbeat, start: Instant, duration: Duration) -> Vec<(u128, Beat)> {
     let mut beats = Vec::new();
     let mut now = start;
-    while now < start + time {
+    while now < start + duration {
         now += TICK;
         let beat = heartbeat.on_tick(now);
         if beat != Beat::Nothing {
@@ -21,13 +22,13 @@
 }
 
 #[test]
-fn a_node_that_owes_nothing_is_not_asked() {
+fn a_node_without_unanswered_messages_is_not_pinged() {
     let (mut heartbeat, start) = (Heartbeat::default(), Instant::now());
     assert_eq!(beats(&mut heartbeat, start, Duration::from_secs(5)), []);
 }
 
 #[test]
-fn a_node_that_answers_nothing_is_asked_and_then_silent_again_and_again() {
+fn a_node_that_does_not_answer_is_pinged_and_then_reported_silent_repeatedly() {
     let (mut heartbeat, start) = (Heartbeat::default(), Instant::now());
     heartbeat.on_sent(start);
     let expected = [(100, Beat::Ask), (300, Beat::Silent), (800, Beat::Silent)];
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_slow_answer_to_a_statement_is_no_silence_as_long_as_the_node_says_that_it_runs() {
+fn a_slow_statement_is_not_silence_while_the_node_answers_pings() {
     let (mut heartbeat, start) = (Heartbeat::default(), Instant::now());
     heartbeat.on_sent(start);
     assert_eq!(beats(&mut heartbeat, start, Duration::from_millis(110)), [(100, Beat::Ask)]);
@@ -43,13 +44,13 @@
     assert_eq!(beats(&mut heartbeat, start, Duration::from_secs(3)), []);
 }
 
-/// After a freeze of its own a node has not yet read what arrived meanwhile.
+/// After a pause of its own process, a node has not yet read what arrived during the pause.
 #[test]
-fn a_node_that_stood_still_takes_nobody_for_silent_for_that_time() {
+fn a_paused_node_does_not_count_its_own_pause_as_silence_of_others() {
     let (mut heartbeat, start) = (Heartbeat::default(), Instant::now());
     heartbeat.on_tick(start);
     heartbeat.on_sent(start);
-    let awake = start + Duration::from_secs(2);
-    assert_eq!(heartbeat.on_tick(awake), Beat::Nothing);
-    assert_eq!(beats(&mut heartbeat, awake, Duration::from_millis(110)), [(100, Beat::Ask)]);
+    let resumed = start + Duration::from_secs(2);
+    assert_eq!(heartbeat.on_tick(resumed), Beat::Nothing);
+    assert_eq!(beats(&mut heartbeat, resumed, Duration::from_millis(110)), [(100, Beat::Ask)]);
 }
--- a/crates/daemon/tests/interleaving.rs
+++ b/crates/daemon/tests/interleaving.rs
@@ -1,4 +1,5 @@
-//! Random interleavings of clients, lost connections and late answers over shared connections.
+//! Random interleavings of clients, lost connections and late answers on shared server connections
+//! must not mix the statements or rows of different clients.
 
 mod support;
 
@@ -14,16 +15,16 @@
 use support::scripted::{Scripted, ScriptedGroup};
 use support::{LATE, MARK, Pair};
 
-struct Path {
+struct Fixture {
     group: ScriptedGroup,
     pair: Pair,
 }
 
-static PATH: LazyLock<Path> = LazyLock::new(|| {
+static FIXTURE: LazyLock<Fixture> = LazyLock::new(|| {
     let group = ScriptedGroup::start();
     group.script().on_marked = Scripted::Close;
     let pair = Pair::start(&group, Duration::from_secs(20), Policy::Standard);
-    Path { group, pair }
+    Fixture { group, pair }
 });
 static NEXT_CLIENT: AtomicUsize = AtomicUsize::new(0);
 
@@ -33,12 +34,12 @@
     Write,
     Read,
     ReadLate,
-    /// A write on which the back end closes the connection.
+    /// A write on which the instance closes the connection.
     WriteLost,
     Commit,
     Rollback,
-    /// The client is gone, without waiting for the answer to a last write.
-    Leave,
+    /// The client disconnects without waiting for the answer to a last write.
+    Disconnect,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Vec<Step>>> {
@@ -50,15 +51,16 @@
         1 => Just(Step::WriteLost),
         3 => Just(Step::Commit),
         1 => Just(Step::Rollback),
-        1 => Just(Step::Leave),
+        1 => Just(Step::Disconnect),
     ];
     proptest::collection::vec(proptest::collection::vec(step, 1..12), 2..8)
 }
 
-/// Runs one client's steps; returns the rows that were not its own.
+/// Runs the steps of one client and returns its wrong answers: rows of other clients, or missing
+/// rows.
 fn run(steps: &[Step]) -> Vec<String> {
     let tag = format!("client{}.", NEXT_CLIENT.fetch_add(1, Ordering::Relaxed));
-    let mut client = Client::connect(PATH.pair.address, &[]);
+    let mut client = Client::connect(FIXTURE.pair.address, &[]);
     let mut foreign = Vec::new();
     for step in steps {
         let sql = match step {
@@ -69,7 +71,7 @@
             Step::ReadLate => format!("SELECT '{tag}' FROM {LATE} FOR UPDATE"),
             Step::Commit => format!("COMMIT -- {tag}"),
             Step::Rollback => format!("ROLLBACK -- {tag}"),
-            Step::Leave => {
+            Step::Disconnect => {
                 client.send(&format!("INSERT INTO {LATE} VALUES ('{tag}')"));
                 return foreign;
             }
@@ -90,7 +92,7 @@
 }
 
 /// The first statement on any connection that ran inside another client's transaction.
-fn crossed(connections: &[Vec<String>]) -> Option<String> {
+fn find_mixed_transaction(connections: &[Vec<String>]) -> Option<String> {
     for connection in connections {
         let mut owner: Option<&str> = None;
         for sql in connection {
@@ -119,19 +121,19 @@
     })]
 
     #[test]
-    fn no_statement_and_no_row_crosses(clients in steps()) {
+    fn clients_never_share_a_transaction_or_get_rows_of_another_client(clients in steps()) {
         let foreign: Vec<String> = thread::scope(|scope| {
             let running: Vec<_> =
                 clients.iter().map(|steps| scope.spawn(move || run(steps))).collect();
             running.into_iter().flat_map(|client| client.join().expect("no panic")).collect()
         });
         prop_assert!(foreign.is_empty(), "{foreign:?}");
-        prop_assert_eq!(crossed(&PATH.group.script().connections), None);
+        prop_assert_eq!(find_mixed_transaction(&FIXTURE.group.script().connections), None);
     }
 }
 
 #[test]
-fn the_check_sees_a_crossing() {
+fn the_check_detects_a_mixed_transaction() {
     let connection = ["BEGIN -- client1.", "INSERT INTO t VALUES ('client2.')"].map(str::to_owned);
-    assert!(crossed(&[connection.to_vec()]).is_some());
+    assert!(find_mixed_transaction(&[connection.to_vec()]).is_some());
 }
--- a/crates/daemon/tests/key_release.rs
+++ b/crates/daemon/tests/key_release.rs
@@ -1,5 +1,5 @@
-//! Keyed writes that no primary takes before their deadline: the client hears what may have run, and
-//! nothing of the key touches the session's next request.
+//! Writes with a request id that no primary accepts before their deadline: the client learns which
+//! ones may have run, and the request id does not affect the next request of the session.
 
 mod support;
 
@@ -10,25 +10,26 @@
 use support::scripted::{Scripted, ScriptedGroup};
 use support::{MARK, Pair, wait_until};
 
-const SHORT: Duration = Duration::from_millis(200);
-/// Some writes come back from their last attempt after the deadline, others are held when it
-/// passes: enough sessions to see both.
+const DEADLINE: Duration = Duration::from_millis(200);
+/// Enough sessions to cover both cases: the last attempt of some writes fails after the deadline,
+/// and others wait for a primary when the deadline expires.
 const SESSIONS: usize = 12;
 const REFUSED: Scripted = Scripted::LateError("25006");
 
-/// Runs keyed requests whose instance is read-only from the second attempt on, and `first` before.
-/// `before` goes out in front, `sql` is the marked statement. Returns the error messages.
-fn refused_keyed_requests(first: Scripted, before: Option<&str>, sql: &str) -> Vec<String> {
+/// Runs requests with a request id. The first attempt at the instance behaves as `first`, later
+/// ones are refused as read-only. `before` is sent before the marked statement `sql`. Returns the
+/// error messages.
+fn refused_requests_with_id(first: Scripted, before: Option<&str>, sql: &str) -> Vec<String> {
     let group = ScriptedGroup::start();
-    let pair = Pair::start(&group, SHORT, Policy::Standard);
+    let pair = Pair::start(&group, DEADLINE, Policy::Standard);
     let mut client = Client::connect(pair.address, &[]);
     wait_until("a primary", || client.query("INSERT INTO plain VALUES (0)").error.is_none());
     let mut messages = Vec::new();
     for session in 0..SESSIONS {
         let mut client = Client::connect(pair.address, &[]);
         group.script().on_marked = Scripted::Answer;
-        let key = format!("SET kestrellock.request_id = '{MARK}-{session}'");
-        assert_eq!(client.query(&key).error, None);
+        let set_request_id = format!("SET kestrellock.request_id = '{MARK}-{session}'");
+        assert_eq!(client.query(&set_request_id).error, None);
         if let Some(before) = before {
             assert_eq!(client.query(before).error, None);
         }
@@ -39,7 +40,7 @@
         group.script().on_marked = REFUSED;
         let (_, message) = client.answer().error.expect("a refusal");
         messages.push(message);
-        wait_until("a whole answer", || {
+        wait_until("a complete answer to the next statement", || {
             let next = client.query("INSERT INTO plain VALUES (1)");
             assert!(next.error.is_some() || next.tags == ["INSERT 0 1"], "{session}: {next:?}");
             next.error.is_none()
@@ -49,14 +50,14 @@
 }
 
 #[test]
-fn the_answer_after_a_keyed_write_that_found_no_primary_is_whole() {
-    let messages = refused_keyed_requests(REFUSED, None, "INSERT INTO plain VALUES (2)");
+fn the_answer_after_a_write_with_request_id_that_no_primary_accepted_is_complete() {
+    let messages = refused_requests_with_id(REFUSED, None, "INSERT INTO plain VALUES (2)");
     assert_eq!(messages.len(), SESSIONS);
 }
 
 #[test]
-fn a_keyed_commit_in_doubt_stays_in_doubt_when_its_record_finds_no_primary() {
-    for message in refused_keyed_requests(Scripted::Close, Some("BEGIN"), "COMMIT") {
+fn a_commit_in_doubt_stays_in_doubt_if_no_primary_accepts_the_query_for_its_request_id() {
+    for message in refused_requests_with_id(Scripted::Close, Some("BEGIN"), "COMMIT") {
         assert!(message.contains("in doubt"), "{message}");
     }
 }
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -1,4 +1,5 @@
-//! What a client is told at each point at which a back end, a gateway or a link can fail.
+//! Outcome that the client receives for each point at which an instance, a gateway or a link can
+//! fail.
 
 mod support;
 
@@ -12,10 +13,10 @@
 use support::scripted::{Scripted, ScriptedGroup};
 use support::{Pair, wait_until};
 
-/// Long enough that no step but the one meant to is late.
-const PATIENT: Duration = Duration::from_secs(20);
-/// For rows that wait for the deadline itself.
-const SHORT: Duration = Duration::from_millis(1500);
+/// Long enough that only the scripted fault can cause a timeout.
+const LONG_DEADLINE: Duration = Duration::from_secs(20);
+/// For cases that wait until the deadline expires.
+const SHORT_DEADLINE: Duration = Duration::from_millis(1500);
 
 struct Row {
     name: &'static str,
@@ -34,7 +35,7 @@
     scripted: Scripted,
     code: &'static str,
 ) -> Row {
-    let (deadline, before, withheld, status) = (PATIENT, [].as_slice(), false, b'I');
+    let (deadline, before, withheld, status) = (LONG_DEADLINE, [].as_slice(), false, b'I');
     Row { name, deadline, before, statement, scripted, withheld, code, status }
 }
 
@@ -42,7 +43,7 @@
 const IN_TRANSACTION: &[&str] = &["BEGIN", "INSERT INTO plain VALUES (1)"];
 
 #[test]
-fn each_failure_of_a_back_end_has_its_outcome() {
+fn each_failure_of_an_instance_has_its_outcome() {
     use Scripted::{
         Answer, Close, CloseBeforePosition, Error, ErrorThenClose, Hang, RefusePosition, StepDown,
     };
@@ -59,10 +60,14 @@
             Close,
             "KL1601",
         ),
-        Row { deadline: SHORT, ..row("hangs", WRITE, Hang, "KL1601") },
-        Row { deadline: SHORT, withheld: true, ..row("not confirmed", WRITE, Answer, "KL1602") },
+        Row { deadline: SHORT_DEADLINE, ..row("hangs", WRITE, Hang, "KL1601") },
+        Row {
+            deadline: SHORT_DEADLINE,
+            withheld: true,
+            ..row("not confirmed", WRITE, Answer, "KL1602")
+        },
         Row { withheld: true, ..row("an error needs no confirmation", WRITE, Error("23505"), "") },
-        Row { deadline: SHORT, ..row("read-only", WRITE, Error("25006"), "KL1302") },
+        Row { deadline: SHORT_DEADLINE, ..row("read-only", WRITE, Error("25006"), "KL1302") },
         Row {
             before: IN_TRANSACTION,
             status: b'E',
@@ -94,7 +99,7 @@
         group.script().withheld = row.withheld;
         let answer = client.query(row.statement);
         assert_eq!(answer.code(), row.code, "{}: {answer:?}", row.name);
-        // A lost connection is noticed as such, not by the deadline that gives the same number.
+        // The loss of the connection must be detected, and not the deadline with the same code.
         let message = answer.error.as_ref().map_or("", |(_, message)| message.as_str());
         if row.scripted == Close {
             assert!(message.contains("was lost"), "{}: {message}", row.name);
@@ -104,7 +109,7 @@
         assert_eq!(answer.status, row.status, "{}", row.name);
         let sent_once = !matches!(row.scripted, Error("25006"));
         assert!(!sent_once || group.seen("marked") == 1, "{}: sent again", row.name);
-        // The session goes on, and nothing of the lost transaction is left.
+        // The session continues, and nothing of the lost transaction remains.
         group.script().on_marked = Scripted::Answer;
         group.script().withheld = false;
         if answer.status != b'I' {
@@ -121,7 +126,7 @@
     }
 }
 
-/// What becomes of the gateway while a marked statement is under way.
+/// Fault of the gateway while a marked statement runs, or just before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum GatewayFault {
     Killed,
@@ -135,7 +140,7 @@
     statement: &str,
 ) -> (Answer, usize) {
     let group = ScriptedGroup::start();
-    let deadline = if fault == GatewayFault::Killed { PATIENT } else { SHORT };
+    let deadline = if fault == GatewayFault::Killed { LONG_DEADLINE } else { SHORT_DEADLINE };
     let mut pair = Pair::start(&group, deadline, Policy::Standard);
     let mut client = Client::connect(pair.address, &[]);
     assert_eq!(client.query("INSERT INTO plain VALUES (0)").error, None);
@@ -146,12 +151,12 @@
     let pause = |pair: &Pair| pair.gateway.as_ref().expect("running").set_paused(true);
     if fault == GatewayFault::PausedBefore {
         pause(&pair);
-        // The event loop looks at the flag at its next turn.
+        // The event loop checks the flag in its next iteration.
         std::thread::sleep(Duration::from_millis(50));
     }
     client.send(statement);
     if fault != GatewayFault::PausedBefore {
-        wait_until("the statement at the back end", || group.seen("marked") == 1);
+        wait_until("the statement at the instance", || group.seen("marked") == 1);
     }
     match fault {
         GatewayFault::Killed => pair.gateway.take().into_iter().for_each(Node::kill),
@@ -183,9 +188,10 @@
     }
 }
 
-/// A close that arrives together with the last bytes is noticed, though readiness is told once.
+/// A close that arrives together with the last bytes must be detected, although the event loop
+/// reports readiness only once for both.
 #[test]
-fn a_close_behind_an_answer_is_noticed() {
+fn a_close_right_after_an_answer_is_detected() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
     let mut sender = std::net::TcpStream::connect(address).expect("it connects");
@@ -207,11 +213,12 @@
     assert_eq!(&connection.input[..], b"last bytes");
 }
 
-/// A transaction whose client leaves is rolled back before its connection serves anyone else.
+/// If a client disconnects within a transaction, the transaction is rolled back before its server
+/// connection serves another client.
 #[test]
-fn an_abandoned_transaction_is_rolled_back_first() {
+fn an_abandoned_transaction_is_rolled_back_before_reuse() {
     let group = ScriptedGroup::start();
-    let pair = Pair::start(&group, PATIENT, Policy::Standard);
+    let pair = Pair::start(&group, LONG_DEADLINE, Policy::Standard);
     let mut leaving = Client::connect(pair.address, &[]);
     for statement in IN_TRANSACTION {
         assert_eq!(leaving.query(statement).error, None);
--- a/crates/daemon/tests/pool.rs
+++ b/crates/daemon/tests/pool.rs
@@ -1,4 +1,5 @@
-//! The pool of one instance: every connection in one state, limits kept, no opening in vain.
+//! Connection pool of one instance: each connection has exactly one state, limits are kept, and no
+//! connection is opened without need.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -75,9 +76,9 @@
     ]
 }
 
-/// The test's own account of the connections.
+/// Model of the connections, independent of the pool.
 #[derive(Default)]
-struct Account {
+struct Model {
     connecting: BTreeSet<usize>,
     idle: BTreeSet<usize>,
     /// Leased connections, and whether their transaction is paused.
@@ -85,7 +86,7 @@
     resumed: bool,
 }
 
-impl Account {
+impl Model {
     fn open(&self) -> usize {
         self.connecting.len() + self.idle.len() + self.leased.len()
     }
@@ -100,51 +101,51 @@
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
     #[test]
-    fn connections_and_leases_are_accounted_for(steps in prop::collection::vec(step(), 1..300)) {
+    fn connections_and_leases_match_the_model(steps in prop::collection::vec(step(), 1..300)) {
         let group = group();
         let mut pool = Pool::new(&group, &group.instances[0], PoolRole::Owner, None);
-        let mut account = Account::default();
+        let mut model = Model::default();
         let mut now = Instant::now();
         let mut next_key = 0;
         for (serial, step) in steps.into_iter().enumerate() {
             match step {
                 Step::Offer => {
-                    // What happens to a refused exchange is not the pool's matter.
+                    // The pool does not track refused exchanges.
                     let _ = pool.offer(exchange(serial as u64, Duration::from_millis(500)), 10, now);
                 }
                 Step::Open { refused } => {
                     for _ in 0..pool.connections_to_open(now).len() {
                         pool.on_connecting(next_key, None, now);
-                        account.connecting.insert(next_key);
+                        model.connecting.insert(next_key);
                         next_key += 1;
                     }
-                    if let Some(key) = account.connecting.pop_first() {
+                    if let Some(key) = model.connecting.pop_first() {
                         if refused {
                             pool.on_connection_refused(now, 7);
                             pool.on_lost(key, now, 7);
                         } else {
                             pool.on_idle(key, now);
-                            account.idle.insert(key);
+                            model.idle.insert(key);
                         }
                     }
                 }
-                Step::End { which } => if let Some(key) = account.pick(&which) {
-                    account.leased.remove(&key);
-                    account.idle.insert(key);
+                Step::End { which } => if let Some(key) = model.pick(&which) {
+                    model.leased.remove(&key);
+                    model.idle.insert(key);
                     pool.on_idle(key, now);
                 }
-                Step::Lose { which } => if let Some(key) = account.pick(&which) {
-                    account.leased.remove(&key);
+                Step::Lose { which } => if let Some(key) = model.pick(&which) {
+                    model.leased.remove(&key);
                     pool.on_lost(key, now, 7);
                     pool.on_lost(key, now, 7);
                 }
-                Step::Pause { which } => if let Some(key) = account.pick(&which) {
-                    account.leased.insert(key, true);
+                Step::Pause { which } => if let Some(key) = model.pick(&which) {
+                    model.leased.insert(key, true);
                     pool.on_paused(key, now);
                 }
-                Step::Resume { which } => if let Some(key) = account.pick(&which) {
-                    account.resumed |= account.leased[&key];
-                    account.leased.insert(key, false);
+                Step::Resume { which } => if let Some(key) = model.pick(&which) {
+                    model.resumed |= model.leased[&key];
+                    model.leased.insert(key, false);
                     pool.on_resumed(key, now);
                 }
                 Step::Forget { serial } => pool.forget(&exchange(serial, Duration::ZERO).lease),
@@ -157,23 +158,23 @@
             pool.remove_late(now);
             let Assignments { run, .. } = pool.assign(now);
             for Assignment { key, .. } in run {
-                prop_assert!(account.idle.remove(&key), "connection {key} is given out while in use");
-                account.leased.insert(key, false);
+                prop_assert!(model.idle.remove(&key), "connection {key} is assigned while in use");
+                model.leased.insert(key, false);
             }
             for key in pool.connections_to_close(now) {
-                prop_assert!(account.idle.remove(&key), "connection {key} is closed while in use");
+                prop_assert!(model.idle.remove(&key), "connection {key} is closed while in use");
                 pool.on_lost(key, now, 7);
             }
-            let running = account.leased.values().filter(|paused| !**paused).count();
-            prop_assert!(account.resumed || running <= SLOTS as usize);
-            prop_assert_eq!(pool.open_connections(), account.open());
-            prop_assert_eq!(pool.connections_in_use(), account.leased.len());
-            prop_assert!(account.open() <= owner_limit(CONNECTIONS, 2) as usize);
+            let running = model.leased.values().filter(|paused| !**paused).count();
+            prop_assert!(model.resumed || running <= SLOTS as usize);
+            prop_assert_eq!(pool.open_connections(), model.open());
+            prop_assert_eq!(pool.connections_in_use(), model.leased.len());
+            prop_assert!(model.open() <= owner_limit(CONNECTIONS, 2) as usize);
         }
     }
 }
 
-/// A pool with `count` connections that are up.
+/// A pool in the given role, with all its warm connections open and idle.
 fn connected(role: PoolRole, now: Instant) -> Pool {
     let group = group();
     let mut pool = Pool::new(&group, &group.instances[0], PoolRole::Owner, None);
@@ -219,7 +220,7 @@
         "one more connection serves the waiting exchange"
     );
     pool.on_connecting(100, None, now);
-    assert_eq!(pool.connections_to_open(now).len(), 0, "none is opened in vain");
+    assert_eq!(pool.connections_to_open(now).len(), 0, "no further connection is needed");
     pool.on_idle(100, now);
     let run = pool.assign(now).run;
     assert_eq!(run.iter().map(|assignment| assignment.key).collect::<Vec<_>>(), [100]);
@@ -241,7 +242,7 @@
 }
 
 #[test]
-fn failed_connecting_is_repeated_with_backoff() {
+fn failed_connection_attempts_are_retried_with_backoff() {
     let group = group();
     let mut now = Instant::now();
     let mut pool = Pool::new(&group, &group.instances[0], PoolRole::Owner, None);
@@ -255,18 +256,18 @@
         }
         now += Duration::from_millis(10);
     }
-    // At the largest backoff of 250 ms each round opens what is missing of the warm connections.
+    // With the maximum backoff of 250 ms, each round opens all missing warm connections.
     assert!((30..200).contains(&attempts), "{attempts} attempts");
     assert_eq!(pool.open_connections(), 0);
 }
 
 #[test]
-fn who_takes_new_work() {
+fn a_pool_accepts_new_work_according_to_its_roles() {
     let now = Instant::now();
     let later = now + Duration::from_secs(3600);
     let (owner, standby, released) = (PoolRole::Owner, PoolRole::Standby, PoolRole::Released);
     let table = [
-        // Roles one after another, and whether new work is taken at once and much later.
+        // Successive roles, and whether the pool accepts new work at once and much later.
         (vec![owner], true, true),
         (vec![standby], true, true),
         (vec![released], false, false),
@@ -302,13 +303,13 @@
     assert_eq!(pool.connections_in_use(), 1);
 }
 
-/// A node's share of an instance's connections, of which it keeps one without work.
+/// A node's share of an instance's connections, of which it keeps one warm.
 const SHARE: Share = Share { max: 4, warm: 1 };
 
-/// Atlas, the day after which all machines lose power at once: each node opened all it could, and
-/// most got none.
+/// After all machines lost power at once, each node opened as many connections as it could, and
+/// most nodes got none.
 #[test]
-fn a_shared_instance_gets_as_many_connections_more_as_stand() {
+fn a_pool_opens_at_most_as_many_connections_at_once_as_are_established() {
     let group = group();
     let now = Instant::now();
     let mut pool = Pool::new(&group, &group.instances[0], PoolRole::Owner, Some(SHARE));
@@ -320,7 +321,7 @@
         let count = pool.connections_to_open(now).len();
         opened.push(count);
         (key..key + count).for_each(|key| pool.on_connecting(key, None, now));
-        assert_eq!(pool.connections_to_open(now).len(), 0, "some are being opened");
+        assert_eq!(pool.connections_to_open(now).len(), 0, "connections are already being opened");
         (key..key + count).for_each(|key| pool.on_idle(key, now));
         pool.assign(now);
     }
@@ -328,7 +329,7 @@
 }
 
 #[test]
-fn a_shared_instance_is_left_what_is_not_needed() {
+fn a_pool_with_a_share_closes_connections_it_does_not_need() {
     let group = group();
     let now = Instant::now();
     let mut pool = Pool::new(&group, &group.instances[0], PoolRole::Owner, Some(SHARE));
@@ -359,24 +360,26 @@
 }
 
 #[test]
-fn an_exchange_runs_on_a_connection_of_its_account_alone() {
+fn an_exchange_runs_only_on_a_connection_of_its_account() {
     let now = Instant::now();
     let mut pool = pool_of([Some("atlas"), Some("gidanmu")], now);
     pool.offer(exchange_of(1, "gidanmu"), 100, now).expect("there is room");
     pool.offer(exchange_of(2, "swanreach"), 100, now).expect("there is room");
     let run = pool.assign(now).run;
     assert_eq!(
-        run.iter().map(|one| (one.key, one.exchange.lease.serial)).collect::<Vec<_>>(),
+        run.iter()
+            .map(|assignment| (assignment.key, assignment.exchange.lease.serial))
+            .collect::<Vec<_>>(),
         [(1, 1)]
     );
     let openings = pool.connections_to_open(now);
     let expected =
         ConnectionToOpen { account: Some(AccountName::new("swanreach")), replaces: Some(0) };
-    assert_eq!(openings, [expected], "the connection that nobody waits for gives way");
+    assert_eq!(openings, [expected], "the unused connection is replaced");
 }
 
 #[test]
-fn an_account_that_waits_gets_the_next_connection_though_another_has_work_for_it() {
+fn a_connection_is_reassigned_to_a_long_waiting_account_although_its_own_account_has_work() {
     let start = Instant::now();
     let mut pool = pool_of([Some("large"), Some("large")], start);
     for serial in 0..8 {
@@ -389,7 +392,7 @@
     assert_eq!(pool.assign(soon).run.len(), 1, "it has not waited for long");
     let later = start + Duration::from_millis(100);
     pool.on_idle(1, later);
-    assert_eq!(pool.assign(later).run.len(), 0, "the connection is kept from its account");
+    assert_eq!(pool.assign(later).run.len(), 0, "the connection is withheld from its account");
     let expected = ConnectionToOpen { account: Some(AccountName::new("small")), replaces: Some(1) };
     assert_eq!(pool.connections_to_open(later), [expected]);
 }
@@ -398,21 +401,21 @@
 fn no_connection_is_closed_to_keep_another_one_warm() {
     let now = Instant::now();
     let mut pool = pool_of([None, None], now);
-    // The instance has refused a third one: the pool may hold fewer than it keeps warm.
+    // The instance refuses another connection, so the pool may hold fewer than it would keep warm.
     pool.on_lost(1, now, 0);
     pool.on_connection_refused(now, 0);
-    assert_eq!(pool.connections_to_open(now), [], "nothing waits, and there is no room");
+    assert_eq!(pool.connections_to_open(now), [], "nothing waits, and the limit is reached");
 }
 
-/// What happened: nine owners of each of 1,000 groups held as many connections to each instance as it has slots,
-/// 81,000 in all, before a statement had come.
+/// Otherwise the nine owners of each of 1,000 groups held as many connections to each instance as
+/// it has slots, 81,000 in total, before the first statement arrived.
 #[test]
-fn a_pool_keeps_as_many_connections_as_were_needed_at_once_lately() {
+fn a_pool_keeps_as_many_connections_as_were_recently_needed_at_once() {
     let group = group();
     let start = Instant::now();
     let share = Share { max: 40, warm: 20 };
     let mut pool = Pool::new(&group, &group.instances[0], PoolRole::Owner, Some(share));
-    assert_eq!(pool.connections_to_open(start).len(), 1, "one for whatever comes first");
+    assert_eq!(pool.connections_to_open(start).len(), 1, "one for the first exchange");
     for key in 0..3 {
         pool.on_connecting(key, None, start);
         pool.on_idle(key, start);
@@ -423,5 +426,5 @@
     let soon = start + Duration::from_secs(5);
     assert!(pool.connections_to_close(soon).is_empty(), "three were needed at once");
     let later = start + Duration::from_secs(25);
-    assert_eq!(pool.connections_to_close(later).len(), 2, "nothing was needed lately");
+    assert_eq!(pool.connections_to_close(later).len(), 2, "no connection was needed recently");
 }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: the examples hold, every bad field is refused with its number and place.
+//! Settings: the examples are valid, and every invalid field is refused with its error number and
+//! line.
 
 use std::path::{Path, PathBuf};
 
@@ -34,8 +35,8 @@
 fn every_example_parses_and_validates() {
     let mut catalogs = 0;
     let mut nodes = 0;
-    for entry in std::fs::read_dir(examples()).expect("the examples are there") {
-        let path = entry.expect("an entry").path();
+    for entry in std::fs::read_dir(examples()).expect("the examples exist") {
+        let path = entry.expect("a directory entry").path();
         let name = path.file_name().expect("a name").to_string_lossy().into_owned();
         if name.starts_with("catalog") {
             let text = std::fs::read_to_string(&path).expect("a readable example");
@@ -53,8 +54,8 @@
 }
 
 #[test]
-fn bad_settings_are_refused_with_number_and_line() {
-    // What replaces what, the number, and the line that the diagnostic points at.
+fn invalid_settings_are_refused_with_error_number_and_line() {
+    // Text to replace, its replacement, the error number, and the line of the diagnostic.
     let table = [
         ("node = \"a\"", "node = ", "KL2002", Some(1)),
         ("zone = \"z\"", "zone = 7", "KL2002", Some(2)),
@@ -101,11 +102,11 @@
     assert_eq!(settings.store_endpoints, ["http://127.0.0.1:1"]);
     assert_eq!(settings.zone.as_str(), "z");
     let refused = arguments(&["--shards", "0"]).settings_from(Path::new("n.toml"), VALID);
-    assert_eq!(refused.expect_err("flags are validated too").code.number(), 2005);
+    assert_eq!(refused.expect_err("flags are validated as well").code.number(), 2005);
 }
 
 #[test]
-fn a_missing_secret_is_refused_by_name_and_a_present_one_never_shown() {
+fn a_missing_secret_is_reported_by_field_and_secret_values_are_never_printed() {
     let mut settings = arguments(&[]).settings_from(Path::new("n.toml"), VALID).expect("valid");
     let error = settings.read_secrets().expect_err("the file does not exist");
     assert_eq!((error.code.number(), error.field.as_str()), (2007, "secrets.admin_token"));
--- a/crates/daemon/tests/support/client.rs
+++ b/crates/daemon/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! Clients, and what they are answered.
+//! A PostgreSQL client for tests, and the answers that it receives.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,7 +9,7 @@
 use postgres_protocol::message::frontend;
 
 use super::scripted::put;
-use super::{LIMIT, PASSWORD, SCRAM_MESSAGES, wait_until};
+use super::{PASSWORD, SCRAM_MESSAGES, WAIT_TIMEOUT, wait_until};
 
 /// The answer to one statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -25,21 +25,21 @@
 }
 
 impl Answer {
-    /// The result code at the head of the error message; empty if a back end's error.
+    /// The result code at the start of the error message; empty without an error of the proxy.
     pub fn code(&self) -> &str {
         let message = self.error.as_ref().map_or("", |(_, message)| message.as_str());
         message.split(' ').next().filter(|word| word.starts_with("KL")).unwrap_or_default()
     }
 }
 
-/// A client.
+/// A logged-in client.
 pub struct Client {
     stream: TcpStream,
     input: BytesMut,
 }
 
 impl Client {
-    /// Connects, with extra start-up options, once the node has its configuration.
+    /// Connects with additional startup parameters; retries until the node has its configuration.
     pub fn connect(address: SocketAddr, options: &[(&str, &str)]) -> Self {
         let mut connected = None;
         wait_until("a login", || {
@@ -51,7 +51,7 @@
 
     fn log_in(address: SocketAddr, options: &[(&str, &str)]) -> Option<Self> {
         let mut stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(LIMIT)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         let mut body = 0x0003_0000_u32.to_be_bytes().to_vec();
         for (name, value) in [("user", "fan"), ("database", "db")].iter().chain(options) {
             body.extend_from_slice(format!("{name}\0{value}\0").as_bytes());
@@ -60,13 +60,13 @@
         stream.write_all(&(body.len() as u32 + 4).to_be_bytes()).ok()?;
         stream.write_all(&body).ok()?;
         let mut client = Self { stream, input: BytesMut::new() };
-        client.prove()?;
+        client.authenticate()?;
         let answer = client.read_answer()?;
         answer.error.is_none().then_some(client)
     }
 
-    /// Proves the login; false if the server does not let it.
-    fn prove(&mut self) -> Option<()> {
+    /// Authenticates with SCRAM; `None` if the server refuses.
+    fn authenticate(&mut self) -> Option<()> {
         let mut scram = ScramSha256::new(PASSWORD.as_bytes(), ChannelBinding::unsupported());
         for _ in 0..SCRAM_MESSAGES {
             let frame = self.read_frame()?;
@@ -132,10 +132,10 @@
     pub fn send(&mut self, sql: &str) {
         let mut output = Vec::new();
         put(&mut output, b'Q', format!("{sql}\0").as_bytes());
-        self.stream.write_all(&output).expect("the proxy reads");
+        self.stream.write_all(&output).expect("the connection is open");
     }
 
-    /// Waits for the answer of what was sent.
+    /// Waits for the answer to the last query.
     pub fn answer(&mut self) -> Answer {
         self.read_answer().expect("an answer")
     }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Scripted back ends, a store that never changes, nodes and clients, over real sockets.
+//! Test fixtures that communicate over real sockets: scripted instances, nodes and clients, and a
+//! store with fixed content.
 
 #![allow(dead_code)]
 
@@ -22,31 +23,31 @@
 use scripted::ScriptedGroup;
 use serde_json::json;
 
-/// Generous limit for everything a test waits for.
-pub const LIMIT: Duration = Duration::from_secs(30);
+/// Longest wait for any condition of a test.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const PASSWORD: &str = "secret";
 const ITERATIONS: u32 = 16;
-/// Authentication requests of one login, apart from the last.
+/// Number of authentication requests in one login, without the final `AuthenticationOk`.
 const SCRAM_MESSAGES: usize = 3;
-const POLL: Duration = Duration::from_millis(2);
-/// Marks the statement to which the script's fault applies.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Text in statements to which the scripted behaviour applies.
 pub const MARK: &str = "marked";
 
-/// Marks a statement that is answered late.
+/// Text in statements that are answered late.
 pub const LATE: &str = "late";
-const LATENESS: Duration = Duration::from_millis(3);
+const LATE_DELAY: Duration = Duration::from_millis(3);
 const ERROR_DELAY: Duration = Duration::from_millis(30);
 
 /// Waits until `condition` holds.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let limit = Instant::now() + LIMIT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < limit, "waited too long: {what}");
-        thread::sleep(POLL);
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
+        thread::sleep(CHECK_INTERVAL);
     }
 }
 
-/// Password of the role under which the pair's gateways log in.
+/// Password of the database role with which the gateways of a [`Pair`] log in.
 pub const BACKEND_PASSWORD: &str = "open for gateways";
 
 /// A store with fixed content.
@@ -68,7 +69,7 @@
     }
 
     fn watch(&self, _: &str, _: u64) -> Result<Box<dyn Watch>, StoreError> {
-        Err(StoreError::Unreachable("it never changes".to_owned()))
+        Err(StoreError::Unreachable("the content never changes".to_owned()))
     }
 }
 
@@ -107,7 +108,8 @@
     Verifier::from_password(PASSWORD, [0; SALT_BYTES], ITERATIONS).to_string()
 }
 
-/// A front in zone `front` and a gateway in zone `back`, which owns every instance.
+/// Two nodes: one in zone `front`, to which clients connect, and one in zone `back`, whose gateway
+/// owns every instance.
 pub struct Pair {
     pub front: Option<Node>,
     pub gateway: Option<Node>,
@@ -119,24 +121,23 @@
     pub fn start(group: &ScriptedGroup, deadline: Duration, policy: Policy) -> Self {
         let mut settings = ["front", "back"]
             .map(|name| Settings::loopback(NodeName::new(name), ZoneName::new(name)));
-        let listeners = settings.each_mut().map(|one| Listeners::bind(one).expect("free ports"));
-        let peers = settings.each_ref().map(|one| PeerSettings {
-            node: one.node.clone(),
-            zone: one.zone.clone(),
-            address: one.peer_address,
+        let listeners = settings.each_mut().map(|node| Listeners::bind(node).expect("free ports"));
+        let peers = settings.each_ref().map(|node| PeerSettings {
+            node: node.node.clone(),
+            zone: node.zone.clone(),
+            address: node.peer_address,
         });
-        for one in &mut settings {
+        for node in &mut settings {
             let password = Secret::new(BACKEND_PASSWORD);
-            one.secrets.backend_passwords.insert("kestrellock".to_owned(), password);
+            node.secrets.backend_passwords.insert("kestrellock".to_owned(), password);
         }
         settings[0].peers = vec![peers[1].clone()];
         settings[1].peers = vec![peers[0].clone()];
         let store = store(group, deadline);
-        let addresses = settings.each_ref().map(|one| one.caller_address);
-        let mut nodes = settings
-            .iter()
-            .zip(listeners)
-            .map(|(one, own)| Node::start(one, own, store.clone(), policy).expect("it starts"));
+        let addresses = settings.each_ref().map(|node| node.caller_address);
+        let mut nodes = settings.iter().zip(listeners).map(|(settings, listeners)| {
+            Node::start(settings, listeners, store.clone(), policy).expect("it starts")
+        });
         let (front, gateway) = (nodes.next(), nodes.next());
         Self { front, gateway, address: addresses[0], gateway_address: addresses[1] }
     }
--- a/crates/daemon/tests/support/scripted.rs
+++ b/crates/daemon/tests/support/scripted.rs
@@ -1,4 +1,4 @@
-//! Back ends that follow a script.
+//! PostgreSQL instances with scripted behaviour.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,24 +8,24 @@
 use bytes::{Bytes, BytesMut};
 use kestrellock_postgres::frames;
 
-use super::{ERROR_DELAY, LATE, LATENESS, MARK};
+use super::{ERROR_DELAY, LATE, LATE_DELAY, MARK};
 
-/// What an instance does with a marked statement.
+/// Behaviour of an instance for marked statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scripted {
-    /// Answers it like any other.
+    /// Answers like for any other statement.
     Answer,
     /// Closes the connection without an answer.
     Close,
-    /// Answers it, then closes without answering the position query behind it.
+    /// Answers, then closes the connection without answering the position query that follows.
     CloseBeforePosition,
-    /// Answers it, but the position query with an error.
+    /// Answers, but answers the position query with an error.
     RefusePosition,
-    /// Answers it, then says that it is a replica: it has stepped down in between.
+    /// Answers, then reports in the answer to the position query that it is now a replica.
     StepDown,
     /// Answers with an error and the given SQLSTATE.
     Error(&'static str),
-    /// Answers with an error and the given SQLSTATE, but late.
+    /// Answers with an error and the given SQLSTATE after a delay.
     LateError(&'static str),
     /// Answers with an error, then closes without answering the position query.
     ErrorThenClose,
@@ -36,25 +36,25 @@
 /// State of a scripted group.
 #[derive(Debug)]
 pub struct Script {
-    /// Index of the instance that calls itself primary under the newest term.
+    /// Index of the instance that reports that it is primary in the newest term.
     pub primary: usize,
     /// Term of each instance.
     pub terms: Vec<u32>,
     /// Log offset of the primary.
     pub offset: u64,
-    /// Whether replicas fail to receive the log.
+    /// Whether replicas do not receive the log, so that no commit is confirmed.
     pub withheld: bool,
-    /// Instances that accept no connection and answer none.
+    /// Whether each instance is down: it closes new connections and answers nothing.
     pub down: Vec<bool>,
-    /// Password in clear text that every instance asks for.
+    /// Password that every instance requests in clear text; `None`: no password.
     pub password: Option<&'static str>,
-    /// Connections made so far, by instance.
+    /// Connections accepted so far, with the index of their instance.
     pub open: Vec<(usize, TcpStream)>,
     /// Behaviour for marked statements.
     pub on_marked: Scripted,
-    /// Statements seen, with the instance that saw them.
+    /// Statements received, with the index of their instance.
     pub seen: Vec<(usize, String)>,
-    /// Statements by the connection that they arrived on, in order.
+    /// Statements received on each connection, in order.
     pub connections: Vec<Vec<String>>,
 }
 
@@ -86,22 +86,22 @@
         self.script.lock().expect("the script's lock")
     }
 
-    /// Ends an instance: its connections break, and new ones are closed.
+    /// Takes an instance down: closes its connections, and new ones from now on.
     pub fn kill(&self, index: usize) {
         let mut script = self.script();
         script.down[index] = true;
-        for (_, stream) in script.open.extract_if(.., |(owner, _)| *owner == index) {
-            // It may be closed already.
+        for (_, stream) in script.open.extract_if(.., |(instance, _)| *instance == index) {
+            // An error means that the connection is closed already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Starts a killed instance again.
-    pub fn revive(&self, index: usize) {
+    /// Restarts an instance that was killed.
+    pub fn restart(&self, index: usize) {
         self.script().down[index] = false;
     }
 
-    /// How often an instance saw a statement that contains `text`.
+    /// Number of received statements that contain `text`, on all instances.
     pub fn seen(&self, text: &str) -> usize {
         self.script().seen.iter().filter(|(_, sql)| sql.contains(text)).count()
     }
@@ -127,7 +127,7 @@
     input: BytesMut,
     output: Vec<u8>,
     status: u8,
-    /// What the position query behind a marked statement meets.
+    /// Behaviour for the position query that follows the last statement.
     position: Scripted,
 }
 
@@ -160,8 +160,8 @@
     }
 
     fn serve(mut self) {
-        // A connection that breaks is the proxy's affair. The script holds a copy of the stream,
-        // so dropping it would not close it.
+        // The proxy handles lost connections, so errors are ignored here. The shutdown is needed
+        // because the script holds a copy of the stream: dropping this one would not close it.
         let _ = self.run();
         let _ = self.stream.shutdown(Shutdown::Both);
     }
@@ -202,9 +202,9 @@
         }
     }
 
-    /// Handles one message; false to close.
+    /// Handles one message. Returns false if the connection must be closed.
     fn on_frame(&mut self, tag: u8, bytes: &Bytes) -> bool {
-        assert_eq!(tag, b'Q', "the script knows simple queries only");
+        assert_eq!(tag, b'Q', "scripted instances support only simple queries");
         let text = String::from_utf8_lossy(&bytes[frames::HEADER_BYTES..bytes.len() - 1]);
         if text.contains("pg_is_in_recovery") {
             return self.on_position();
@@ -216,7 +216,7 @@
             if text.contains(MARK) { script.on_marked } else { Scripted::Answer }
         };
         if text.contains(LATE) {
-            thread::sleep(LATENESS);
+            thread::sleep(LATE_DELAY);
         }
         match behaviour {
             Scripted::Close => return false,
@@ -234,7 +234,7 @@
         true
     }
 
-    /// Asks for the scripted password, if there is one; whether the login may go on.
+    /// Requests the scripted password, if there is one. Returns whether the login succeeds.
     fn check_password(&mut self) -> std::io::Result<bool> {
         let Some(expected) = self.script.lock().expect("the script's lock").password else {
             return Ok(true);
@@ -252,7 +252,7 @@
 
     fn hang(&mut self) -> bool {
         let mut rest = Vec::new();
-        // Returns when the proxy closes.
+        // Returns when the proxy closes the connection.
         let _ = self.stream.read_to_end(&mut rest);
         false
     }
@@ -266,8 +266,8 @@
     }
 
     fn answer(&mut self, text: &str) {
-        let word = text.split_whitespace().next().unwrap_or_default().to_uppercase();
-        let tag = match word.as_str() {
+        let command = text.split_whitespace().next().unwrap_or_default().to_uppercase();
+        let tag = match command.as_str() {
             "BEGIN" => {
                 self.status = b'T';
                 "BEGIN"
@@ -316,7 +316,7 @@
         let primary = script.primary == self.index;
         let term = script.terms[self.index];
         let newest = script.terms[script.primary];
-        // An instance left behind at an old term still believes what it was.
+        // An old primary that is still at an older term continues to report that it is primary.
         let role = if primary || term < newest && self.index == 0 { "f" } else { "t" };
         let offset = if primary || !script.withheld { script.offset } else { 1 };
         drop(script);
