--- a/crates/daemon/src/admin/groups.rs
+++ b/crates/daemon/src/admin/groups.rs
@@ -32,7 +32,7 @@
     let mut groups = Vec::new();
     for (name, group) in &catalog.groups {
         let statuses = context.statuses.group(name);
-        let statuses = statuses.read().expect("the lock of the group's statuses is poisoned");
+        let statuses = statuses.read().expect("a thread panicked while it held the status lock");
         let instances = group.instances.iter().map(|instance| {
             let ownership = owners.get(&instance.name);
             InstanceReport {
--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -78,7 +78,7 @@
     /// Status of each instance.
     pub statuses: StatusTable,
     /// For addresses at which several instances are announced: the instance that answers there.
-    pub occupants: AddressOccupants,
+    pub address_occupants: AddressOccupants,
     /// Passwords of the database roles with which gateways log in to instances.
     pub backend_passwords: BTreeMap<String, Secret>,
     /// Number of shards.
@@ -170,13 +170,15 @@
     pub fn leader<'a>(&self, name: &GroupName, group: &'a Group) -> Option<&'a Instance> {
         let intents = self.intents.load();
         let old_primary = intents.get(name).and_then(|intent| intent.former.as_ref());
-        group.leader_where(old_primary, |instance| !self.occupants.is_displaced(group, instance))
+        group.leader_where(old_primary, |instance| {
+            !self.address_occupants.is_displaced(group, instance)
+        })
     }
 
     /// Age of the newest evidence that the group's primary leads its term.
     pub fn evidence_age(&self, group: &GroupName, now: Instant) -> Option<Duration> {
         let statuses = self.statuses.group(group);
-        let statuses = statuses.read().expect("the lock of the group's statuses is poisoned");
+        let statuses = statuses.read().expect("a thread panicked while it held the status lock");
         statuses.evidence.newest().map(|seen| now.saturating_duration_since(seen))
     }
 
@@ -200,8 +202,8 @@
         listed.iter().any(|listed| listed.candidate.node == self.identity.node)
     }
 
-    /// Lifetime of evidence on this node. Other nodes do not know an unlisted node and so do not
-    /// wait until it revokes its evidence; its evidence therefore expires sooner.
+    /// Lifetime of evidence on this node. A coordinator does not know an unlisted node and does not
+    /// wait until it revokes its evidence, so its evidence expires sooner.
     pub fn evidence_lifetime(&self) -> Duration {
         if self.is_listed() { EVIDENCE_LIFE } else { UNLISTED_EVIDENCE_LIFE }
     }
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -34,7 +34,7 @@
 }
 
 impl DrainLimits {
-    /// The limits that the settings give.
+    /// The limits in the settings.
     pub fn of(settings: &Settings) -> Self {
         Self {
             notice: settings.drain_notice,
--- a/crates/daemon/src/environment.rs
+++ b/crates/daemon/src/environment.rs
@@ -28,7 +28,7 @@
     /// `store`.
     pub catalog: Option<Box<dyn CatalogSource>>,
     /// Machine list, if there is one.
-    pub machines: Option<Box<dyn MachineList>>,
+    pub machine_list: Option<Box<dyn MachineList>>,
     /// Services for primary replacement, on a platform whose groups do not elect their primaries.
     pub replacement: Option<ReplacementServices>,
     /// Protocol of clients and instances.
@@ -39,8 +39,8 @@
     /// PostgreSQL's protocol, the catalog in `store`, and the machine list of the settings.
     pub fn of_postgres(settings: &Settings, store: Arc<dyn ConfigStore>) -> Self {
         let list = settings.machine_list.as_ref();
-        let machines = list.map(|url| Box::new(HttpMachineList::new(url.clone())) as Box<_>);
-        Self { store, catalog: None, machines, replacement: None, protocol: Arc::new(Postgres) }
+        let machine_list = list.map(|url| Box::new(HttpMachineList::new(url.clone())) as Box<_>);
+        Self { store, catalog: None, machine_list, replacement: None, protocol: Arc::new(Postgres) }
     }
 
     /// The users' platform: its protocol, its store, and the replacement of its primaries.
@@ -67,7 +67,7 @@
         Ok(Self {
             store: Arc::new(store.clone()),
             catalog: Some(Box::new(catalog)),
-            machines: Some(Box::new(NodeList::new(store, mirror, entered_nodes))),
+            machine_list: Some(Box::new(NodeList::new(store, mirror, entered_nodes))),
             replacement: Some(replacement),
             protocol: Arc::new(Lines),
         })
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -89,7 +89,7 @@
     let is_due = |instance: &&Instance| {
         let is_replica = instance.announced_role == Some(Role::Replica);
         let is_covered = known.evidence.is_shown_by(&instance.name, term, lifetime, io.now);
-        let is_running = !io.context.occupants.is_displaced(group, instance);
+        let is_running = !io.context.address_occupants.is_displaced(group, instance);
         is_replica && is_running && leader != Some(&instance.name) && !is_covered
     };
     let replicas = group.instances.iter().filter(is_due).map(|replica| &replica.name);
--- a/crates/daemon/src/gateway/instance_choice.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -162,7 +162,7 @@
             true => true,
             false => qualifies.replicas && is_replica,
         };
-        let is_running = !io.context.occupants.is_displaced(configured, instance);
+        let is_running = !io.context.address_occupants.is_displaced(configured, instance);
         let takes_work = catalog.accepts_work(instance);
         qualifies && is_running && takes_work && needs.passed_over != Some(&instance.name)
     };
--- a/crates/daemon/src/gateway/server_events.rs
+++ b/crates/daemon/src/gateway/server_events.rs
@@ -20,7 +20,7 @@
 /// platform announces at the same address no longer runs.
 fn record_occupant(name: &GroupName, group: &Group, instance: &InstanceName, io: &Io) {
     let Some(configured) = group.instance(instance) else { return };
-    let displaced = io.context.occupants.on_answered(configured.address, instance);
+    let displaced = io.context.address_occupants.on_answered(configured.address, instance);
     if let Some(displaced) = displaced.filter(|name| group.instance(name).is_some()) {
         log::info!(
             event = "instance_displaced",
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -150,7 +150,7 @@
         environment: Environment,
         policy: Policy,
     ) -> Result<Self, StartError> {
-        let Environment { store, catalog, machines, replacement, protocol } = environment;
+        let Environment { store, catalog, machine_list, replacement, protocol } = environment;
         let stop = StopFlag::default();
         let context = new_context(settings, protocol, policy, Metrics::new(stop.restarts()))?;
         let context = Arc::new(context);
@@ -182,9 +182,16 @@
             },
             ShardMessage::Caller,
         )?;
-        let always =
+        let peer_listener_stop =
             AcceptorStop { flag: stop.clone(), leaving_node: None, closed: Arc::default() };
-        spawn_acceptor(&mut root, "peers", peers, mailboxes.clone(), always, ShardMessage::Peer)?;
+        spawn_acceptor(
+            &mut root,
+            "peers",
+            peers,
+            mailboxes.clone(),
+            peer_listener_stop,
+            ShardMessage::Peer,
+        )?;
         let drain = Drain {
             context: context.clone(),
             shards: shards.clone(),
@@ -196,7 +203,7 @@
         let from_store = || Box::new(WatchedCatalog::new(store.clone())) as Box<dyn CatalogSource>;
         let catalog = catalog.unwrap_or_else(from_store);
         let configuration =
-            Configuration::new(context.clone(), mailboxes.clone(), machines.is_some());
+            Configuration::new(context.clone(), mailboxes.clone(), machine_list.is_some());
         let configuration = Arc::new(configuration);
         let pages = Admin {
             context: context.clone(),
@@ -208,7 +215,7 @@
             token,
         };
         spawn_admin(&mut root, admin, pages)?;
-        spawn_machines(&mut root, settings, machines, &context, &stop);
+        spawn_machine_list_poller(&mut root, settings, machine_list, &context, &stop);
         spawn_membership(&mut root, datagrams, settings, &context, &stop);
         spawn_agent(&mut root, &configuration, catalog, &stop);
         spawn_replacement(&mut root, replacement, &mailboxes, &context, &stop);
@@ -277,7 +284,7 @@
         stage: SharedStage::default(),
         transaction_deadline: Shared::default(),
         statuses: StatusTable::default(),
-        occupants: AddressOccupants::default(),
+        address_occupants: AddressOccupants::default(),
         backend_passwords: settings.secrets.backend_passwords.clone(),
         shards: settings.shards,
         protocol,
@@ -309,14 +316,14 @@
 }
 
 /// Starts the child that polls the machine list, if there is one.
-fn spawn_machines(
+fn spawn_machine_list_poller(
     root: &mut Supervisor,
     settings: &Settings,
-    machines: Option<Box<dyn MachineList>>,
+    machine_list: Option<Box<dyn MachineList>>,
     context: &Arc<NodeContext>,
     stop: &StopFlag,
 ) {
-    let Some(list) = machines else { return };
+    let Some(list) = machine_list else { return };
     let peers = agent::membership::configured_seeds(settings);
     let own = agent::membership::own_machine(settings);
     let (context, stop) = (context.clone(), stop.clone());
--- a/crates/daemon/src/ownership.rs
+++ b/crates/daemon/src/ownership.rs
@@ -22,7 +22,7 @@
 
 use crate::shared::live::{LiveNode, Shared, listed_but_unknown};
 
-const POISONED: &str = "the lock of the ownership snapshot is poisoned";
+const POISONED: &str = "a thread panicked while it held the ownership lock";
 
 /// The share of a replica's connections for `own`, one of the `owners` of the group. `sharers` is
 /// the number of nodes that share the connections, including nodes that do not accept work.
@@ -93,24 +93,24 @@
         &self.catalog
     }
 
-    fn is_computed_from(&self, sources: &Sources) -> bool {
-        Arc::ptr_eq(&self.live, &sources.live)
-            && Arc::ptr_eq(&self.catalog, &sources.catalog)
-            && self.excluded.as_ref() == sources.excluded
-            && same_list(self.listed.as_ref(), sources.listed.as_ref())
+    fn is_computed_from(&self, inputs: &Inputs) -> bool {
+        Arc::ptr_eq(&self.live, &inputs.live)
+            && Arc::ptr_eq(&self.catalog, &inputs.catalog)
+            && self.excluded.as_ref() == inputs.excluded
+            && is_same_list(self.listed.as_ref(), inputs.listed.as_ref())
     }
 }
 
-fn same_list(one: Option<&Arc<Vec<LiveNode>>>, other: Option<&Arc<Vec<LiveNode>>>) -> bool {
-    match (one, other) {
-        (Some(one), Some(other)) => Arc::ptr_eq(one, other),
+fn is_same_list(left: Option<&Arc<Vec<LiveNode>>>, right: Option<&Arc<Vec<LiveNode>>>) -> bool {
+    match (left, right) {
+        (Some(left), Some(right)) => Arc::ptr_eq(left, right),
         (None, None) => true,
         _ => false,
     }
 }
 
 /// Inputs of a snapshot.
-struct Sources<'a> {
+struct Inputs<'a> {
     live: Arc<Vec<LiveNode>>,
     catalog: Arc<IndexedCatalog>,
     own: &'a NodeName,
@@ -118,7 +118,7 @@
     listed: Option<Arc<Vec<LiveNode>>>,
 }
 
-impl Sources<'_> {
+impl Inputs<'_> {
     /// Updates the owners of the groups that have several. These are the groups whose primary the
     /// proxy replaces: their platform reports connection limits that apply to all nodes together.
     fn update_group_owners(&self, table: &mut GroupOwnerTable) {
@@ -216,11 +216,11 @@
         let newest = self.newest.read().expect(POISONED).clone();
         let listed = self.is_starting_up().then(|| listed.load());
         let (live, catalog) = (live.load(), catalog.load());
-        let sources = Sources { live, catalog, own, excluded: leaving, listed };
-        if newest.is_computed_from(&sources) {
+        let inputs = Inputs { live, catalog, own, excluded: leaving, listed };
+        if newest.is_computed_from(&inputs) {
             return newest;
         }
-        self.recompute(sources)
+        self.recompute(inputs)
     }
 
     fn is_starting_up(&self) -> bool {
@@ -232,24 +232,24 @@
         starting_up
     }
 
-    fn recompute(&self, sources: Sources) -> Arc<OwnershipSnapshot> {
+    fn recompute(&self, inputs: Inputs) -> Arc<OwnershipSnapshot> {
         let mut newest = self.newest.write().expect(POISONED);
-        if newest.is_computed_from(&sources) {
+        if newest.is_computed_from(&inputs) {
             return newest.clone();
         }
         let mut table = newest.table.clone();
         let mut group_owners = newest.group_owners.clone();
-        sources.update_group_owners(&mut group_owners);
-        let shares = sources.shares(&group_owners);
-        let single_owner = sources.catalog.groups.iter();
+        inputs.update_group_owners(&mut group_owners);
+        let shares = inputs.shares(&group_owners);
+        let single_owner = inputs.catalog.groups.iter();
         let single_owner =
             single_owner.filter(|(name, _)| group_owners.owner_count_of(name).is_none());
         let instances = single_owner.flat_map(|(_, group)| &group.instances);
         let zones = instances.map(|instance| (&instance.name, &instance.zone));
-        table.update(sources.candidates(), zones);
-        let excluded = sources.excluded.cloned();
-        let own = Some(Ownership { owner: sources.own.clone(), standby: None });
-        let Sources { live, catalog, listed, .. } = sources;
+        table.update(inputs.candidates(), zones);
+        let excluded = inputs.excluded.cloned();
+        let own = Some(Ownership { owner: inputs.own.clone(), standby: None });
+        let Inputs { live, catalog, listed, .. } = inputs;
         *newest = Arc::new(OwnershipSnapshot {
             live,
             catalog,
--- a/crates/daemon/src/routing_overrides.rs
+++ b/crates/daemon/src/routing_overrides.rs
@@ -12,7 +12,7 @@
 use kestrellock_core::ids::{InstanceName, NodeName, ZoneName};
 use kestrellock_core::rendezvous::{Candidate, Ownership};
 
-const POISONED: &str = "the lock of the routing overrides is poisoned";
+const POISONED: &str = "a thread panicked while it held the lock of the overrides";
 /// Lifetime of an override. Membership should have noticed the change by then.
 const OVERRIDE_PERIOD: Duration = Duration::from_secs(1);
 
@@ -46,7 +46,8 @@
         });
     }
 
-    /// Records the owner of an instance that a gateway named, or that the gateway knows no owner.
+    /// Sends the work of an instance to `owner`, which a gateway named, for a second. `None`: the
+    /// gateway knows no owner, and an earlier referral is removed.
     pub fn set_referral(&self, instance: &InstanceName, owner: Option<NodeName>, now: Instant) {
         self.change(now, |entries| {
             entries.referrals.remove(instance);
@@ -64,8 +65,9 @@
         self.count.store(count, Ordering::Release);
     }
 
-    /// Chooses the node for an instance's work: the node that a gateway named, else the owner, else
-    /// the standby, skipping nodes to avoid.
+    /// Chooses the node for an instance's work: the first that need not be avoided of the owner that
+    /// a gateway named, the computed owner and the standby; the computed owner if all of them must be
+    /// avoided.
     pub fn choose(&self, instance: &InstanceName, known: &Ownership, now: Instant) -> NodeName {
         if self.count.load(Ordering::Acquire) == 0 {
             return known.owner.clone();
@@ -93,8 +95,8 @@
         nearest.get(chosen as usize).copied()
     }
 
-    /// The preferred `owners` for work from `zone`. Nodes not to avoid come before nodes to avoid;
-    /// within each of these, nodes of `zone` come before others.
+    /// The preferred `owners` for work from `zone`: those in `zone`, else all, among the owners that
+    /// need not be avoided, or among all owners if every one must be avoided.
     pub fn nearest<'a>(
         &self,
         owners: &'a [Candidate],
--- a/crates/daemon/tests/outcomes.rs
+++ b/crates/daemon/tests/outcomes.rs
@@ -52,7 +52,7 @@
         row("lost after sending", WRITE, Close, "KL1601"),
         row("answer read, position lost", WRITE, CloseBeforePosition, "KL1602"),
         row("answer read, position refused", WRITE, RefusePosition, "KL1602"),
-        row("answer read, then no primary any more", WRITE, StepDown, "KL1605"),
+        row("answer read, then no longer primary", WRITE, StepDown, "KL1605"),
         row("error, then lost", WRITE, ErrorThenClose, ""),
         row(
             "several statements",
--- a/crates/daemon/tests/statuses.rs
+++ b/crates/daemon/tests/statuses.rs
@@ -54,13 +54,13 @@
 
     fn is_covered(&self, instance: &str) -> bool {
         let statuses = self.table.group(&self.group);
-        let statuses = statuses.read().expect("the lock is not poisoned");
+        let statuses = statuses.read().expect("no thread panicked");
         statuses.covered_until(&name(instance), REPLICATION, EVIDENCE_LIFETIME).is_some()
     }
 
     fn is_in_doubt(&self, instance: &str) -> bool {
         let statuses = self.table.group(&self.group);
-        let statuses = statuses.read().expect("the lock is not poisoned");
+        let statuses = statuses.read().expect("no thread panicked");
         statuses.exchange_records.get(&name(instance)).is_some_and(|record| record.in_doubt)
     }
 }
