--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -105,8 +105,8 @@
     /// Time within which every node must stop using revoked credentials, even a node that is
     /// isolated. Without a limit, a node stops using them once it receives the new configuration.
     pub revocation_limit: Option<RevocationLimit>,
-    /// Time after operators start to drain a zone from which no work may reach instances there.
-    /// Without a limit, open transactions continue until they end.
+    /// Time limit of a zone drain, from the request of the operators: no work may reach instances
+    /// in the zone afterwards. Without a limit, open transactions continue until they end.
     pub zone_drain_limit: Option<Duration>,
     /// When the active configuration was last confirmed to be the newest.
     pub confirmations: Confirmations,
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -114,8 +114,8 @@
     /// Time within which every node must stop using a revoked credential, even a node that is
     /// isolated. `None`: a node stops using it once it learns of the revocation.
     pub revocation_limit: Option<Duration>,
-    /// Time after operators start to drain a zone from which no work may reach its instances.
-    /// `None`: transactions that are open there continue until they end.
+    /// Time limit of a zone drain, from the request of the operators: no work may reach instances
+    /// in the zone afterwards. `None`: transactions that are open there continue until they end.
     pub zone_drain_limit: Option<Duration>,
     /// Longest time that a planned stop waits for open statements and transactions.
     pub drain_limit: Duration,
