--- /dev/null
+++ b/crates/daemon/src/drain.rs
@@ -0,0 +1,111 @@
+//! Planned stop of a node: drains it in stages that every thread of the node observes.
+//!
+//! In the stage *leaving*, the node accepts no clients, disconnects idle ones, finishes open work,
+//! and refers new work for its instances to their standbys. Once no work is left, the node is
+//! *closed*: it runs nothing that other nodes still send, and can therefore tell them that their
+//! unanswered messages will not run.
+
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
+
+use crate::context::NodeContext;
+use crate::settings::Settings;
+use crate::shard::Shard;
+use crate::shard::mailbox::{Mailboxes, ShardMessage};
+use crate::shared::stage::Stage;
+
+/// Interval of checks whether the node has drained.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// After this time without work from other nodes, they are assumed to send their work elsewhere.
+const QUIET_PERIOD: Duration = Duration::from_millis(200);
+/// Longest wait for the shards to send their leave messages to other nodes.
+const LEAVE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Time limits of a planned stop, each from its start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DrainLimits {
+    /// Time in which the node still serves clients and only announces that it will stop.
+    pub notice: Duration,
+    /// Time after which open transactions are ended; `None`: they may last until `total`.
+    pub transactions: Option<Duration>,
+    /// Time after which all remaining work is aborted.
+    pub total: Duration,
+}
+
+impl DrainLimits {
+    /// The limits in the settings.
+    pub fn of(settings: &Settings) -> Self {
+        Self {
+            notice: settings.drain_notice,
+            transactions: settings.drain_transactions,
+            total: settings.drain_limit,
+        }
+    }
+}
+
+/// The parts of a node that a planned stop drains.
+pub struct Drain {
+    /// State shared by the node's threads.
+    pub context: Arc<NodeContext>,
+    /// Shards of the node.
+    pub shards: Vec<Arc<Mutex<Shard>>>,
+    /// Mailboxes of the shards.
+    pub mailboxes: Arc<Mailboxes>,
+    /// Whether the client listener is closed and all connections that it accepted were sent to the
+    /// shards.
+    pub client_listener_closed: Arc<AtomicBool>,
+}
+
+impl Drain {
+    /// Drains the node within `limits`. Returns whether all open work was finished.
+    pub fn run(&self, limits: DrainLimits) -> bool {
+        let start = Instant::now();
+        let deadline = start + limits.total;
+        self.context.transaction_deadline.store(limits.transactions.map(|limit| start + limit));
+        if !limits.notice.is_zero() {
+            self.context.stage.advance_to(Stage::Notice);
+            std::thread::sleep(limits.notice);
+        }
+        self.context.stage.advance_to(Stage::Leaving);
+        // A client that connected before the listener closed may not have reached its shard yet.
+        if !wait_until(deadline, || self.all_clients_delivered()) {
+            return false;
+        }
+        if !self.wait(deadline, |shard| shard.is_drained(QUIET_PERIOD)) {
+            return false;
+        }
+        self.context.stage.advance_to(Stage::Closed);
+        // Work may have arrived between the check and the change of stage.
+        if !self.wait(deadline, |shard| shard.is_drained(Duration::ZERO)) {
+            return false;
+        }
+        for number in 0..self.shards.len() {
+            self.mailboxes.send(number as u16, ShardMessage::Leave);
+        }
+        self.wait(Instant::now() + LEAVE_TIMEOUT, Shard::has_sent_leave)
+    }
+
+    fn all_clients_delivered(&self) -> bool {
+        self.client_listener_closed.load(Ordering::Acquire) && self.mailboxes.are_empty()
+    }
+
+    /// Waits until the condition holds for every shard; false if it does not by the deadline.
+    fn wait(&self, deadline: Instant, is_done: impl Fn(&Shard) -> bool) -> bool {
+        let check = |shard: &Arc<Mutex<Shard>>| {
+            is_done(&shard.lock().unwrap_or_else(PoisonError::into_inner))
+        };
+        wait_until(deadline, || self.shards.iter().all(check))
+    }
+}
+
+/// Polls the condition until it holds; false if it does not by the deadline.
+fn wait_until(deadline: Instant, condition: impl Fn() -> bool) -> bool {
+    while !condition() {
+        if Instant::now() >= deadline {
+            return false;
+        }
+        std::thread::sleep(CHECK_INTERVAL);
+    }
+    true
+}
--- a/crates/daemon/src/environment.rs
+++ b/crates/daemon/src/environment.rs
@@ -1,4 +1,5 @@
-//! What a node runs in: the services that it uses, and what its callers and back ends speak.
+//! The external services that a node uses, and the protocol of its clients and instances. They are
+//! either plain PostgreSQL groups with an etcd store, or the users' platform.
 
 use std::io;
 use std::sync::Arc;
@@ -19,17 +20,18 @@
 use crate::agent::promotion::ReplacementServices;
 use crate::settings::Settings;
 
-/// What a node runs in: the services that it uses, and what its callers and back ends speak.
+/// The external services that a node uses, and the protocol of its clients and instances.
 pub struct Environment {
-    /// Store of the configuration, as operators change it through this node.
+    /// Store of the configuration that operators change through this node.
     pub store: Arc<dyn ConfigStore>,
-    /// Where the configuration in force comes from, if not from `store` as operators wrote it.
+    /// Source of the active configuration; `None` if that is the operators' configuration in
+    /// `store`.
     pub catalog: Option<Box<dyn CatalogSource>>,
     /// Machine list, if there is one.
-    pub machines: Option<Box<dyn MachineList>>,
-    /// What replacing primaries needs, on a platform where groups do not elect.
-    pub succession: Option<ReplacementServices>,
-    /// Protocol of callers and back ends.
+    pub machine_list: Option<Box<dyn MachineList>>,
+    /// Services for primary replacement, on a platform whose groups do not elect their primaries.
+    pub replacement: Option<ReplacementServices>,
+    /// Protocol of clients and instances.
     pub protocol: Arc<dyn Protocol>,
 }
 
@@ -37,11 +39,11 @@
     /// PostgreSQL's protocol, the catalog in `store`, and the machine list of the settings.
     pub fn of_postgres(settings: &Settings, store: Arc<dyn ConfigStore>) -> Self {
         let list = settings.machine_list.as_ref();
-        let machines = list.map(|url| Box::new(HttpMachineList::new(url.clone())) as Box<_>);
-        Self { store, catalog: None, machines, succession: None, protocol: Arc::new(Postgres) }
+        let machine_list = list.map(|url| Box::new(HttpMachineList::new(url.clone())) as Box<_>);
+        Self { store, catalog: None, machine_list, replacement: None, protocol: Arc::new(Postgres) }
     }
 
-    /// The users' platform: its wire, its store, and the replacement of its primaries.
+    /// The users' platform: its protocol, its store, and the replacement of its primaries.
     pub fn of_platform(settings: &Settings) -> io::Result<Self> {
         let address = settings.store_endpoints.first().map_or("", String::as_str);
         let store = KeyStore::new(address);
@@ -53,7 +55,7 @@
         let registered_nodes = Arc::new(RegisteredNodes::default());
         let catalog = MirroredCatalog::start(mirror.clone(), rand::random)?;
         let promotions = settings.promotion_endpoint.as_deref().unwrap_or_default();
-        let succession = ReplacementServices {
+        let replacement = ReplacementServices {
             coordination: Arc::new(StoreCoordination::new(
                 store.clone(),
                 mirror.clone(),
@@ -65,8 +67,8 @@
         Ok(Self {
             store: Arc::new(store.clone()),
             catalog: Some(Box::new(catalog)),
-            machines: Some(Box::new(NodeList::new(store, mirror, registered_nodes))),
-            succession: Some(succession),
+            machine_list: Some(Box::new(NodeList::new(store, mirror, registered_nodes))),
+            replacement: Some(replacement),
             protocol: Arc::new(LineProtocol),
         })
     }
--- a/crates/daemon/src/front/session.rs
+++ b/crates/daemon/src/front/session.rs
@@ -313,7 +313,7 @@
         };
         io.context.metrics.count_code(refusal.code);
         decision_log::refused(None, None, None, None, &refusal, io);
-        io.context.metrics.callers.count(ConnectionEvent::Refused);
+        io.context.metrics.client_connections.count(ConnectionEvent::Refused);
         self.protocol.put_refusal(&refusal, Severity::Session, output);
         // Best effort: the connection is closed even if the kernel does not take the message.
         let _ = self.connection.flush(io.registry);
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -85,11 +85,11 @@
     let newest_term = known.evidence.highest_led();
     let leads = leader.and_then(|leader| known.led_term_of(leader));
     let term = leads.unwrap_or(newest_term);
-    let lifetime = io.context.evidence_life();
+    let lifetime = io.context.evidence_lifetime();
     let is_due = |instance: &&Instance| {
         let is_replica = instance.announced_role == Some(Role::Replica);
         let is_covered = known.evidence.has_valid_report(&instance.name, term, lifetime, io.now);
-        let is_running = !io.context.occupants.is_displaced(group, instance);
+        let is_running = !io.context.address_occupants.is_displaced(group, instance);
         is_replica && is_running && leader != Some(&instance.name) && !is_covered
     };
     let replicas = group.instances.iter().filter(is_due).map(|replica| &replica.name);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,14 +1,14 @@
-//! kestrellockd: the proxy daemon, as a library so that the lab can start nodes in its process.
+//! The proxy daemon `kestrellockd`, as a library so that the lab can run nodes in its own process.
 //!
 //! The module tree is the supervisor tree: [`node`] is the root; [`shard`], [`agent`] and
-//! [`admin`] are its children, each with children of their own. A shard hosts one [`front`], one
-//! [`gateway`] and the [`links`] to other nodes, all under the shard's lock.
+//! [`admin`] are its children, each with children of its own. A shard hosts one [`front`], one
+//! [`gateway`] and the [`links`] to other nodes, all protected by the shard's lock.
 
 pub mod admin;
 pub mod agent;
 pub mod arguments;
 pub mod context;
-pub mod detours;
+pub mod drain;
 pub mod environment;
 pub mod event;
 pub mod front;
@@ -19,8 +19,8 @@
 pub mod node;
 pub mod ownership;
 pub mod policy;
+pub mod routing_overrides;
 pub mod settings;
 pub mod shard;
 pub mod shared;
-pub mod stopping;
 pub mod supervisor;
