--- a/crates/daemon/tests/heartbeat.rs
+++ b/crates/daemon/tests/heartbeat.rs
@@ -10,7 +10,8 @@
 /// milliseconds.
 fn beats(
     heartbeat: &mut Heartbeat,
-    start: Instant, duration: Duration,
+    start: Instant,
+    duration: Duration,
 ) -> Vec<(u128, HeartbeatAction)> {
     let mut beats = Vec::new();
     let mut now = start;
