--- a/crates/daemon/src/front/session/closing.rs
+++ b/crates/daemon/src/front/session/closing.rs
@@ -107,7 +107,7 @@
     }
 
     fn is_overdue(&self, io: &Io) -> bool {
-        let deadline = *io.context.transactions_until.load();
+        let deadline = *io.context.transaction_deadline.load();
         let is_stopped = deadline.is_some_and(|deadline| io.now >= deadline);
         let values = self.login.as_ref().map(|login| &login.parameters.values);
         let limit = values.and_then(|values| values.transaction_idle_ms).map(Duration::from);
--- a/crates/daemon/src/gateway/instance_choice.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -65,7 +65,7 @@
     let known = board.read().expect("a holder of the status lock panicked");
     let primary = io.context.leader(group, configured);
     let synchronous = configured.synchronous_replicas;
-    let (replication, lifetime) = (configured.replication(), io.context.evidence_life());
+    let (replication, lifetime) = (configured.replication(), io.context.evidence_lifetime());
     let covered_until =
         primary.and_then(|primary| known.covered_until(&primary.name, replication, lifetime));
     // The time that evidence must cover. If the clock cannot represent it, use the arrival time,
@@ -162,7 +162,7 @@
             true => true,
             false => qualifies.replicas && is_replica,
         };
-        let is_running = !io.context.occupants.is_displaced(configured, instance);
+        let is_running = !io.context.address_occupants.is_displaced(configured, instance);
         let takes_work = catalog.accepts_work(instance);
         qualifies && is_running && takes_work && needs.passed_over != Some(&instance.name)
     };
--- a/crates/daemon/src/links/replacing.rs
+++ b/crates/daemon/src/links/replacing.rs
@@ -44,11 +44,11 @@
         let (peer, received) = (peer.node.as_str(), received as u64);
         match self {
             Self::Silent => {
-                io.context.metrics.links.count(ConnectionEvent::Silent);
+                io.context.metrics.link_connections.count(ConnectionEvent::Silent);
                 log::info!(event = "link_replaced", peer = peer, received = received; "replaced a silent connection to another node with a new one");
             }
             Self::Duplicate => {
-                io.context.metrics.links.count(ConnectionEvent::Doubled);
+                io.context.metrics.link_connections.count(ConnectionEvent::Duplicate);
                 log::info!(event = "link_doubled", peer = peer, received = received; "two connections to another node were established; both nodes keep the same one");
             }
         }
@@ -190,7 +190,7 @@
     pub(super) fn remove(&mut self, key: usize, io: &mut Io) {
         if let Some(mut link) = self.links.try_remove(key) {
             link.deregister(io.registry);
-            io.context.metrics.links.count(ConnectionEvent::Closed);
+            io.context.metrics.link_connections.count(ConnectionEvent::Closed);
         }
     }
 }
--- a/crates/daemon/tests/heartbeat.rs
+++ b/crates/daemon/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! When a node takes another one for silent.
+//! When the heartbeat of a link considers the other node silent.
 
 use std::time::{Duration, Instant};
 
@@ -6,15 +6,16 @@
 
 const TICK: Duration = Duration::from_millis(10);
 
-/// What ticks of 10 ms for `time` call for, with the moment of each.
+/// Ticks every 10 ms for `duration` and returns the resulting beats with their times in
+/// milliseconds.
 fn beats(
     heartbeat: &mut Heartbeat,
     start: Instant,
-    time: Duration,
+    duration: Duration,
 ) -> Vec<(u128, HeartbeatAction)> {
     let mut beats = Vec::new();
     let mut now = start;
-    while now < start + time {
+    while now < start + duration {
         now += TICK;
         let beat = heartbeat.on_tick(now);
         if beat != HeartbeatAction::Nothing {
@@ -25,13 +26,13 @@
 }
 
 #[test]
-fn a_node_that_owes_nothing_is_not_asked() {
+fn a_node_without_unanswered_messages_is_not_pinged() {
     let (mut heartbeat, start) = (Heartbeat::default(), Instant::now());
     assert_eq!(beats(&mut heartbeat, start, Duration::from_secs(5)), []);
 }
 
 #[test]
-fn a_node_that_answers_nothing_is_asked_and_then_silent_again_and_again() {
+fn a_node_that_does_not_answer_is_pinged_and_then_reported_silent_repeatedly() {
     let (mut heartbeat, start) = (Heartbeat::default(), Instant::now());
     heartbeat.on_sent(start);
     let expected = [
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn a_slow_answer_to_a_statement_is_no_silence_as_long_as_the_node_says_that_it_runs() {
+fn a_slow_statement_is_not_silence_while_the_node_answers_pings() {
     let (mut heartbeat, start) = (Heartbeat::default(), Instant::now());
     heartbeat.on_sent(start);
     assert_eq!(
@@ -54,16 +55,16 @@
     assert_eq!(beats(&mut heartbeat, start, Duration::from_secs(3)), []);
 }
 
-/// After a freeze of its own a node has not yet read what arrived meanwhile.
+/// After a pause of its own process, a node has not yet read what arrived during the pause.
 #[test]
-fn a_node_that_stood_still_takes_nobody_for_silent_for_that_time() {
+fn a_paused_node_does_not_count_its_own_pause_as_silence_of_others() {
     let (mut heartbeat, start) = (Heartbeat::default(), Instant::now());
     heartbeat.on_tick(start);
     heartbeat.on_sent(start);
-    let awake = start + Duration::from_secs(2);
-    assert_eq!(heartbeat.on_tick(awake), HeartbeatAction::Nothing);
+    let resumed = start + Duration::from_secs(2);
+    assert_eq!(heartbeat.on_tick(resumed), HeartbeatAction::Nothing);
     assert_eq!(
-        beats(&mut heartbeat, awake, Duration::from_millis(110)),
+        beats(&mut heartbeat, resumed, Duration::from_millis(110)),
         [(100, HeartbeatAction::Ping)]
     );
 }
--- a/crates/daemon/tests/interleaving.rs
+++ b/crates/daemon/tests/interleaving.rs
@@ -1,4 +1,5 @@
-//! Random interleavings of callers, lost connections and late answers over shared connections.
+//! Random interleavings of clients, lost connections and late answers on shared server connections
+//! must not mix the statements or rows of different clients.
 
 mod support;
 
@@ -10,22 +11,22 @@
 use kestrellock_daemon::policy::Policy;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use support::caller::Caller;
+use support::client::Client;
 use support::scripted::{Scripted, ScriptedGroup};
 use support::{LATE, MARK, Pair};
 
-struct Path {
+struct Fixture {
     group: ScriptedGroup,
     pair: Pair,
 }
 
-static PATH: LazyLock<Path> = LazyLock::new(|| {
+static FIXTURE: LazyLock<Fixture> = LazyLock::new(|| {
     let group = ScriptedGroup::start();
     group.script().on_marked = Scripted::Close;
     let pair = Pair::start(&group, Duration::from_secs(20), Policy::Standard);
-    Path { group, pair }
+    Fixture { group, pair }
 });
-static NEXT_CALLER: AtomicUsize = AtomicUsize::new(0);
+static NEXT_CLIENT: AtomicUsize = AtomicUsize::new(0);
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
@@ -33,12 +34,12 @@
     Write,
     Read,
     ReadLate,
-    /// A write on which the back end closes the connection.
+    /// A write on which the instance closes the connection.
     WriteLost,
     Commit,
     Rollback,
-    /// The caller is gone, without waiting for the answer to a last write.
-    Leave,
+    /// The client disconnects without waiting for the answer to a last write.
+    Disconnect,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Vec<Step>>> {
@@ -50,15 +51,16 @@
         1 => Just(Step::WriteLost),
         3 => Just(Step::Commit),
         1 => Just(Step::Rollback),
-        1 => Just(Step::Leave),
+        1 => Just(Step::Disconnect),
     ];
     proptest::collection::vec(proptest::collection::vec(step, 1..12), 2..8)
 }
 
-/// Runs one caller's steps; returns the rows that were not its own.
+/// Runs the steps of one client and returns its wrong answers: rows of other clients, or missing
+/// rows.
 fn run(steps: &[Step]) -> Vec<String> {
-    let tag = format!("caller{}.", NEXT_CALLER.fetch_add(1, Ordering::Relaxed));
-    let mut caller = Caller::connect(PATH.pair.address, &[]);
+    let tag = format!("client{}.", NEXT_CLIENT.fetch_add(1, Ordering::Relaxed));
+    let mut client = Client::connect(FIXTURE.pair.address, &[]);
     let mut foreign = Vec::new();
     for step in steps {
         let sql = match step {
@@ -69,12 +71,12 @@
             Step::ReadLate => format!("SELECT '{tag}' FROM {LATE} FOR UPDATE"),
             Step::Commit => format!("COMMIT -- {tag}"),
             Step::Rollback => format!("ROLLBACK -- {tag}"),
-            Step::Leave => {
-                caller.send(&format!("INSERT INTO {LATE} VALUES ('{tag}')"));
+            Step::Disconnect => {
+                client.send(&format!("INSERT INTO {LATE} VALUES ('{tag}')"));
                 return foreign;
             }
         };
-        let answer = caller.query(&sql);
+        let answer = client.query(&sql);
         let expected = matches!(step, Step::Read | Step::ReadLate) && answer.error.is_none();
         if answer.rows.len() != usize::from(expected) || answer.rows.iter().any(|row| *row != tag) {
             foreign.push(format!("{sql}: {answer:?}"));
@@ -84,13 +86,13 @@
 }
 
 fn tag_of(sql: &str) -> Option<&str> {
-    let start = sql.find("caller")?;
+    let start = sql.find("client")?;
     let end = start + sql[start..].find('.')?;
     sql.get(start..end)
 }
 
-/// The first statement on any connection that ran inside another caller's transaction.
-fn crossed(connections: &[Vec<String>]) -> Option<String> {
+/// The first statement on any connection that ran inside another client's transaction.
+fn find_mixed_transaction(connections: &[Vec<String>]) -> Option<String> {
     for connection in connections {
         let mut owner: Option<&str> = None;
         for sql in connection {
@@ -119,19 +121,19 @@
     })]
 
     #[test]
-    fn no_statement_and_no_row_crosses(callers in steps()) {
+    fn clients_never_share_a_transaction_or_get_rows_of_another_client(clients in steps()) {
         let foreign: Vec<String> = thread::scope(|scope| {
             let running: Vec<_> =
-                callers.iter().map(|steps| scope.spawn(move || run(steps))).collect();
-            running.into_iter().flat_map(|caller| caller.join().expect("no panic")).collect()
+                clients.iter().map(|steps| scope.spawn(move || run(steps))).collect();
+            running.into_iter().flat_map(|client| client.join().expect("no panic")).collect()
         });
         prop_assert!(foreign.is_empty(), "{foreign:?}");
-        prop_assert_eq!(crossed(&PATH.group.script().connections), None);
+        prop_assert_eq!(find_mixed_transaction(&FIXTURE.group.script().connections), None);
     }
 }
 
 #[test]
-fn the_check_sees_a_crossing() {
-    let connection = ["BEGIN -- caller1.", "INSERT INTO t VALUES ('caller2.')"].map(str::to_owned);
-    assert!(crossed(&[connection.to_vec()]).is_some());
+fn the_check_detects_a_mixed_transaction() {
+    let connection = ["BEGIN -- client1.", "INSERT INTO t VALUES ('client2.')"].map(str::to_owned);
+    assert!(find_mixed_transaction(&[connection.to_vec()]).is_some());
 }
