--- a/crates/daemon/src/admin/configuration.rs
+++ b/crates/daemon/src/admin/configuration.rs
@@ -9,7 +9,7 @@
 use kestrellock_core::catalog::Catalog;
 use kestrellock_core::outcome::ResultCode;
 use kestrellock_store::apply::{ApplyError, ApplyLimits, apply};
-use kestrellock_store::catalog::{self, CatalogError, PREFIX};
+use kestrellock_store::catalog::{self, CATALOG_PREFIX, CatalogError};
 
 use super::Admin;
 use super::answer::Answer;
@@ -37,13 +37,17 @@
 }
 
 fn read_entries(admin: &Admin, kind: EntryKind) -> Result<Listing, CatalogError> {
-    let snapshot = admin.store.range(PREFIX)?;
+    let snapshot = admin.store.range(CATALOG_PREFIX)?;
     let mut entries = Vec::new();
     for stored in &snapshot.entries {
         let entry = catalog::decode(stored)?;
         entries.extend(entry.filter(|entry| entry.value.kind() == kind));
     }
-    Ok(Listing { revision: catalog::revision_of(&snapshot), source: Source::Store, entries })
+    Ok(Listing {
+        revision: catalog::configuration_revision(&snapshot),
+        source: Source::Store,
+        entries,
+    })
 }
 
 /// Without the store, authors are not known: the catalog carries values alone.
--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -9,7 +9,7 @@
 use kestrellock_core::catalog::{CatalogDelta, CatalogSummary, DeltaError, Fingerprint, Revision};
 use kestrellock_core::distribution::Fetcher;
 use kestrellock_core::ids::NodeName;
-use kestrellock_peer::catalog_transfer::{self, Incoming, Part, TransferError};
+use kestrellock_peer::catalog_transfer::{self, Chunk, IncomingTransfer, TransferError};
 use kestrellock_peer::message::ConfigurationMessage;
 
 use super::{Configuration, OfferOutcome, Origin, Peer};
@@ -27,7 +27,7 @@
     requested_at: Instant,
     /// Fingerprint of this node's catalog when it sent the request.
     base: Fingerprint,
-    incoming: Option<Incoming>,
+    incoming: Option<IncomingTransfer>,
 }
 
 impl DeltaReceiver {
@@ -71,7 +71,7 @@
         &mut self,
         configuration: &Configuration,
         peer: &Peer,
-        part: &Part,
+        part: &Chunk,
         puller: &mut Fetcher,
     ) {
         let Some(fetch) = self.current.as_mut().filter(|fetch| fetch.from == peer.node) else {
@@ -84,7 +84,7 @@
                 bytes = part.bytes.len() as u64;
                 "dropped a chunk of the configuration from a node that this node does not fetch from"
             );
-            configuration.send(peer, ConfigurationMessage::Enough);
+            configuration.send(peer, ConfigurationMessage::StopTransfer);
             return;
         };
         if let Err(error) = fetch.add(part) {
@@ -105,7 +105,7 @@
         let Some(incoming) = &fetch.incoming else { return };
         let (transfer, offset) = (part.transfer, incoming.next_offset());
         configuration.send(peer, ConfigurationMessage::Next { transfer, offset });
-        if incoming.is_whole() {
+        if incoming.is_complete() {
             self.finish(configuration, peer, puller);
         }
     }
@@ -174,11 +174,11 @@
 }
 
 impl Fetch {
-    fn add(&mut self, part: &Part) -> Result<(), TransferError> {
+    fn add(&mut self, part: &Chunk) -> Result<(), TransferError> {
         match &mut self.incoming {
             Some(incoming) if part.offset > 0 => incoming.add(part),
             _ => {
-                self.incoming = Some(Incoming::begin(part)?);
+                self.incoming = Some(IncomingTransfer::begin(part)?);
                 Ok(())
             }
         }
--- a/crates/daemon/src/agent/configuration/delta_server.rs
+++ b/crates/daemon/src/agent/configuration/delta_server.rs
@@ -46,7 +46,7 @@
     pub fn on_fetch(&mut self, configuration: &Configuration, peer: &Peer, have: CatalogSummary) {
         let revision = configuration.revision();
         if revision <= have.revision {
-            configuration.send(peer, ConfigurationMessage::InForce { revision });
+            configuration.send(peer, ConfigurationMessage::Active { revision });
             return;
         }
         match self.queue.request(&peer.node, (peer.shard, have.clone()), Instant::now()) {
@@ -160,8 +160,8 @@
     bytes: &Bytes,
     offset: u32,
 ) {
-    let chunk = catalog_transfer::part_of(transfer, bytes, offset, CHUNK_BYTES);
+    let chunk = catalog_transfer::chunk_at(transfer, bytes, offset, CHUNK_BYTES);
     let metrics = &configuration.context.metrics.configuration_bytes;
     metrics.add(ConfigurationEvent::Served, chunk.bytes.len() as u64);
-    configuration.send(peer, ConfigurationMessage::Part(chunk));
+    configuration.send(peer, ConfigurationMessage::Chunk(chunk));
 }
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -159,7 +159,7 @@
         for node in
             distribution::announcement_targets(&self.own_candidate(), &self.live_candidates())
         {
-            self.send(&Peer::first_shard_of(node), ConfigurationMessage::InForce { revision });
+            self.send(&Peer::first_shard_of(node), ConfigurationMessage::Active { revision });
         }
     }
 
--- a/crates/daemon/src/agent/configuration/peer_distribution.rs
+++ b/crates/daemon/src/agent/configuration/peer_distribution.rs
@@ -94,9 +94,9 @@
             ConfigurationMessage::Request { have } => {
                 configuration.context.revisions.record(&peer.node, have);
                 let revision = configuration.revision();
-                configuration.send(&peer, ConfigurationMessage::InForce { revision });
+                configuration.send(&peer, ConfigurationMessage::Active { revision });
             }
-            ConfigurationMessage::InForce { revision } => {
+            ConfigurationMessage::Active { revision } => {
                 configuration.context.revisions.record(&peer.node, revision);
                 if self.puller.on_revision(&peer.node, revision) {
                     self.delta_receiver.on_nothing_newer(&peer.node, revision);
@@ -107,7 +107,7 @@
                 self.delta_server.on_fetch(configuration, &peer, have);
             }
             ConfigurationMessage::Queued => self.puller.on_queued(&peer.node, Instant::now()),
-            ConfigurationMessage::Part(part) => {
+            ConfigurationMessage::Chunk(part) => {
                 self.delta_receiver.on_chunk(configuration, &peer, &part, &mut self.puller);
             }
             ConfigurationMessage::Next { transfer, offset } => {
@@ -119,7 +119,9 @@
             ConfigurationMessage::Confirmed { number, newest } => {
                 self.confirmation_queries.on_answer(configuration, &peer, number, newest);
             }
-            ConfigurationMessage::Enough => self.delta_server.on_enough(configuration, &peer.node),
+            ConfigurationMessage::StopTransfer => {
+                self.delta_server.on_enough(configuration, &peer.node)
+            }
         }
     }
 }
--- a/crates/daemon/src/agent/configuration/source_watch.rs
+++ b/crates/daemon/src/agent/configuration/source_watch.rs
@@ -67,7 +67,7 @@
             }
         }
         unreadable.count(source.unreadable_entries(), &configuration.context.metrics);
-        if let Some((version, at)) = source.confirmed() {
+        if let Some((version, at)) = source.confirmed_version() {
             configuration.confirm(Confirmation { version, at });
         }
     }
@@ -88,7 +88,7 @@
 }
 
 fn retry_delay(error: &CatalogError, backoff: &mut Backoff) -> Duration {
-    let wait = backoff.wait(rand::random());
+    let wait = backoff.next_delay(rand::random());
     match error {
         CatalogError::Store(StoreError::RateLimited { retry_after }) => *retry_after + wait,
         _ => wait,
--- a/crates/daemon/src/agent/counted_store.rs
+++ b/crates/daemon/src/agent/counted_store.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use kestrellock_store::store::{ConfigStore, Snapshot, StoreError, Swap, Transaction, Watch};
+use kestrellock_store::store::{
+    ConfigStore, Snapshot, StoreError, Transaction, TransactionOutcome, Watch,
+};
 
 use crate::context::NodeContext;
 use crate::metrics::StoreResult;
@@ -37,7 +39,7 @@
         self.count(self.inner.range(prefix))
     }
 
-    fn commit(&self, transaction: &Transaction) -> Result<Swap, StoreError> {
+    fn commit(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError> {
         self.count(self.inner.commit(transaction))
     }
 
--- a/crates/daemon/src/agent/machines.rs
+++ b/crates/daemon/src/agent/machines.rs
@@ -41,9 +41,9 @@
         match list.machines() {
             Ok(machines) => {
                 publish(machines, own, peers, context);
-                if let Err(error) = list.enter(own) {
+                if let Err(error) = list.register(own) {
                     log::debug!("machine list not written: {error}");
-                    stop.sleep(backoff.wait(rand::random()));
+                    stop.sleep(backoff.next_delay(rand::random()));
                     continue;
                 }
                 backoff.reset();
@@ -52,12 +52,12 @@
             }
             Err(error) => {
                 log::debug!("machine list not read: {error}");
-                stop.sleep(backoff.wait(rand::random()));
+                stop.sleep(backoff.next_delay(rand::random()));
             }
         }
     }
     if context.is_stopping()
-        && let Err(error) = list.leave(own)
+        && let Err(error) = list.deregister(own)
     {
         log::debug!("entry in the machine list not removed: {error}");
     }
--- a/crates/daemon/src/agent/promotion/announcer.rs
+++ b/crates/daemon/src/agent/promotion/announcer.rs
@@ -32,12 +32,12 @@
         for (group, (intent, recorded)) in updates.running {
             let age = now.saturating_duration_since(recorded);
             context.replacements.on_reported(&group, intent.clone(), age, now);
-            let message = PeerMessage::ReplacementUnderWay { group: group.clone(), intent, age };
+            let message = PeerMessage::ReplacementInProgress { group: group.clone(), intent, age };
             announce(&group, &message, context, mailboxes);
         }
         for (group, id, led) in updates.ended {
             context.replacements.on_reported_end(&group, id);
-            let message = PeerMessage::ReplacementOver { group: group.clone(), id, led };
+            let message = PeerMessage::ReplacementFinished { group: group.clone(), id, led };
             announce(&group, &message, context, mailboxes);
         }
     }
--- a/crates/daemon/src/agent/promotion/coordinator.rs
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -18,8 +18,8 @@
     Attempt, Command, Event, KnownInstances, Need, Phase, ReplacementId, Successor, Timing,
 };
 use kestrellock_core::store_era::StoreEra;
-use kestrellock_store::control::{ControlTarget, Order};
-use kestrellock_store::coordination::{Coordination, Hold};
+use kestrellock_store::control::{ControlTarget, InstanceCommand};
+use kestrellock_store::coordination::{Coordination, CoordinatorLease};
 
 use super::ReplacementServices;
 use super::executor::{Executor, Report};
@@ -75,7 +75,7 @@
     input: &'a SharedCoordinatorInput,
     coordination: Arc<dyn Coordination>,
     executor: Executor,
-    lease: Hold,
+    lease: CoordinatorLease,
     /// Whether the store has reported that the lease has ended.
     is_lease_over: bool,
     /// Whether the store may return outdated incarnations of instances.
@@ -125,7 +125,7 @@
     context: &NodeContext,
     services: &ReplacementServices,
     stop: &StopFlag,
-) -> Option<Hold> {
+) -> Option<CoordinatorLease> {
     while Instant::now() < until && !stop.is_stopping() {
         let lease = acquire_lease(context, services);
         if lease.is_some() {
@@ -136,7 +136,10 @@
     None
 }
 
-fn acquire_lease(context: &NodeContext, services: &ReplacementServices) -> Option<Hold> {
+fn acquire_lease(
+    context: &NodeContext,
+    services: &ReplacementServices,
+) -> Option<CoordinatorLease> {
     match services.coordination.acquire(&context.identity.node) {
         Ok(lease) => lease,
         Err(error) => {
@@ -147,7 +150,7 @@
 }
 
 fn run_under_lease(
-    lease: Hold,
+    lease: CoordinatorLease,
     context: &NodeContext,
     services: &ReplacementServices,
     input: &SharedCoordinatorInput,
@@ -183,9 +186,9 @@
         }
         if coordination.era() > era {
             log::warn!(event = "hold_outdated", fence = coordinator.lease.fence, era = coordination.era().0; "the store was restored from an older copy: acquiring the coordinator lease again");
-            return Ending::StoreRestored { until: coordinator.lease.until };
+            return Ending::StoreRestored { until: coordinator.lease.valid_until };
         }
-        if coordinator.is_lease_over || Instant::now() >= coordinator.lease.until {
+        if coordinator.is_lease_over || Instant::now() >= coordinator.lease.valid_until {
             log::warn!(event = "hold_lost", fence = coordinator.lease.fence; "the coordinator lease has ended");
             return Ending::Done;
         }
@@ -254,7 +257,7 @@
         let now = Instant::now();
         let input = self.input();
         self.incarnations_may_be_outdated = input.incarnations_may_be_outdated;
-        if !self.renewing && now + RENEW_MARGIN >= self.lease.until {
+        if !self.renewing && now + RENEW_MARGIN >= self.lease.valid_until {
             self.renewing = true;
             self.executor.renew(&self.lease);
         }
@@ -352,16 +355,20 @@
                 let instances = members.into_iter().map(|member| member.name).collect();
                 self.executor.read_starts(group.clone(), instances);
             }
-            Command::Ask(instance) => self.send_order(group, &instance, Order::Ask, known),
+            Command::Ask(instance) => {
+                self.send_order(group, &instance, InstanceCommand::Ask, known)
+            }
             Command::Stop { instance, term } => {
-                self.send_order(group, &instance, Order::Stop(term), known);
+                self.send_order(group, &instance, InstanceCommand::Stop(term), known);
             }
             Command::Demote { instance, term } => {
-                self.send_order(group, &instance, Order::Demote(term), known);
+                self.send_order(group, &instance, InstanceCommand::Demote(term), known);
+            }
+            Command::Release(instance) => {
+                self.send_order(group, &instance, InstanceCommand::Release, known)
             }
-            Command::Release(instance) => self.send_order(group, &instance, Order::Release, known),
             Command::Promote(instance) => {
-                if now + MIN_LEASE_FOR_PROMOTION < self.lease.until {
+                if now + MIN_LEASE_FOR_PROMOTION < self.lease.valid_until {
                     let coordinator = self.context.identity.node.clone();
                     self.executor.promote(group.clone(), instance, coordinator, &self.lease);
                 }
@@ -401,7 +408,7 @@
         &mut self,
         group: &GroupName,
         instance: &InstanceName,
-        order: Order,
+        order: InstanceCommand,
         known: &KnownInstances,
     ) {
         let Some(address) = known.address(group, instance) else { return };
--- a/crates/daemon/src/agent/promotion/executor.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -15,8 +15,8 @@
 use kestrellock_core::promotion::{
     Event, Intent, PromotionAnswer, ReplacementId, Standing, Successor,
 };
-use kestrellock_store::control::{ControlError, ControlTarget, Order};
-use kestrellock_store::coordination::{Coordination, Hold};
+use kestrellock_store::control::{ControlError, ControlTarget, InstanceCommand};
+use kestrellock_store::coordination::{Coordination, CoordinatorLease};
 
 use super::ReplacementServices;
 
@@ -32,7 +32,7 @@
     /// A change of the store failed and has to be retried.
     StoreFailed(GroupName),
     /// The coordinator lease was renewed, or its renewal has to be retried.
-    Renewed(Hold),
+    Renewed(CoordinatorLease),
     /// The coordinator lease has ended.
     LeaseOver,
 }
@@ -40,17 +40,17 @@
 /// A change of the store.
 #[derive(Debug)]
 enum StoreCommand {
-    Record(Hold, GroupName, Intent),
-    Install(Hold, GroupName, InstanceName),
-    Finish(Hold, GroupName, ReplacementId, Option<Successor>),
-    Renew(Hold),
+    Record(CoordinatorLease, GroupName, Intent),
+    Install(CoordinatorLease, GroupName, InstanceName),
+    Finish(CoordinatorLease, GroupName, ReplacementId, Option<Successor>),
+    Renew(CoordinatorLease),
 }
 
 /// Sends commands to the threads that execute them.
 pub struct Executor {
     services: ReplacementServices,
     reports: Sender<Report>,
-    instances: HashMap<InstanceName, Sender<(ControlTarget, Order)>>,
+    instances: HashMap<InstanceName, Sender<(ControlTarget, InstanceCommand)>>,
     store: Sender<StoreCommand>,
 }
 
@@ -74,15 +74,15 @@
     }
 
     /// Sends an order to an instance, unless an earlier order to it is still queued.
-    pub fn send_order(&mut self, target: ControlTarget, order: Order) {
+    pub fn send_order(&mut self, target: ControlTarget, order: InstanceCommand) {
         let sender = self.instances.entry(target.instance.clone()).or_insert_with(|| {
-            let (sender, orders) = bounded::<(ControlTarget, Order)>(1);
+            let (sender, orders) = bounded::<(ControlTarget, InstanceCommand)>(1);
             let control = self.services.control.clone();
             let reports = self.reports.clone();
             spawn("promotion-instance", move || {
                 for (target, order) in orders {
                     let sent = Instant::now();
-                    let outcome = control.tell(&target, order);
+                    let outcome = control.execute(&target, order);
                     log::info!(event = "order", group = target.group.as_str(), instance = target.instance.as_str(), order:? = order, outcome:? = outcome, took_us = sent.elapsed().as_micros() as u64; "executed an order to an instance");
                     for event in events_for(&target, order, outcome, sent) {
                         if reports.send(Report::Event(target.group.clone(), event)).is_err() {
@@ -103,11 +103,11 @@
         group: GroupName,
         instance: InstanceName,
         coordinator: NodeName,
-        lease: &Hold,
+        lease: &CoordinatorLease,
     ) {
         let promotions = self.services.promotions.clone();
         let (reports, fence) = (self.reports.clone(), lease.fence);
-        let until = lease.until;
+        let until = lease.valid_until;
         spawn("promotion-call", move || {
             // The time is read again here, because this process may have been suspended. No
             // promotion is sent after the end of the lease.
@@ -123,7 +123,7 @@
     }
 
     /// Records an intent.
-    pub fn record(&self, lease: &Hold, group: GroupName, intent: Intent) {
+    pub fn record(&self, lease: &CoordinatorLease, group: GroupName, intent: Intent) {
         self.send_change(StoreCommand::Record(lease.clone(), group, intent));
     }
 
@@ -139,14 +139,14 @@
     }
 
     /// Records the successor of a group's primary.
-    pub fn install(&self, lease: &Hold, group: GroupName, successor: InstanceName) {
+    pub fn install(&self, lease: &CoordinatorLease, group: GroupName, successor: InstanceName) {
         self.send_change(StoreCommand::Install(lease.clone(), group, successor));
     }
 
     /// Removes the intent of an attempt that has ended.
     pub fn finish(
         &self,
-        lease: &Hold,
+        lease: &CoordinatorLease,
         group: GroupName,
         id: ReplacementId,
         successor: Option<Successor>,
@@ -155,7 +155,7 @@
     }
 
     /// Renews the coordinator lease.
-    pub fn renew(&self, lease: &Hold) {
+    pub fn renew(&self, lease: &CoordinatorLease) {
         self.send_change(StoreCommand::Renew(lease.clone()));
     }
 
@@ -176,14 +176,14 @@
 fn change_store(coordination: &dyn Coordination, command: StoreCommand) -> Report {
     match command {
         StoreCommand::Record(lease, group, intent) => {
-            match coordination.record(&lease, &group, &intent) {
+            match coordination.record_intent(&lease, &group, &intent) {
                 Ok(true) => Report::Event(group, Event::Recorded(intent)),
                 Ok(false) => Report::LeaseOver,
                 Err(_) => Report::StoreFailed(group),
             }
         }
         StoreCommand::Install(lease, group, successor) => {
-            match coordination.install(&lease, &group, &successor) {
+            match coordination.record_primary(&lease, &group, &successor) {
                 Ok(true) => Report::Installed,
                 Ok(false) => Report::LeaseOver,
                 // Not retried: the successor is recorded when the attempt ends at the latest.
@@ -191,7 +191,7 @@
             }
         }
         StoreCommand::Finish(lease, group, id, successor) => {
-            match coordination.finish(&lease, &group, id, successor.as_ref()) {
+            match coordination.finish_replacement(&lease, &group, id, successor.as_ref()) {
                 Ok(true) => Report::Finished(group),
                 Ok(false) => Report::LeaseOver,
                 Err(_) => Report::StoreFailed(group),
@@ -208,7 +208,7 @@
 
 fn read_starts(coordination: &dyn Coordination, instances: &[InstanceName]) -> Event {
     let asked = Instant::now();
-    match coordination.starts(instances) {
+    match coordination.reported_incarnations(instances) {
         Ok(told) => Event::Starts { told, asked },
         Err(error) => {
             log::info!(event = "starts_unknown", error = error.to_string().as_str(); "the store did not return the incarnations of the instances");
@@ -220,7 +220,7 @@
 /// The events for the attempt that follow from the outcome of an order.
 fn events_for(
     target: &ControlTarget,
-    order: Order,
+    order: InstanceCommand,
     outcome: Result<Standing, ControlError>,
     sent: Instant,
 ) -> Vec<Event> {
@@ -229,14 +229,16 @@
         Ok(standing) => {
             let status_event = Event::Stands { instance: instance.clone(), standing, sent };
             match order {
-                Order::Release => vec![status_event, Event::Released(instance)],
-                Order::Ask | Order::Stop(_) | Order::Demote(_) => vec![status_event],
+                InstanceCommand::Release => vec![status_event, Event::Released(instance)],
+                InstanceCommand::Ask | InstanceCommand::Stop(_) | InstanceCommand::Demote(_) => {
+                    vec![status_event]
+                }
             }
         }
         Err(ControlError::Refused) => vec![Event::Refused { instance, sent }],
         Err(ControlError::Displaced) => vec![Event::Displaced { instance, sent }],
         // An instance that was not stopped rejects the release.
-        Err(ControlError::Rejected(_)) if order == Order::Release => {
+        Err(ControlError::Rejected(_)) if order == InstanceCommand::Release => {
             vec![Event::Released(instance)]
         }
         Err(ControlError::Unanswered(_) | ControlError::Rejected(_)) => {
--- a/crates/daemon/src/agent/promotion/mod.rs
+++ b/crates/daemon/src/agent/promotion/mod.rs
@@ -25,7 +25,7 @@
 
 use std::sync::Arc;
 
-use kestrellock_store::control::{InstanceControl, Promotions};
+use kestrellock_store::control::{InstanceControl, PromotionService};
 use kestrellock_store::coordination::Coordination;
 
 pub use watch::run;
@@ -38,5 +38,5 @@
     /// Sends orders to instances.
     pub control: Arc<dyn InstanceControl>,
     /// Asks the platform to promote a replica.
-    pub promotions: Arc<dyn Promotions>,
+    pub promotions: Arc<dyn PromotionService>,
 }
--- a/crates/daemon/src/agent/promotion/replacement_checker.rs
+++ b/crates/daemon/src/agent/promotion/replacement_checker.rs
@@ -87,7 +87,7 @@
 ) {
     while request_receiver.recv().is_ok() {
         let started_at = Instant::now();
-        let revision = match coordination.complete_revision() {
+        let revision = match coordination.check_view() {
             Ok(revision) => revision,
             Err(error) => {
                 log::debug!("replacement check failed: {error}");
--- a/crates/daemon/src/agent/promotion/status_queries.rs
+++ b/crates/daemon/src/agent/promotion/status_queries.rs
@@ -15,7 +15,7 @@
 use kestrellock_core::promotion::Standing;
 use kestrellock_core::routing::Role;
 use kestrellock_core::suspicion::Cause;
-use kestrellock_store::control::{ControlError, ControlTarget, InstanceControl, Order};
+use kestrellock_store::control::{ControlError, ControlTarget, InstanceCommand, InstanceControl};
 
 use super::ReplacementServices;
 
@@ -102,7 +102,7 @@
         let spawned =
             thread::Builder::new().name("promotion-opinion".to_owned()).spawn(move || {
                 let sent_at = Instant::now();
-                let outcome = control.tell(&target, Order::Ask);
+                let outcome = control.execute(&target, InstanceCommand::Ask);
                 let status = outcome.as_ref().ok().copied();
                 let cause = assess(control.as_ref(), &target, highest, outcome);
                 let assessment = Assessment { cause, at: Instant::now() };
@@ -125,7 +125,7 @@
 ) -> Option<Cause> {
     match outcome {
         Ok(status) if status.role == Role::Primary && status.term < highest => {
-            let outcome = control.tell(target, Order::Demote(highest));
+            let outcome = control.execute(target, InstanceCommand::Demote(highest));
             log::info!(event = "old_primary", group = target.group.as_str(), instance = target.instance.as_str(), leads = status.term.0, newest = highest.0, outcome:? = outcome; "an old primary was ordered to step down");
             Some(Cause::Outdated)
         }
--- a/crates/daemon/src/agent/promotion/vote_publisher.rs
+++ b/crates/daemon/src/agent/promotion/vote_publisher.rs
@@ -36,7 +36,7 @@
             };
             pending = votes.try_iter().last().or(next).or(pending);
             let Some(newest) = &pending else { continue };
-            if coordination.vote(&context.identity.node, newest).is_ok() {
+            if coordination.publish_votes(&context.identity.node, newest).is_ok() {
                 pending = None;
             }
         }
--- a/crates/daemon/src/agent/promotion/watch.rs
+++ b/crates/daemon/src/agent/promotion/watch.rs
@@ -265,7 +265,7 @@
                 self.context.given_up.add(group, intent.id, own, witness);
                 continue;
             }
-            let message = PeerMessage::EvidenceGivenUp {
+            let message = PeerMessage::EvidenceRevoked {
                 node: own.clone(),
                 group: group.clone(),
                 id: intent.id,
--- a/crates/daemon/src/agent/promotion/write_back.rs
+++ b/crates/daemon/src/agent/promotion/write_back.rs
@@ -32,7 +32,7 @@
                 }
             });
             if !groups.is_empty() {
-                stop.sleep(backoff.wait(rand::random()));
+                stop.sleep(backoff.next_delay(rand::random()));
             }
         }
     });
--- a/crates/daemon/src/front/counting.rs
+++ b/crates/daemon/src/front/counting.rs
@@ -19,7 +19,7 @@
     io: &Io,
 ) {
     match event {
-        LeaseEvent::Part(_) | LeaseEvent::NotOwner { .. } | LeaseEvent::NotUnderWay { .. } => {}
+        LeaseEvent::Part(_) | LeaseEvent::NotOwner { .. } | LeaseEvent::NotInProgress { .. } => {}
         LeaseEvent::Refused(refusal) => refused(refusal, io),
         LeaseEvent::Done { .. } => {
             let (Some(login), Some(request)) = (login, request) else { return };
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -138,7 +138,7 @@
     pub fn on_message(&mut self, message: ToFront, io: &mut Io) {
         let (lease, sequence, event) = match message {
             ToFront::Lease { lease, sequence, event } => (lease, sequence, event),
-            ToFront::Again { lease, sequence, event } => {
+            ToFront::Resent { lease, sequence, event } => {
                 if !self.has_missed(&lease, sequence) {
                     return;
                 }
--- a/crates/daemon/src/front/session/lease.rs
+++ b/crates/daemon/src/front/session/lease.rs
@@ -79,7 +79,7 @@
             }
             LeaseEvent::Refused(refusal) => self.on_refused(refusal, io),
             LeaseEvent::NotOwner { owner } => self.on_not_owner(owner, io),
-            LeaseEvent::NotUnderWay { has_not_run } => self.on_not_under_way(has_not_run, io),
+            LeaseEvent::NotInProgress { has_not_run } => self.on_not_under_way(has_not_run, io),
             LeaseEvent::Done { .. } => self.on_exchange_done(event, io),
         }
     }
@@ -109,7 +109,9 @@
         self.retry_backoff.on_success();
         self.is_wait_logged = false;
         match event {
-            LeaseEvent::Part(_) | LeaseEvent::NotOwner { .. } | LeaseEvent::NotUnderWay { .. } => {}
+            LeaseEvent::Part(_)
+            | LeaseEvent::NotOwner { .. }
+            | LeaseEvent::NotInProgress { .. } => {}
             LeaseEvent::Done { frames, transaction, confirmed, .. } => {
                 self.track_writes(request.as_ref(), &frames, transaction, io);
                 if let Some(position) = confirmed {
@@ -150,9 +152,9 @@
         let instance = match event {
             LeaseEvent::Done { instance, .. } => Some(instance),
             LeaseEvent::Refused(refusal) => refusal.instance.as_ref(),
-            LeaseEvent::Part(_) | LeaseEvent::NotOwner { .. } | LeaseEvent::NotUnderWay { .. } => {
-                None
-            }
+            LeaseEvent::Part(_)
+            | LeaseEvent::NotOwner { .. }
+            | LeaseEvent::NotInProgress { .. } => None,
         };
         let instance = instance.map(InstanceName::as_str);
         match (event, request, &self.login) {
--- a/crates/daemon/src/front/session/sending.rs
+++ b/crates/daemon/src/front/session/sending.rs
@@ -16,7 +16,7 @@
 use kestrellock_core::placement_deadline::placement_deadline;
 use kestrellock_core::routing::Access;
 use kestrellock_peer::message::{
-    Exchange, GatewayCall, Placement, PlacementNeed, ToGateway, TransactionState,
+    Exchange, GatewayCall, Placement, PlacementRequirements, ToGateway, TransactionState,
 };
 use kestrellock_protocol::login::Login;
 use kestrellock_protocol::request::Request;
@@ -166,10 +166,10 @@
 ) -> Placement {
     match instance {
         Some(instance) => Placement::Instance(instance.clone()),
-        None => Placement::Any(PlacementNeed {
+        None => Placement::Any(PlacementRequirements {
             waited: io.now.saturating_duration_since(request.arrived),
             staleness: staleness_of(request.class(), values),
-            passed_over: excluded.cloned(),
+            excluded_instance: excluded.cloned(),
         }),
     }
 }
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -13,7 +13,7 @@
 use kestrellock_core::outcome::Refusal;
 use kestrellock_core::placement_deadline::placement_deadline;
 use kestrellock_core::routing::Access;
-use kestrellock_peer::message::{Exchange, LeaseEvent, Placement, PlacementNeed};
+use kestrellock_peer::message::{Exchange, LeaseEvent, Placement, PlacementRequirements};
 
 use super::instance_choice::{self, InstanceChoice, StatementNeeds};
 use super::pool::{Pool, PoolRole};
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct HeldExchange {
     exchange: Exchange,
-    need: PlacementNeed,
+    need: PlacementRequirements,
     /// When the request arrived. It may be set too late, but never too early: a later time only
     /// requires newer evidence.
     arrived: Instant,
@@ -40,7 +40,7 @@
 }
 
 impl HeldExchange {
-    fn new(exchange: Exchange, need: PlacementNeed, io: &Io) -> Self {
+    fn new(exchange: Exchange, need: PlacementRequirements, io: &Io) -> Self {
         // Read the clock again: this process may have been paused since it received the event.
         let now = Instant::now();
         let arrived = now.checked_sub(need.waited).unwrap_or(now);
@@ -60,7 +60,7 @@
         let needs = StatementNeeds {
             arrived: self.arrived,
             staleness: self.need.staleness,
-            passed_over: self.need.passed_over.as_ref(),
+            passed_over: self.need.excluded_instance.as_ref(),
             pools,
         };
         let mut access = self.exchange.access.clone();
@@ -143,7 +143,7 @@
         name: &GroupName,
         group: &Group,
         exchange: Exchange,
-        need: PlacementNeed,
+        need: PlacementRequirements,
         io: &mut Io,
     ) {
         let state = self.group_state(name, io.now);
--- a/crates/daemon/src/links/link.rs
+++ b/crates/daemon/src/links/link.rs
@@ -49,9 +49,9 @@
     match message {
         PeerMessage::Ping => true,
         // These have no answer, so only the answer to a ping shows that they arrived.
-        PeerMessage::EvidenceGivenUp { .. }
-        | PeerMessage::ReplacementUnderWay { .. }
-        | PeerMessage::ReplacementOver { .. }
+        PeerMessage::EvidenceRevoked { .. }
+        | PeerMessage::ReplacementInProgress { .. }
+        | PeerMessage::ReplacementFinished { .. }
         | PeerMessage::Configuration { .. } => true,
         PeerMessage::Quota(message) => {
             matches!(message, QuotaMessage::Ask { .. } | QuotaMessage::TakeOver { .. })
--- a/crates/daemon/src/shard/mod.rs
+++ b/crates/daemon/src/shard/mod.rs
@@ -148,7 +148,7 @@
     /// Sends leave messages: exchanges that this node has not answered will never run here.
     fn send_leave(&mut self, io: &mut Io) {
         let node = io.context.identity.node.clone();
-        self.links.broadcast(&PeerMessage::Goodbye { node }, io.now);
+        self.links.broadcast(&PeerMessage::Leave { node }, io.now);
         self.leave_sent = true;
     }
 
@@ -165,14 +165,14 @@
                     let shard = self.number;
                     io.context.configuration.deliver(Received { from, shard, message });
                 }
-                PeerMessage::EvidenceGivenUp { node, group, id, witness } => {
+                PeerMessage::EvidenceRevoked { node, group, id, witness } => {
                     io.context.given_up.add(&group, id, &node, witness);
                 }
-                PeerMessage::ReplacementUnderWay { group, intent, age } => {
+                PeerMessage::ReplacementInProgress { group, intent, age } => {
                     io.context.metrics.replacements_told.inc();
                     io.context.replacements.on_reported(&group, intent, age, io.now);
                 }
-                PeerMessage::ReplacementOver { group, id, led } => {
+                PeerMessage::ReplacementFinished { group, id, led } => {
                     io.context.replacements.on_reported_end(&group, id);
                     if let Some(term) = led {
                         io.context.statuses.on_led(&group, term);
@@ -195,7 +195,7 @@
                         let _ = self.links.send(&origin.node, PeerMessage::Pong, io);
                     }
                 }
-                PeerMessage::Goodbye { node } => self.front.on_peer_left(&node, io),
+                PeerMessage::Leave { node } => self.front.on_peer_left(&node, io),
                 PeerMessage::ToGateway(message) => {
                     let node = io.context.identity.node.clone();
                     io.outbox.push_back(Outgoing::Gateway { node, message });
--- a/crates/daemon/src/shard/reconnecting.rs
+++ b/crates/daemon/src/shard/reconnecting.rs
@@ -80,7 +80,7 @@
         let has_not_run = age.is_some_and(|age| self.recent_answers.covers(age, now));
         // An idle transaction of the lease is rolled back here; its front ends it too.
         self.gateway.mark_not_run(&held.lease, io);
-        let event = LeaseEvent::NotUnderWay { has_not_run };
+        let event = LeaseEvent::NotInProgress { has_not_run };
         self.resend_to_front(node, held, next_sequence, event, io);
     }
 
@@ -92,7 +92,7 @@
         event: LeaseEvent,
         io: &mut Io,
     ) {
-        let message = ToFront::Again { lease: held.lease.clone(), sequence, event };
+        let message = ToFront::Resent { lease: held.lease.clone(), sequence, event };
         let shard = Some(held.lease.shard);
         // If the front cannot be reached, its deadline ends the exchange.
         let _ = self.links.send(node, PeerMessage::ToFront { shard, message }, io);
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -17,7 +17,7 @@
 use kestrellock_daemon::settings::{PeerSettings, Settings};
 use kestrellock_program::secret::Secret;
 use kestrellock_store::store::{
-    ConfigStore, KeyValue, Snapshot, StoreError, Swap, Transaction, Watch,
+    ConfigStore, KeyValue, Snapshot, StoreError, Transaction, TransactionOutcome, Watch,
 };
 use scripted::ScriptedGroup;
 use serde_json::json;
@@ -59,12 +59,17 @@
         Ok(Snapshot { revision: 1, entries })
     }
 
-    fn compare_and_swap(&self, _: &str, _: u64, _: &[u8]) -> Result<Swap, StoreError> {
-        Ok(Swap::Conflict)
+    fn compare_and_swap(
+        &self,
+        _: &str,
+        _: u64,
+        _: &[u8],
+    ) -> Result<TransactionOutcome, StoreError> {
+        Ok(TransactionOutcome::Conflict)
     }
 
-    fn commit(&self, _: &Transaction) -> Result<Swap, StoreError> {
-        Ok(Swap::Conflict)
+    fn commit(&self, _: &Transaction) -> Result<TransactionOutcome, StoreError> {
+        Ok(TransactionOutcome::Conflict)
     }
 
     fn watch(&self, _: &str, _: u64) -> Result<Box<dyn Watch>, StoreError> {
@@ -98,7 +103,7 @@
     let entries = values.map(|(key, value)| KeyValue {
         key: format!("/kestrellock/{key}"),
         value: value.to_string().into_bytes(),
-        modified: 1,
+        mod_revision: 1,
     });
     Arc::new(FixedStore(entries.to_vec()))
 }
--- a/crates/lab/src/bench/cluster.rs
+++ b/crates/lab/src/bench/cluster.rs
@@ -8,9 +8,9 @@
 use kestrellock_daemon::node::{Listeners, Node};
 use kestrellock_daemon::policy::Policy;
 use kestrellock_daemon::settings::{PeerSettings, Settings};
-use kestrellock_store::catalog::{GROUPS, TEMPLATES, TENANTS};
+use kestrellock_store::catalog::{GROUPS_PREFIX, TEMPLATES_PREFIX, TENANTS_PREFIX};
 use kestrellock_store::etcd::EtcdStore;
-use kestrellock_store::store::{ConfigStore, Swap};
+use kestrellock_store::store::{ConfigStore, TransactionOutcome};
 use miette::{IntoDiagnostic, ensure};
 use serde::Serialize;
 
@@ -102,13 +102,13 @@
 
 fn write_catalog(store: &dyn ConfigStore, catalog: &Catalog) -> miette::Result<()> {
     for (name, group) in &catalog.groups {
-        write(store, &format!("{GROUPS}{name}"), group)?;
+        write(store, &format!("{GROUPS_PREFIX}{name}"), group)?;
     }
     for (name, template) in &catalog.templates {
-        write(store, &format!("{TEMPLATES}{name}"), template)?;
+        write(store, &format!("{TEMPLATES_PREFIX}{name}"), template)?;
     }
     for (name, tenant) in &catalog.tenants {
-        write(store, &format!("{TENANTS}{name}"), tenant)?;
+        write(store, &format!("{TENANTS_PREFIX}{name}"), tenant)?;
     }
     Ok(())
 }
@@ -116,7 +116,7 @@
 fn write(store: &dyn ConfigStore, key: &str, value: &impl Serialize) -> miette::Result<()> {
     let text = serde_json::to_vec(value).into_diagnostic()?;
     let swap = store.compare_and_swap(key, 0, &text).into_diagnostic()?;
-    ensure!(matches!(swap, Swap::Written(_)), "{key} exists already");
+    ensure!(matches!(swap, TransactionOutcome::Written(_)), "{key} exists already");
     Ok(())
 }
 
--- a/crates/lab/src/demo/catalog.rs
+++ b/crates/lab/src/demo/catalog.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use kestrellock_core::ids::InstanceName;
-use kestrellock_store::catalog::{GROUPS, TEMPLATES, TENANTS};
-use kestrellock_store::store::{ConfigStore, Swap};
+use kestrellock_store::catalog::{GROUPS_PREFIX, TEMPLATES_PREFIX, TENANTS_PREFIX};
+use kestrellock_store::store::{ConfigStore, TransactionOutcome};
 use miette::{IntoDiagnostic, miette};
 use serde_json::{Value, json};
 
@@ -17,8 +17,8 @@
 fn write(store: &dyn ConfigStore, key: &str, value: &Value) -> miette::Result<()> {
     let swap = store.compare_and_swap(key, 0, value.to_string().as_bytes()).into_diagnostic()?;
     match swap {
-        Swap::Written(_) => Ok(()),
-        Swap::Conflict => Err(miette!("{key} exists already")),
+        TransactionOutcome::Written(_) => Ok(()),
+        TransactionOutcome::Conflict => Err(miette!("{key} exists already")),
     }
 }
 
@@ -44,7 +44,7 @@
         .collect();
     let group =
         json!({ "database": tenant.database, "user": "kestrellock", "instances": instances });
-    write(store, &format!("{GROUPS}{name}"), &group)
+    write(store, &format!("{GROUPS_PREFIX}{name}"), &group)
 }
 
 fn template(tenant: &DemoTenant) -> Value {
@@ -56,22 +56,22 @@
 /// Writes a tenant and its template.
 pub fn write_tenant(store: &dyn ConfigStore, tenant: &DemoTenant) -> miette::Result<()> {
     let name = tenant.name;
-    write(store, &format!("{TEMPLATES}{name}"), &template(tenant))?;
+    write(store, &format!("{TEMPLATES_PREFIX}{name}"), &template(tenant))?;
     let value = json!({ "template": name, "logins": { name: verifier_of(name) } });
-    write(store, &format!("{TENANTS}{name}"), &value)
+    write(store, &format!("{TENANTS_PREFIX}{name}"), &value)
 }
 
 /// Lets every tenant of a template use another group as well.
 pub fn add_group(store: &dyn ConfigStore, tenant: &DemoTenant, group: &str) -> miette::Result<()> {
-    let key = format!("{TEMPLATES}{}", tenant.name);
+    let key = format!("{TEMPLATES_PREFIX}{}", tenant.name);
     let known = store.range(&key).into_diagnostic()?;
     let entry = known.entries.iter().find(|entry| entry.key == key);
-    let revision = entry.map_or(0, |entry| entry.modified);
+    let revision = entry.map_or(0, |entry| entry.mod_revision);
     let mut changed = template(tenant);
     changed["groups"] = json!([tenant.group, group]);
     let bytes = changed.to_string();
     match store.compare_and_swap(&key, revision, bytes.as_bytes()).into_diagnostic()? {
-        Swap::Written(_) => Ok(()),
-        Swap::Conflict => Err(miette!("{key} was changed by somebody else")),
+        TransactionOutcome::Written(_) => Ok(()),
+        TransactionOutcome::Conflict => Err(miette!("{key} was changed by somebody else")),
     }
 }
--- a/crates/lab/src/scenario/catalog.rs
+++ b/crates/lab/src/scenario/catalog.rs
@@ -1,7 +1,7 @@
 //! The configuration of a scenario, and changes to it while it runs.
 
-use kestrellock_store::catalog::{GROUPS, TEMPLATES, TENANTS};
-use kestrellock_store::store::{ConfigStore, Swap};
+use kestrellock_store::catalog::{GROUPS_PREFIX, TEMPLATES_PREFIX, TENANTS_PREFIX};
+use kestrellock_store::store::{ConfigStore, TransactionOutcome};
 use miette::{IntoDiagnostic, miette};
 use serde_json::{Value, json};
 
@@ -26,12 +26,12 @@
     groups: &[Group],
 ) -> miette::Result<()> {
     for group in groups {
-        create(store, &format!("{GROUPS}{}", group.id), &describe_group(deployment, group))?;
+        create(store, &format!("{GROUPS_PREFIX}{}", group.id), &describe_group(deployment, group))?;
     }
     let template = describe_template(deployment, deployment.capacity);
-    create(store, &format!("{TEMPLATES}{TENANT}"), &template)?;
+    create(store, &format!("{TEMPLATES_PREFIX}{TENANT}"), &template)?;
     let tenant = json!({ "template": TENANT, "logins": { TENANT: verifier_of(TENANT) } });
-    create(store, &format!("{TENANTS}{TENANT}"), &tenant)
+    create(store, &format!("{TENANTS_PREFIX}{TENANT}"), &tenant)
 }
 
 /// Changes the capacity in the template. Returns the revision at which it was accepted.
@@ -40,7 +40,7 @@
     deployment: &Deployment,
     capacity: u32,
 ) -> miette::Result<u64> {
-    replace(store, &format!("{TEMPLATES}{TENANT}"), &describe_template(deployment, capacity))
+    replace(store, &format!("{TEMPLATES_PREFIX}{TENANT}"), &describe_template(deployment, capacity))
 }
 
 /// Begins to take an instance out of use. Returns the revision at which it was accepted.
@@ -52,23 +52,23 @@
 ) -> miette::Result<u64> {
     let mut value = describe_group(deployment, group);
     value["instances"][index]["leaving"] = Value::Bool(true);
-    replace(store, &format!("{GROUPS}{}", group.id), &value)
+    replace(store, &format!("{GROUPS_PREFIX}{}", group.id), &value)
 }
 
 fn replace(store: &dyn ConfigStore, key: &str, value: &Value) -> miette::Result<u64> {
     let snapshot = store.range(key).into_diagnostic()?;
-    let expected = snapshot.entries.first().map_or(0, |entry| entry.modified);
+    let expected = snapshot.entries.first().map_or(0, |entry| entry.mod_revision);
     let value = value.to_string();
     match store.compare_and_swap(key, expected, value.as_bytes()).into_diagnostic()? {
-        Swap::Written(revision) => Ok(revision),
-        Swap::Conflict => Err(miette!("{key} was changed by somebody else")),
+        TransactionOutcome::Written(revision) => Ok(revision),
+        TransactionOutcome::Conflict => Err(miette!("{key} was changed by somebody else")),
     }
 }
 
 fn create(store: &dyn ConfigStore, key: &str, value: &Value) -> miette::Result<()> {
     match store.compare_and_swap(key, 0, value.to_string().as_bytes()).into_diagnostic()? {
-        Swap::Written(_) => Ok(()),
-        Swap::Conflict => Err(miette!("{key} exists already")),
+        TransactionOutcome::Written(_) => Ok(()),
+        TransactionOutcome::Conflict => Err(miette!("{key} exists already")),
     }
 }
 
--- a/crates/lab/tests/store_contract.rs
+++ b/crates/lab/tests/store_contract.rs
@@ -6,7 +6,7 @@
 use kestrellock_platform::keys::KeyStore;
 use kestrellock_store::etcd::EtcdStore;
 use kestrellock_store::store::{
-    Condition, ConfigStore, Put, StoreError, Swap, Transaction, Watch, WatchEvent,
+    Condition, ConfigStore, Put, StoreError, Transaction, TransactionOutcome, Watch, WatchEvent,
 };
 
 const LIMIT: Duration = Duration::from_secs(30);
@@ -17,7 +17,7 @@
 fn client(server: &PlatformStore, dialect: Dialect) -> Box<dyn ConfigStore> {
     match dialect {
         Dialect::Etcd => {
-            Box::new(EtcdStore::new(vec![server.endpoint()]).with_call_limit(CALL_LIMIT))
+            Box::new(EtcdStore::new(vec![server.endpoint()]).with_call_timeout(CALL_LIMIT))
         }
         Dialect::Platform => {
             Box::new(KeyStore::new(&server.endpoint()).with_call_limit(CALL_LIMIT))
@@ -36,13 +36,13 @@
 }
 
 fn condition(key: &str, modified: u64) -> Condition {
-    Condition { key: key.to_owned(), modified }
+    Condition { key: key.to_owned(), mod_revision: modified }
 }
 
-fn written(swap: Swap) -> u64 {
+fn written(swap: TransactionOutcome) -> u64 {
     match swap {
-        Swap::Written(revision) => revision,
-        Swap::Conflict => panic!("a conflict"),
+        TransactionOutcome::Written(revision) => revision,
+        TransactionOutcome::Conflict => panic!("a conflict"),
     }
 }
 
@@ -62,14 +62,14 @@
         let revision = written(store.commit(&both).expect("answered"));
         let snapshot = store.range("/p/").expect("answered");
         assert_eq!(snapshot.revision, revision);
-        let modified: Vec<u64> = snapshot.entries.iter().map(|entry| entry.modified).collect();
+        let modified: Vec<u64> = snapshot.entries.iter().map(|entry| entry.mod_revision).collect();
         assert_eq!(modified, [revision, revision]);
 
         let half = Transaction {
             conditions: vec![condition("/p/a", revision), condition("/p/b", revision + 1)],
             puts: vec![put("/p/a", "3"), put("/p/c", "4")],
         };
-        assert_eq!(store.commit(&half).expect("answered"), Swap::Conflict);
+        assert_eq!(store.commit(&half).expect("answered"), TransactionOutcome::Conflict);
         assert_eq!(store.range("/p/").expect("answered"), snapshot);
     }
 }
@@ -95,7 +95,7 @@
         for wrong in [0, first - 1, first + 1] {
             assert_eq!(
                 store.compare_and_swap("/k", wrong, b"2").expect("answered"),
-                Swap::Conflict
+                TransactionOutcome::Conflict
             );
         }
         let second = written(store.compare_and_swap("/k", first, b"2").expect("answered"));
@@ -147,7 +147,7 @@
     let end = Instant::now() + LIMIT;
     loop {
         match watch.next(Duration::from_millis(50)) {
-            Ok(WatchEvent::Quiet) => assert!(Instant::now() < end, "no event in time"),
+            Ok(WatchEvent::TimedOut) => assert!(Instant::now() < end, "no event in time"),
             other => return other,
         }
     }
@@ -162,7 +162,7 @@
         assert_eq!(next_event(watch.as_mut()).expect("the past"), WatchEvent::Changed(first));
 
         let mut watch = store.watch("/p/", first + 1).expect("it opens");
-        assert_eq!(watch.next(Duration::from_millis(50)).expect("open"), WatchEvent::Quiet);
+        assert_eq!(watch.next(Duration::from_millis(50)).expect("open"), WatchEvent::TimedOut);
         written(store.compare_and_swap("/q", 0, b"other prefix").expect("answered"));
         server.break_watches();
         // A watch that is one call after the other may go on where one breaks off.
--- a/crates/lab/tests/store_copy.rs
+++ b/crates/lab/tests/store_copy.rs
@@ -13,7 +13,7 @@
 use kestrellock_platform::coordination::StoreCoordination;
 use kestrellock_platform::keys::{Freshness, Item, KeyStore, Mirror, MirrorView, Scope};
 use kestrellock_platform::standin::entries::{CONFIGURATION_KEY, InstanceEntry};
-use kestrellock_store::coordination::{Coordination, CoordinationView, Hold};
+use kestrellock_store::coordination::{Coordination, CoordinationView, CoordinatorLease};
 
 const NODE: &str = "kestrellock/nodes/one";
 const OTHER_NODE: &str = "kestrellock/nodes/two";
@@ -40,7 +40,7 @@
     store: PlatformStore,
     mirror: Arc<Mirror>,
     coordination: StoreCoordination,
-    hold: Hold,
+    hold: CoordinatorLease,
     group: GroupName,
 }
 
@@ -67,11 +67,13 @@
     }
 
     fn record(&self, intent: &Intent) {
-        assert!(self.coordination.record(&self.hold, &self.group, intent).expect("an answer"));
+        assert!(
+            self.coordination.record_intent(&self.hold, &self.group, intent).expect("an answer")
+        );
     }
 
     fn finish(&self, id: ReplacementId) {
-        let finished = self.coordination.finish(&self.hold, &self.group, id, None);
+        let finished = self.coordination.finish_replacement(&self.hold, &self.group, id, None);
         assert!(finished.expect("an answer"));
     }
 
@@ -209,7 +211,7 @@
     holding.record(&promoting);
     let late = holding.late();
     holding.finish(intent.id);
-    let done_late = late.record(&holding.hold, &holding.group, &promoting);
+    let done_late = late.record_intent(&holding.hold, &holding.group, &promoting);
     assert!(done_late.is_err(), "its condition does not hold");
     assert_eq!(holding.recorded(), None, "it stays over");
 }
@@ -226,7 +228,9 @@
     let group = GroupName::new("orders");
     let successor = Successor { instance: InstanceName::new("i-2"), term: Some(Term(7)) };
     let id = ReplacementId { fence: hold.fence, attempt: 1 };
-    assert!(coordination.finish(&hold, &group, id, Some(&successor)).expect("an answer"));
+    assert!(
+        coordination.finish_replacement(&hold, &group, id, Some(&successor)).expect("an answer")
+    );
     let promoted = coordination.view().promoted.clone();
     let earlier = Successor { instance: InstanceName::new("i-1"), term: None };
     assert_eq!(promoted, [(GroupName::new("earlier"), earlier), (group, successor)].into());
@@ -252,7 +256,7 @@
     }
     store.put(&InstanceEntry::key("i-3"), b"no entry");
     let names = ["i-1", "i-2", "i-3", "i-4"].map(InstanceName::new);
-    let starts = coordination.starts(&names).expect("an answer");
+    let starts = coordination.reported_incarnations(&names).expect("an answer");
     assert_eq!(starts, [(InstanceName::new("i-1"), InstanceIncarnation(7))].into());
 }
 
@@ -267,7 +271,7 @@
     holding.finish(first.id);
     let next = holding.intent(2);
     holding.record(&next);
-    let done_late = late.finish(&holding.hold, &holding.group, first.id, None);
+    let done_late = late.finish_replacement(&holding.hold, &holding.group, first.id, None);
     assert!(done_late.expect("an answer"), "it had been done");
     assert_eq!(holding.recorded(), Some(next), "the next one goes on");
 }
@@ -283,7 +287,10 @@
     let successor = Successor { instance: InstanceName::new("i-2"), term: Some(Term(7)) };
     let (hold, group) = (&holding.hold, &holding.group);
     assert!(
-        holding.coordination.finish(hold, group, intent.id, Some(&successor)).expect("an answer")
+        holding
+            .coordination
+            .finish_replacement(hold, group, intent.id, Some(&successor))
+            .expect("an answer")
     );
     holding.store.put_back(&copy);
     advance(&holding.mirror);
@@ -308,7 +315,7 @@
     holding.store.put_back(&copy);
     let (hold, group) = (&holding.hold, &holding.group);
     assert_eq!(holding.coordination.renew(hold).expect("an answer"), None);
-    let recorded = holding.coordination.record(hold, group, &holding.intent(1));
+    let recorded = holding.coordination.record_intent(hold, group, &holding.intent(1));
     assert!(!recorded.expect("an answer"));
     advance(&holding.mirror);
     let next = holding.coordination.acquire(&node()).expect("an answer").expect("it is free");
--- a/crates/peer/src/catalog_transfer.rs
+++ b/crates/peer/src/catalog_transfer.rs
@@ -20,7 +20,7 @@
 
 /// A part of a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Chunk {
     /// The delta.
     pub transfer: TransferId,
     /// Where the part begins.
@@ -68,23 +68,23 @@
 }
 
 /// The part of `whole` that begins at `offset`.
-pub fn part_of(transfer: TransferId, whole: &Bytes, offset: u32, most: usize) -> Part {
+pub fn chunk_at(transfer: TransferId, whole: &Bytes, offset: u32, most: usize) -> Chunk {
     let from = (offset as usize).min(whole.len());
     let to = (from + most).min(whole.len());
-    Part { transfer, offset, total: whole.len() as u32, bytes: whole.slice(from..to) }
+    Chunk { transfer, offset, total: whole.len() as u32, bytes: whole.slice(from..to) }
 }
 
 /// What has arrived of a delta.
 #[derive(Debug)]
-pub struct Incoming {
+pub struct IncomingTransfer {
     transfer: TransferId,
     total: u32,
     bytes: BytesMut,
 }
 
-impl Incoming {
+impl IncomingTransfer {
     /// From its first part.
-    pub fn begin(part: &Part) -> Result<Self, TransferError> {
+    pub fn begin(part: &Chunk) -> Result<Self, TransferError> {
         let mut incoming =
             Self { transfer: part.transfer, total: part.total, bytes: BytesMut::new() };
         incoming.add(part)?;
@@ -92,7 +92,7 @@
     }
 
     /// Takes the next part in.
-    pub fn add(&mut self, part: &Part) -> Result<(), TransferError> {
+    pub fn add(&mut self, part: &Chunk) -> Result<(), TransferError> {
         let continues = part.transfer == self.transfer
             && part.total == self.total
             && part.offset as usize == self.bytes.len()
@@ -110,7 +110,7 @@
     }
 
     /// Whether all has arrived.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.bytes.len() == self.total as usize
     }
 
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -14,7 +14,7 @@
 use kestrellock_core::session_state::SessionSetting;
 use serde::{Deserialize, Serialize};
 
-use crate::catalog_transfer::{Part, TransferId};
+use crate::catalog_transfer::{Chunk, TransferId};
 
 /// Version of the protocol between nodes; a peer with another one is refused.
 pub const PROTOCOL_VERSION: u16 = 7;
@@ -34,19 +34,20 @@
     /// This one, which the front chose.
     Instance(InstanceName),
     /// Whichever the gateway chooses.
-    Any(PlacementNeed),
+    Any(PlacementRequirements),
 }
 
 /// What the choice of an instance depends on, beside [`Exchange::access`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacementNeed {
+pub struct PlacementRequirements {
     /// Time since the request arrived at the front. Nodes share no clock; the time under way is not
     /// part of it, so the gateway takes the request for younger than it is, which asks for more.
     pub waited: Duration,
     /// How old what it reads may be; `None` if it reads nothing.
     pub staleness: Option<Duration>,
     /// An instance that could not run it a moment ago.
-    pub passed_over: Option<InstanceName>,
+    #[serde(rename = "passed_over")]
+    pub excluded_instance: Option<InstanceName>,
 }
 
 /// One round trip with a back end on behalf of a caller.
@@ -155,7 +156,8 @@
         owner: Option<NodeName>,
     },
     /// The gateway has nothing under way for the exchange and no answer to repeat; the lease is over.
-    NotUnderWay {
+    #[serde(rename = "NotUnderWay")]
+    NotInProgress {
         /// Whether it has surely not run: it never reached the gateway's node.
         has_not_run: bool,
     },
@@ -177,7 +179,8 @@
     },
     /// News of a lease that the front may have missed on a connection that was replaced, or may have
     /// received.
-    Again {
+    #[serde(rename = "Again")]
+    Resent {
         /// The lease.
         lease: LeaseId,
         /// Its number within the lease.
@@ -223,7 +226,8 @@
         have: Revision,
     },
     /// The sender has this revision in force.
-    InForce {
+    #[serde(rename = "InForce")]
+    Active {
         /// The revision.
         revision: Revision,
     },
@@ -235,7 +239,8 @@
     /// The sender will send what the receiver wants to fetch, after it has served others.
     Queued,
     /// The next part of what the receiver fetches.
-    Part(Part),
+    #[serde(rename = "Part")]
+    Chunk(Chunk),
     /// The sender has received what comes before `offset`; the whole, if nothing follows it.
     Next {
         /// What it fetches.
@@ -244,7 +249,8 @@
         offset: u32,
     },
     /// The sender wants no more of what the receiver sends.
-    Enough,
+    #[serde(rename = "Enough")]
+    StopTransfer,
     /// The sender asks since when no newer configuration than the receiver's is known to stand.
     Confirm {
         /// Number of the question.
@@ -272,7 +278,8 @@
     },
     /// The sender has drained and ends: what it has not answered on this connection has not run
     /// and never will.
-    Goodbye {
+    #[serde(rename = "Goodbye")]
+    Leave {
         /// The sender.
         node: NodeName,
     },
@@ -286,7 +293,8 @@
     },
     /// The sender has given its evidence of a group's primary up, for the replacement that the
     /// receiver carries out.
-    EvidenceGivenUp {
+    #[serde(rename = "EvidenceGivenUp")]
+    EvidenceRevoked {
         /// The sender.
         node: NodeName,
         /// The group.
@@ -298,7 +306,8 @@
         witness: Witness,
     },
     /// The sender has a group's primary replaced.
-    ReplacementUnderWay {
+    #[serde(rename = "ReplacementUnderWay")]
+    ReplacementInProgress {
         /// The group.
         group: GroupName,
         /// What it has recorded in the store.
@@ -307,7 +316,8 @@
         age: Duration,
     },
     /// A replacement of the sender is over.
-    ReplacementOver {
+    #[serde(rename = "ReplacementOver")]
+    ReplacementFinished {
         /// The group.
         group: GroupName,
         /// Which replacement it is.
--- a/crates/peer/src/replay.rs
+++ b/crates/peer/src/replay.rs
@@ -9,7 +9,7 @@
 const WORD_BITS: u64 = 64;
 const WORDS: usize = 8;
 /// How far a datagram may lag behind the newest of its sender.
-pub const WINDOW: u64 = WORD_BITS * WORDS as u64;
+pub const REPLAY_WINDOW: u64 = WORD_BITS * WORDS as u64;
 /// Senders remembered before those that have been silent longest are forgotten.
 pub const MAX_SENDERS: usize = 4096;
 
@@ -78,7 +78,7 @@
         if sequence > self.highest {
             self.advance(sequence);
         }
-        if self.highest - sequence >= WINDOW {
+        if self.highest - sequence >= REPLAY_WINDOW {
             return Err(ReplayError::Repeated);
         }
         let (word, bit) = place(sequence);
@@ -91,7 +91,7 @@
 
     /// Clears the places of the numbers between the old highest and the new.
     fn advance(&mut self, sequence: u64) {
-        if sequence - self.highest >= WINDOW {
+        if sequence - self.highest >= REPLAY_WINDOW {
             self.seen = [0; WORDS];
         } else {
             for passed in self.highest + 1..=sequence {
@@ -104,6 +104,6 @@
 }
 
 fn place(sequence: u64) -> (usize, u64) {
-    let index = sequence % WINDOW;
+    let index = sequence % REPLAY_WINDOW;
     ((index / WORD_BITS) as usize, 1 << (index % WORD_BITS))
 }
--- a/crates/peer/tests/catalog_transfer.rs
+++ b/crates/peer/tests/catalog_transfer.rs
@@ -6,7 +6,7 @@
     Catalog, CatalogDelta, CatalogSummary, Revision, VersionedCatalog,
 };
 use kestrellock_peer::catalog_transfer::{
-    Incoming, TransferError, TransferId, pack, part_of, unpack,
+    IncomingTransfer, TransferError, TransferId, chunk_at, pack, unpack,
 };
 
 const TENANTS: u64 = 1_400;
@@ -44,14 +44,14 @@
 #[test]
 fn parts_make_the_whole_and_are_taken_in_order_only() {
     let packed = pack(&large_delta()).expect("it is packed");
-    let part = |offset: u32| part_of(TRANSFER, &packed, offset, PART_BYTES);
-    let mut incoming = Incoming::begin(&part(0)).expect("the first");
+    let part = |offset: u32| chunk_at(TRANSFER, &packed, offset, PART_BYTES);
+    let mut incoming = IncomingTransfer::begin(&part(0)).expect("the first");
     assert!(matches!(incoming.add(&part(0)), Err(TransferError::OutOfOrder)));
     assert!(matches!(incoming.add(&part(2_000)), Err(TransferError::OutOfOrder)));
     let mut other = part(1_000);
     other.transfer = TransferId(8);
     assert!(matches!(incoming.add(&other), Err(TransferError::OutOfOrder)));
-    while !incoming.is_whole() {
+    while !incoming.is_complete() {
         incoming.add(&part(incoming.next_offset())).expect("the next");
     }
     assert_eq!(incoming.bytes(), &packed[..]);
@@ -65,7 +65,7 @@
     for bytes in [&packed[..packed.len() / 2], &b"no delta"[..], &[]] {
         assert!(matches!(unpack(bytes), Err(TransferError::Malformed(_))));
     }
-    let mut longer = part_of(TRANSFER, &Bytes::from_static(b"abc"), 0, PART_BYTES);
+    let mut longer = chunk_at(TRANSFER, &Bytes::from_static(b"abc"), 0, PART_BYTES);
     longer.total = 2;
-    assert!(matches!(Incoming::begin(&longer), Err(TransferError::OutOfOrder)));
+    assert!(matches!(IncomingTransfer::begin(&longer), Err(TransferError::OutOfOrder)));
 }
--- a/crates/peer/tests/datagram.rs
+++ b/crates/peer/tests/datagram.rs
@@ -11,7 +11,7 @@
 };
 use kestrellock_peer::auth::{ClusterKeys, Key, KeyError};
 use kestrellock_peer::datagram::{DatagramCodec, DatagramError, MAX_NAME_BYTES};
-use kestrellock_peer::replay::{MAX_SENDERS, ReplayError, ReplayGuard, WINDOW};
+use kestrellock_peer::replay::{MAX_SENDERS, REPLAY_WINDOW, ReplayError, ReplayGuard};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -176,14 +176,14 @@
     /// Each sequence number in the window is accepted exactly once.
     #[test]
     fn the_replay_window_accepts_each_number_once(
-        numbers in prop::collection::vec(1_u64..3 * WINDOW, 1..400),
+        numbers in prop::collection::vec(1_u64..3 * REPLAY_WINDOW, 1..400),
     ) {
         let mut guard = ReplayGuard::default();
         let mut accepted = std::collections::BTreeSet::new();
         let mut highest = 0;
         for number in numbers {
             let outcome = guard.check(&NodeName::new("a"), 1, number, NOW);
-            let in_window = number > highest || highest - number < WINDOW;
+            let in_window = number > highest || highest - number < REPLAY_WINDOW;
             prop_assert_eq!(outcome.is_ok(), in_window && accepted.insert(number));
             highest = highest.max(number);
         }
--- a/crates/store/src/apply.rs
+++ b/crates/store/src/apply.rs
@@ -14,10 +14,10 @@
 use thiserror::Error;
 
 use crate::backoff::Backoff;
-use crate::catalog::{self, CatalogError, GUARD, PREFIX};
+use crate::catalog::{self, CATALOG_PREFIX, CatalogError, GUARD_KEY};
 use crate::store::{
-    Condition, ConfigStore, MAX_TRANSACTION_OPERATIONS, Put, Snapshot, StoreError, Swap,
-    Transaction,
+    Condition, ConfigStore, MAX_TRANSACTION_OPERATIONS, Put, Snapshot, StoreError, Transaction,
+    TransactionOutcome,
 };
 
 /// Most entries of one change: each takes up to three writes, and the guard one.
@@ -27,19 +27,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ApplyLimits {
     /// No attempt begins after this time.
-    pub total: Duration,
+    pub total_timeout: Duration,
     /// Wait after the first failure; it doubles.
-    pub first_wait: Duration,
+    pub initial_delay: Duration,
     /// Longest wait.
-    pub last_wait: Duration,
+    pub max_delay: Duration,
 }
 
 impl Default for ApplyLimits {
     fn default() -> Self {
         Self {
-            total: Duration::from_secs(10),
-            first_wait: Duration::from_millis(50),
-            last_wait: Duration::from_secs(1),
+            total_timeout: Duration::from_secs(10),
+            initial_delay: Duration::from_millis(50),
+            max_delay: Duration::from_secs(1),
         }
     }
 }
@@ -81,7 +81,7 @@
     check_size(request)?;
     let mut attempts = Attempts::new(limits);
     loop {
-        let snapshot = match store.range(PREFIX) {
+        let snapshot = match store.range(CATALOG_PREFIX) {
             Ok(snapshot) => snapshot,
             Err(error) => {
                 attempts.wait(error)?;
@@ -99,14 +99,17 @@
         }
         let plan = plan(&snapshot, request).map_err(|error| attempts.judge(error))?;
         let Some(transaction) = plan else {
-            return Ok(Applied { revision: catalog::revision_of(&snapshot), changed: false });
+            return Ok(Applied {
+                revision: catalog::configuration_revision(&snapshot),
+                changed: false,
+            });
         };
         match store.commit(&transaction) {
-            Ok(Swap::Written(revision)) => {
+            Ok(TransactionOutcome::Written(revision)) => {
                 return Ok(Applied { revision: Revision(revision), changed: true });
             }
             // Somebody else was faster: read again, and see whether it concerns us.
-            Ok(Swap::Conflict) => attempts.wait(busy())?,
+            Ok(TransactionOutcome::Conflict) => attempts.wait(busy())?,
             Err(error) => attempts.wait_after_write(error)?,
         }
     }
@@ -159,8 +162,8 @@
         return Ok(None);
     }
     let mut transaction = Transaction::default();
-    transaction.conditions.push(Condition { key: GUARD.into(), modified: standing.guard });
-    transaction.puts.push(Put { key: GUARD.into(), value: request.request.0.clone().into() });
+    transaction.conditions.push(Condition { key: GUARD_KEY.into(), mod_revision: standing.guard });
+    transaction.puts.push(Put { key: GUARD_KEY.into(), value: request.request.0.clone().into() });
     for (place, change) in standing.entries.iter().zip(&request.changes) {
         add_writes(&mut transaction, place, change, request).map_err(|error| {
             ApplyError::Malformed(CatalogError::Malformed {
@@ -196,7 +199,7 @@
     };
     let value = catalog::encode(&authorship, &change.value)?;
     let history = catalog::history_key(&id, authorship.version);
-    transaction.conditions.push(Condition { key: place.key.clone(), modified: place.modified });
+    transaction.conditions.push(Condition { key: place.key.clone(), mod_revision: place.modified });
     transaction.puts.push(Put { key: place.key.clone(), value: value.clone() });
     transaction.puts.push(Put { key: history, value });
     Ok(())
@@ -231,7 +234,7 @@
             let key = catalog::entry_key(&id);
             let stored = find(&key);
             let entry = stored.and_then(|found| catalog::decode_as(id.kind, &id.name, found).ok());
-            Place { modified: stored.map_or(0, |found| found.modified), key, entry }
+            Place { modified: stored.map_or(0, |found| found.mod_revision), key, entry }
         });
         let entries: Vec<Place> = entries.collect();
         let mut rest = Catalog::default();
@@ -244,7 +247,7 @@
                 rest.insert(&entry.name, entry.value);
             }
         }
-        let guard = find(GUARD).map_or(0, |stored| stored.modified);
+        let guard = find(GUARD_KEY).map_or(0, |stored| stored.mod_revision);
         Ok(Self { guard, entries, rest })
     }
 
@@ -272,18 +275,18 @@
 
 impl Attempts {
     fn new(limits: &ApplyLimits) -> Self {
-        let backoff = Backoff::new(limits.first_wait, limits.last_wait);
-        Self { deadline: Instant::now() + limits.total, backoff, doubt: None }
+        let backoff = Backoff::new(limits.initial_delay, limits.max_delay);
+        Self { deadline: Instant::now() + limits.total_timeout, backoff, doubt: None }
     }
 
     /// Waits before another attempt, or gives up.
     fn wait(&mut self, error: StoreError) -> Result<(), ApplyError> {
         let wait = match &error {
             StoreError::RateLimited { retry_after } => {
-                *retry_after + self.backoff.wait(rand::random())
+                *retry_after + self.backoff.next_delay(rand::random())
             }
             StoreError::Protocol(_) => return Err(self.give_up(error)),
-            _ => self.backoff.wait(rand::random()),
+            _ => self.backoff.next_delay(rand::random()),
         };
         if Instant::now() + wait >= self.deadline {
             return Err(self.give_up(error));
--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -17,7 +17,7 @@
     }
 
     /// The next wait; `random` is uniform in 0..1.
-    pub fn wait(&mut self, random: f64) -> Duration {
+    pub fn next_delay(&mut self, random: f64) -> Duration {
         let ceiling = self.next;
         self.next = (self.next * 2).min(self.last);
         ceiling.mul_f64(0.5 + random.clamp(0.0, 1.0) / 2.0)
--- a/crates/store/src/catalog.rs
+++ b/crates/store/src/catalog.rs
@@ -10,20 +10,20 @@
 use crate::store::{ConfigStore, KeyValue, Snapshot, StoreError};
 
 /// Prefix of every key of the catalog.
-pub const PREFIX: &str = "/kestrellock/";
+pub const CATALOG_PREFIX: &str = "/kestrellock/";
 /// Prefix of database groups.
-pub const GROUPS: &str = "/kestrellock/groups/";
+pub const GROUPS_PREFIX: &str = "/kestrellock/groups/";
 /// Prefix of templates.
-pub const TEMPLATES: &str = "/kestrellock/templates/";
+pub const TEMPLATES_PREFIX: &str = "/kestrellock/templates/";
 /// Prefix of tenants.
-pub const TENANTS: &str = "/kestrellock/tenants/";
+pub const TENANTS_PREFIX: &str = "/kestrellock/tenants/";
 /// Written by every change, so that two changes never pass each other unseen.
-pub const GUARD: &str = "/kestrellock/guard";
+pub const GUARD_KEY: &str = "/kestrellock/guard";
 /// Prefix of former versions; not under [`PREFIX`], so that no node reads them to follow the
 /// configuration.
 const HISTORY: &str = "/kestrellock-history/";
 /// Versions kept of an entry.
-pub const MAX_HISTORY: u64 = 20;
+pub const MAX_HISTORY_VERSIONS: u64 = 20;
 
 /// Why the catalog could not be read.
 #[derive(Debug, Error)]
@@ -51,7 +51,7 @@
 
 /// Key of an entry.
 pub fn entry_key(id: &EntryId) -> String {
-    format!("{PREFIX}{}/{}", id.kind.table(), id.name)
+    format!("{CATALOG_PREFIX}{}/{}", id.kind.table(), id.name)
 }
 
 /// Prefix of the kept versions of an entry.
@@ -61,7 +61,7 @@
 
 /// Key of one kept version; the versions of an entry share [`MAX_HISTORY`] keys in turn.
 pub fn history_key(id: &EntryId, version: u64) -> String {
-    format!("{}{}", history_prefix(id), version % MAX_HISTORY)
+    format!("{}{}", history_prefix(id), version % MAX_HISTORY_VERSIONS)
 }
 
 /// The bytes stored for an entry's version.
@@ -78,7 +78,7 @@
 
 /// The entry that a key holds; `None` if the key holds none.
 pub fn decode(stored: &KeyValue) -> Result<Option<Entry>, CatalogError> {
-    let Some((kind, name)) = stored.key.strip_prefix(PREFIX).and_then(split_key) else {
+    let Some((kind, name)) = stored.key.strip_prefix(CATALOG_PREFIX).and_then(split_key) else {
         return Ok(None);
     };
     decode_as(kind, name, stored).map(Some)
@@ -111,7 +111,7 @@
         EntryKind::Account => serde_json::from_value(value).map(EntryValue::Account),
     };
     let value = value.map_err(malformed)?;
-    let revision = Revision(stored.modified);
+    let revision = Revision(stored.mod_revision);
     Ok(Entry { name: name.to_owned(), revision, authorship, value })
 }
 
@@ -126,19 +126,19 @@
 
 /// Reads the whole catalog at one revision.
 pub fn read_catalog(store: &dyn ConfigStore) -> Result<StoredCatalog, CatalogError> {
-    let snapshot = store.range(PREFIX)?;
-    let catalog = catalog_of(&snapshot)?;
+    let snapshot = store.range(CATALOG_PREFIX)?;
+    let catalog = catalog_from_snapshot(&snapshot)?;
     Ok(StoredCatalog { catalog, store_revision: snapshot.revision })
 }
 
 /// Revision of the configuration that a snapshot of [`PREFIX`] holds.
-pub fn revision_of(snapshot: &Snapshot) -> Revision {
-    Revision(snapshot.entries.iter().map(|entry| entry.modified).max().unwrap_or(0))
+pub fn configuration_revision(snapshot: &Snapshot) -> Revision {
+    Revision(snapshot.entries.iter().map(|entry| entry.mod_revision).max().unwrap_or(0))
 }
 
 /// The catalog that a snapshot of [`PREFIX`] holds.
-pub fn catalog_of(snapshot: &Snapshot) -> Result<VersionedCatalog, CatalogError> {
-    let mut catalog = Catalog { revision: revision_of(snapshot), ..Catalog::default() };
+pub fn catalog_from_snapshot(snapshot: &Snapshot) -> Result<VersionedCatalog, CatalogError> {
+    let mut catalog = Catalog { revision: configuration_revision(snapshot), ..Catalog::default() };
     for stored in &snapshot.entries {
         if let Some(entry) = decode(stored)? {
             catalog.insert(&entry.name, entry.value);
--- a/crates/store/src/control.rs
+++ b/crates/store/src/control.rs
@@ -37,7 +37,7 @@
 
 /// What an instance may be told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum InstanceCommand {
     /// Say how you stand.
     Ask,
     /// Receive nothing below this term.
@@ -51,11 +51,15 @@
 /// Speaks to instances.
 pub trait InstanceControl: Send + Sync {
     /// Gives an order and returns how the instance stands afterwards.
-    fn tell(&self, target: &ControlTarget, order: Order) -> Result<Standing, ControlError>;
+    fn execute(
+        &self,
+        target: &ControlTarget,
+        order: InstanceCommand,
+    ) -> Result<Standing, ControlError>;
 }
 
 /// The platform's promotion call.
-pub trait Promotions: Send + Sync {
+pub trait PromotionService: Send + Sync {
     /// Has `instance` take over as the primary of `group`; `holder` acts under `fence`.
     fn promote(
         &self,
--- a/crates/store/src/coordination.rs
+++ b/crates/store/src/coordination.rs
@@ -19,13 +19,13 @@
 
 /// The right to act, taken by this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Hold {
+pub struct CoordinatorLease {
     /// The store's number of the lease.
-    pub lease: u64,
+    pub lease_id: u64,
     /// Rises with each hold.
     pub fence: u64,
     /// Until when it surely lasts.
-    pub until: Instant,
+    pub valid_until: Instant,
 }
 
 /// The store's part in replacing primaries.
@@ -37,33 +37,38 @@
     fn era(&self) -> StoreEra;
 
     /// Asks the store whether [`Self::view`] is complete: its revision, if nothing has changed since.
-    fn complete_revision(&self) -> Result<Option<u64>, StoreError>;
+    fn check_view(&self) -> Result<Option<u64>, StoreError>;
 
     /// Replaces what `node` suspects.
-    fn vote(&self, node: &NodeName, votes: &NodeVotes) -> Result<(), StoreError>;
+    fn publish_votes(&self, node: &NodeName, votes: &NodeVotes) -> Result<(), StoreError>;
 
     /// Takes the right to act; `None` if another node has it.
-    fn acquire(&self, node: &NodeName) -> Result<Option<Hold>, StoreError>;
+    fn acquire(&self, node: &NodeName) -> Result<Option<CoordinatorLease>, StoreError>;
 
     /// Prolongs a hold; `None` if it is over.
-    fn renew(&self, hold: &Hold) -> Result<Option<Hold>, StoreError>;
+    fn renew(&self, hold: &CoordinatorLease) -> Result<Option<CoordinatorLease>, StoreError>;
 
     /// Gives the right to act up.
-    fn release(&self, hold: &Hold) -> Result<(), StoreError>;
+    fn release(&self, hold: &CoordinatorLease) -> Result<(), StoreError>;
 
     /// Records an intent under the hold; false if the hold is over.
-    fn record(&self, hold: &Hold, group: &GroupName, intent: &Intent) -> Result<bool, StoreError>;
+    fn record_intent(
+        &self,
+        hold: &CoordinatorLease,
+        group: &GroupName,
+        intent: &Intent,
+    ) -> Result<bool, StoreError>;
 
     /// Asks the store which starts of their processes `instances` tell; those are left out that tell none.
-    fn starts(
+    fn reported_incarnations(
         &self,
         instances: &[InstanceName],
     ) -> Result<BTreeMap<InstanceName, InstanceIncarnation>, StoreError>;
 
     /// Records the successor that leads a group; false if the hold is over.
-    fn install(
+    fn record_primary(
         &self,
-        hold: &Hold,
+        hold: &CoordinatorLease,
         group: &GroupName,
         successor: &InstanceName,
     ) -> Result<bool, StoreError>;
@@ -74,9 +79,9 @@
 
     /// Takes the intent of a replacement back under the hold, and records the successor; false if the hold is
     /// over. The intent of another replacement stays.
-    fn finish(
+    fn finish_replacement(
         &self,
-        hold: &Hold,
+        hold: &CoordinatorLease,
         group: &GroupName,
         id: ReplacementId,
         successor: Option<&Successor>,
--- a/crates/store/src/etcd/mod.rs
+++ b/crates/store/src/etcd/mod.rs
@@ -6,7 +6,9 @@
 
 use std::time::Duration;
 
-use crate::store::{ConfigStore, KeyValue, Snapshot, StoreError, Swap, Transaction, Watch};
+use crate::store::{
+    ConfigStore, KeyValue, Snapshot, StoreError, Transaction, TransactionOutcome, Watch,
+};
 use http::{Effect, Endpoints};
 use watch::EtcdWatch;
 
@@ -25,7 +27,7 @@
     }
 
     /// The same client with another limit for a call.
-    pub fn with_call_limit(mut self, limit: Duration) -> Self {
+    pub fn with_call_timeout(mut self, limit: Duration) -> Self {
         self.endpoints.call_limit = limit;
         self
     }
@@ -40,21 +42,21 @@
             let key = String::from_utf8(wire::decode(&entry.key)?)
                 .map_err(|error| StoreError::Protocol(error.to_string()))?;
             let value = wire::decode(&entry.value)?;
-            entries.push(KeyValue { key, value, modified: wire::number(&entry.mod_revision)? });
+            entries.push(KeyValue { key, value, mod_revision: wire::number(&entry.mod_revision)? });
         }
         Ok(Snapshot { revision: wire::number(&answer.header.revision)?, entries })
     }
 
-    fn commit(&self, transaction: &Transaction) -> Result<Swap, StoreError> {
+    fn commit(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError> {
         let body = wire::TransactionRequest::new(transaction);
         let answer: wire::TransactionAnswer =
             self.endpoints.call(TRANSACTION, &body, Effect::Write)?;
         match answer.succeeded {
             // A revision that cannot be read leaves the caller to read back what it wrote.
             true => wire::number(&answer.header.revision)
-                .map(Swap::Written)
+                .map(TransactionOutcome::Written)
                 .map_err(|error| StoreError::Unanswered(error.to_string())),
-            false => Ok(Swap::Conflict),
+            false => Ok(TransactionOutcome::Conflict),
         }
     }
 
--- a/crates/store/src/etcd/watch.rs
+++ b/crates/store/src/etcd/watch.rs
@@ -40,7 +40,7 @@
     fn next(&mut self, limit: Duration) -> Result<WatchEvent, StoreError> {
         match self.events.recv_timeout(limit) {
             Ok(outcome) => outcome,
-            Err(RecvTimeoutError::Timeout) => Ok(WatchEvent::Quiet),
+            Err(RecvTimeoutError::Timeout) => Ok(WatchEvent::TimedOut),
             Err(RecvTimeoutError::Disconnected) => {
                 Err(StoreError::Unanswered("the watch stream ended".into()))
             }
--- a/crates/store/src/etcd/wire.rs
+++ b/crates/store/src/etcd/wire.rs
@@ -69,7 +69,7 @@
             key: STANDARD.encode(&condition.key),
             target: "MOD",
             result: "EQUAL",
-            mod_revision: condition.modified.to_string(),
+            mod_revision: condition.mod_revision.to_string(),
         });
         let success = transaction.puts.iter().map(|put| Operation {
             request_put: PutOperation {
--- a/crates/store/src/machines.rs
+++ b/crates/store/src/machines.rs
@@ -40,13 +40,13 @@
     fn machines(&self) -> Result<Vec<Machine>, StoreError>;
 
     /// Enters this node, where nodes enter themselves.
-    fn enter(&self, own: &Machine) -> Result<(), StoreError> {
+    fn register(&self, own: &Machine) -> Result<(), StoreError> {
         let _ = own;
         Ok(())
     }
 
     /// Takes this node's entry back, where nodes enter themselves, as it ends for good.
-    fn leave(&self, own: &Machine) -> Result<(), StoreError> {
+    fn deregister(&self, own: &Machine) -> Result<(), StoreError> {
         let _ = own;
         Ok(())
     }
--- a/crates/store/src/source.rs
+++ b/crates/store/src/source.rs
@@ -5,7 +5,7 @@
 
 use kestrellock_core::catalog::{CatalogVersion, Revision};
 
-use crate::catalog::{CatalogError, PREFIX, StoredCatalog, read_catalog};
+use crate::catalog::{CATALOG_PREFIX, CatalogError, StoredCatalog, read_catalog};
 use crate::store::{ConfigStore, Watch, WatchEvent};
 
 /// A watch that ends sooner than this counts as a failure.
@@ -36,7 +36,7 @@
 
     /// A moment at which the catalog that [`Self::next`] told last was the newest, and which one that is; `None`
     /// where the source does not know one.
-    fn confirmed(&mut self) -> Option<(CatalogVersion, Instant)> {
+    fn confirmed_version(&mut self) -> Option<(CatalogVersion, Instant)> {
         None
     }
 }
@@ -68,7 +68,7 @@
         if self.watch.is_none() {
             // What peers brought is known as well: who returns to the store need not read it again.
             let seen = self.seen.max(in_force.0);
-            let watch = self.store.watch(PREFIX, seen + 1)?;
+            let watch = self.store.watch(CATALOG_PREFIX, seen + 1)?;
             self.watch = Some((watch, Instant::now()));
         }
         Ok(())
@@ -87,7 +87,7 @@
         self.open_watch(in_force)?;
         let Some((watch, opened)) = &mut self.watch else { return Ok(None) };
         match watch.next(limit) {
-            Ok(WatchEvent::Quiet) => Ok(None),
+            Ok(WatchEvent::TimedOut) => Ok(None),
             Ok(WatchEvent::Changed(revision)) if revision <= in_force.0 => Ok(None),
             Ok(WatchEvent::Changed(_) | WatchEvent::Compacted) => {
                 self.watch = None;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -18,7 +18,7 @@
     /// Value.
     pub value: Vec<u8>,
     /// Store revision at which the key was last written.
-    pub modified: u64,
+    pub mod_revision: u64,
 }
 
 /// All keys under a prefix at one revision of the store.
@@ -36,7 +36,7 @@
     /// Key.
     pub key: String,
     /// Store revision; zero: the key does not exist.
-    pub modified: u64,
+    pub mod_revision: u64,
 }
 
 /// A value to write.
@@ -62,7 +62,7 @@
 
 /// Outcome of a transaction that reached the store and was answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Swap {
+pub enum TransactionOutcome {
     /// Written; the new revision of the store.
     Written(u64),
     /// A condition did not hold; nothing was written.
@@ -101,7 +101,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// Nothing within the time given.
-    Quiet,
+    TimedOut,
     /// A key was written at this revision.
     Changed(u64),
     /// Writes since the watch's revision are no longer all known: read the whole again.
@@ -121,16 +121,21 @@
     fn range(&self, prefix: &str) -> Result<Snapshot, StoreError>;
 
     /// Writes all or nothing.
-    fn commit(&self, transaction: &Transaction) -> Result<Swap, StoreError>;
+    fn commit(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError>;
 
     /// Watches keys that begin with `prefix` for writes at or after revision `from`.
     fn watch(&self, prefix: &str, from: u64) -> Result<Box<dyn Watch>, StoreError>;
 
     /// Writes `value` under `key` if the key was last written at revision `expected`
     /// (zero: if it does not exist).
-    fn compare_and_swap(&self, key: &str, expected: u64, value: &[u8]) -> Result<Swap, StoreError> {
+    fn compare_and_swap(
+        &self,
+        key: &str,
+        expected: u64,
+        value: &[u8],
+    ) -> Result<TransactionOutcome, StoreError> {
         self.commit(&Transaction {
-            conditions: vec![Condition { key: key.to_owned(), modified: expected }],
+            conditions: vec![Condition { key: key.to_owned(), mod_revision: expected }],
             puts: vec![Put { key: key.to_owned(), value: value.to_vec() }],
         })
     }
--- a/crates/store/tests/apply.rs
+++ b/crates/store/tests/apply.rs
@@ -9,7 +9,9 @@
 };
 use kestrellock_core::catalog::{Catalog, Revision};
 use kestrellock_store::apply::{ApplyError, ApplyLimits, MAX_CHANGES, apply};
-use kestrellock_store::catalog::{MAX_HISTORY, TENANTS, read_catalog, read_history};
+use kestrellock_store::catalog::{
+    MAX_HISTORY_VERSIONS, TENANTS_PREFIX, read_catalog, read_history,
+};
 use kestrellock_store::store::ConfigStore;
 use memory_store::{Fault, MemoryStore};
 use proptest::prelude::*;
@@ -33,9 +35,9 @@
 
 /// Waits so short that a whole script of faults fits into a moment.
 const LIMITS: ApplyLimits = ApplyLimits {
-    total: Duration::from_millis(200),
-    first_wait: Duration::from_micros(10),
-    last_wait: Duration::from_micros(50),
+    total_timeout: Duration::from_millis(200),
+    initial_delay: Duration::from_micros(10),
+    max_delay: Duration::from_micros(50),
 };
 
 fn request(number: &str, base: u64, changes: Vec<Change>) -> ApplyRequest {
@@ -187,8 +189,8 @@
 #[test]
 fn a_malformed_entry_stops_other_changes_and_can_itself_be_replaced() {
     let (store, _) = filled();
-    let key = format!("{TENANTS}atlas");
-    let modified = store.range(&key).expect("it reads").entries[0].modified;
+    let key = format!("{TENANTS_PREFIX}atlas");
+    let modified = store.range(&key).expect("it reads").entries[0].mod_revision;
     store.compare_and_swap(&key, modified, b"{ not JSON").expect("written past the checks");
     let base = store.range("/").expect("it reads").revision;
     let outcome = apply(&store, &request("r", base, vec![template(5)]), &LIMITS);
@@ -203,19 +205,19 @@
 fn history_is_bounded_newest_first_and_keeps_values_written_by_other_means() {
     let (store, mut base) = filled();
     let id = EntryId { kind: EntryKind::Template, name: "school".into() };
-    for number in 1..=MAX_HISTORY as u32 + 5 {
+    for number in 1..=MAX_HISTORY_VERSIONS as u32 + 5 {
         let change = request(&format!("r{number}"), base, vec![template(100 + number)]);
         base = apply(&store, &change, &LIMITS).expect("it applies").revision.0;
     }
     let history = read_history(&store, &id).expect("it reads");
-    assert_eq!(history.len() as u64, MAX_HISTORY);
+    assert_eq!(history.len() as u64, MAX_HISTORY_VERSIONS);
     assert_eq!(history[0].value, template(125).value);
     let versions: Vec<u64> = history.iter().map(|entry| entry.authorship.version).collect();
     assert!(versions.windows(2).all(|pair| pair[0] == pair[1] + 1), "{versions:?}");
 
     let other = EntryId { kind: EntryKind::Tenant, name: "bare".into() };
     let bare = br#"{"template":"school"}"#;
-    store.compare_and_swap(&format!("{TENANTS}bare"), 0, bare).expect("it is written");
+    store.compare_and_swap(&format!("{TENANTS_PREFIX}bare"), 0, bare).expect("it is written");
     let base = store.range("/").expect("it reads").revision;
     let value =
         EntryValue::Tenant(toml::from_str("template = \"school\"\ncapacity = 2").expect("valid"));
--- a/crates/store/tests/backoff.rs
+++ b/crates/store/tests/backoff.rs
@@ -15,11 +15,11 @@
         let mut backoff = Backoff::new(first, last);
         let mut ceiling = first;
         for draw in draws {
-            let wait = backoff.wait(draw);
+            let wait = backoff.next_delay(draw);
             prop_assert!(wait >= ceiling / 2 && wait <= ceiling);
             ceiling = (ceiling * 2).min(last);
         }
         backoff.reset();
-        prop_assert!(backoff.wait(0.9) <= first);
+        prop_assert!(backoff.next_delay(0.9) <= first);
     }
 }
--- a/crates/store/tests/etcd_faults.rs
+++ b/crates/store/tests/etcd_faults.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_store::etcd::EtcdStore;
-use kestrellock_store::store::{ConfigStore, Snapshot, StoreError, Swap, WatchEvent};
+use kestrellock_store::store::{ConfigStore, Snapshot, StoreError, TransactionOutcome, WatchEvent};
 
 const LIMIT: Duration = Duration::from_secs(30);
 const SHORT_CALL: Duration = Duration::from_millis(200);
@@ -128,7 +128,7 @@
     ];
     for (name, script, expected) in table {
         let server = Server::start(script);
-        let store = EtcdStore::new(vec![server.url()]).with_call_limit(SHORT_CALL);
+        let store = EtcdStore::new(vec![server.url()]).with_call_timeout(SHORT_CALL);
         let outcome = store.compare_and_swap("/k", 3, b"v");
         assert_eq!(kind(&outcome), expected, "{name}: {outcome:?}");
         assert_eq!(server.requests(), 1, "{name}: a write is sent once");
@@ -155,7 +155,10 @@
     drop(dead);
     let good = Server::start(Script::Send(WRITTEN));
     let store = EtcdStore::new(vec![dead_url, good.url()]);
-    assert_eq!(store.compare_and_swap("/k", 0, b"v").expect("the second"), Swap::Written(18));
+    assert_eq!(
+        store.compare_and_swap("/k", 0, b"v").expect("the second"),
+        TransactionOutcome::Written(18)
+    );
     for script in [Script::Send(""), Script::Send(UNAVAILABLE), Script::Send(CUT_SHORT)] {
         let bad = Server::start(script);
         let good = Server::start(Script::Send(WRITTEN));
--- a/crates/store/tests/memory_store/mod.rs
+++ b/crates/store/tests/memory_store/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kestrellock_store::store::{
-    ConfigStore, KeyValue, Snapshot, StoreError, Swap, Transaction, Watch,
+    ConfigStore, KeyValue, Snapshot, StoreError, Transaction, TransactionOutcome, Watch,
 };
 
 /// What happens to one call.
@@ -36,24 +36,24 @@
 }
 
 impl State {
-    fn carry_out(&mut self, transaction: &Transaction) -> Swap {
+    fn carry_out(&mut self, transaction: &Transaction) -> TransactionOutcome {
         let modified =
-            |key: &str| self.entries.get(key).map_or(0, |entry: &KeyValue| entry.modified);
+            |key: &str| self.entries.get(key).map_or(0, |entry: &KeyValue| entry.mod_revision);
         if transaction
             .conditions
             .iter()
-            .any(|condition| modified(&condition.key) != condition.modified)
+            .any(|condition| modified(&condition.key) != condition.mod_revision)
         {
-            return Swap::Conflict;
+            return TransactionOutcome::Conflict;
         }
         self.revision += 1;
         for put in &transaction.puts {
             let (key, value) = (put.key.clone(), put.value.clone());
-            let entry = KeyValue { key: key.clone(), value, modified: self.revision };
+            let entry = KeyValue { key: key.clone(), value, mod_revision: self.revision };
             self.entries.insert(key, entry);
         }
         self.committed.push(transaction.clone());
-        Swap::Written(self.revision)
+        TransactionOutcome::Written(self.revision)
     }
 
     fn deliver_late(&mut self) {
@@ -137,7 +137,7 @@
         self.call(read, None)
     }
 
-    fn commit(&self, transaction: &Transaction) -> Result<Swap, StoreError> {
+    fn commit(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError> {
         let interruption = self.before_commit.lock().expect("the lock").take();
         if let Some(action) = interruption {
             action(self);
