--- a/crates/store/src/apply.rs
+++ b/crates/store/src/apply.rs
@@ -1,9 +1,13 @@
-//! Changing the configuration: validated whole, written by compare-and-swap, at most once.
+//! Changes to the configuration. A change is validated against the whole configuration and written
+//! by compare-and-swap, at most once.
 //!
-//! Every change writes the guard key in the same transaction, on condition that it stands where
-//! the change read it. So no two changes are validated against a state that the other one
-//! replaces, and a change whose answer was lost can be repeated: of two deliveries of one
-//! transaction, the second finds its conditions broken. Reading back tells which one it was.
+//! Every change writes the guard key in the same transaction, on condition that the key still has
+//! the revision at which the change read it. This prevents two failures:
+//! * Two concurrent changes that are each valid but invalid together: one of them fails its
+//!   conditions and is validated again.
+//! * A change that is written twice after its answer was lost: when the same transaction is delivered
+//!   again, its conditions no longer hold. Reading the entries back shows whether the change was
+//!   written.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -20,17 +24,18 @@
     TransactionOutcome,
 };
 
-/// Most entries of one change: each takes up to three writes, and the guard one.
+/// Maximum number of entries in one change. Each entry takes up to three writes, the guard key takes
+/// one.
 pub const MAX_CHANGES: usize = (MAX_TRANSACTION_OPERATIONS - 1) / 3;
 
-/// How long a change is tried.
+/// Time limits for applying a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ApplyLimits {
-    /// No attempt begins after this time.
+    /// No attempt starts after this time.
     pub total_timeout: Duration,
-    /// Wait after the first failure; it doubles.
+    /// Delay after the first failure; it doubles after each further failure.
     pub initial_delay: Duration,
-    /// Longest wait.
+    /// Maximum delay between attempts.
     pub max_delay: Duration,
 }
 
@@ -44,35 +49,35 @@
     }
 }
 
-/// Why a change was not made, or is not known to have been.
+/// Why a change was not written, or may not have been written.
 #[derive(Debug, Error)]
 pub enum ApplyError {
-    /// No entry, too many, or one twice. Nothing changed.
+    /// The request has no entries, too many entries, or the same entry twice. Nothing changed.
     #[error("a change must name 1 to {MAX_CHANGES} entries, each once")]
     Size,
     /// The configuration would be invalid. Nothing changed.
     #[error(transparent)]
     Invalid(#[from] InvalidField),
-    /// Entries were written after the author saw them; they are as given now. Nothing changed.
+    /// Entries were written after the author read them. Nothing changed.
     #[error("changed by somebody else since revision {}", .base.0)]
     Conflict {
-        /// What the author saw.
+        /// Revision that the author read.
         base: Revision,
-        /// What stands there now.
+        /// Current entries that were written after `base`.
         entries: Vec<Entry>,
     },
     /// Another entry of the store is malformed. Nothing changed.
     #[error(transparent)]
     Malformed(CatalogError),
-    /// The store took nothing within the time given. Nothing changed.
+    /// The store did not accept the change within the time limit. Nothing changed.
     #[error("the store did not take the change: {0}")]
     Unavailable(StoreError),
-    /// The change may have been made; asking again with the same request number settles it.
+    /// The change may have been written. Repeating it with the same request number resolves this.
     #[error("the change may have been made: {0}")]
     InDoubt(StoreError),
 }
 
-/// Applies a request; gives up when its time is over.
+/// Applies a request, and retries until the time limit is reached.
 pub fn apply(
     store: &dyn ConfigStore,
     request: &ApplyRequest,
@@ -97,7 +102,7 @@
             }
             Err(error) => return Err(ApplyError::Malformed(error)),
         }
-        let plan = plan(&snapshot, request).map_err(|error| attempts.judge(error))?;
+        let plan = plan(&snapshot, request).map_err(|error| attempts.reject(error))?;
         let Some(transaction) = plan else {
             return Ok(Applied {
                 revision: catalog::configuration_revision(&snapshot),
@@ -108,8 +113,8 @@
             Ok(TransactionOutcome::Written(revision)) => {
                 return Ok(Applied { revision: Revision(revision), changed: true });
             }
-            // Somebody else was faster: read again, and see whether it concerns us.
-            Ok(TransactionOutcome::Conflict) => attempts.wait(busy())?,
+            // Another change was written first. Read again to see whether it conflicts with this one.
+            Ok(TransactionOutcome::Conflict) => attempts.wait(contention())?,
             Err(error) => attempts.wait_after_write(error)?,
         }
     }
@@ -123,51 +128,53 @@
     if fits && ids.len() == request.changes.len() { Ok(()) } else { Err(ApplyError::Size) }
 }
 
-/// The revision at which the request was already written, if it was.
+/// The revision at which this request was written, if an earlier attempt has written it.
 fn find_request(
     store: &dyn ConfigStore,
     snapshot: &Snapshot,
     request: &ApplyRequest,
 ) -> Result<Option<Revision>, CatalogError> {
-    // All entries are written together, so the first one speaks for all.
+    // All entries are written in one transaction, so checking the first one is enough.
     let Some(first) = request.changes.first() else { return Ok(None) };
-    let is_ours = |entry: &Entry| entry.authorship.request == request.request.0;
+    let is_from_request = |entry: &Entry| entry.authorship.request == request.request.0;
     let id = first.id();
     let key = catalog::entry_key(&id);
     let Some(stored) = snapshot.entries.iter().find(|stored| stored.key == key) else {
         return Ok(None);
     };
-    // A malformed value is not ours, and is about to be replaced.
+    // A malformed value was not written by this request, which will replace it.
     match catalog::decode_as(id.kind, &id.name, stored) {
-        Ok(entry) if is_ours(&entry) => return Ok(Some(entry.revision)),
+        Ok(entry) if is_from_request(&entry) => return Ok(Some(entry.revision)),
         _ => {}
     }
     let history = catalog::read_history(store, &id)?;
-    Ok(history.iter().find(|entry| is_ours(entry)).map(|entry| entry.revision))
+    Ok(history.iter().find(|entry| is_from_request(entry)).map(|entry| entry.revision))
 }
 
-/// The transaction that makes the change; `None` if every entry already has its value.
+/// Builds the transaction that writes the change; `None` if every entry already has its value.
 fn plan(snapshot: &Snapshot, request: &ApplyRequest) -> Result<Option<Transaction>, ApplyError> {
-    let standing = Standing::read(snapshot, request)?;
-    standing.check_base(request)?;
-    let mut whole = standing.rest.clone();
+    let current = CurrentState::read(snapshot, request)?;
+    current.check_base(request)?;
+    let mut changed_catalog = current.other_entries.clone();
     for change in &request.changes {
-        whole.insert(&change.name, change.value.clone());
+        changed_catalog.insert(&change.name, change.value.clone());
     }
-    whole.validate()?;
-    let unchanged = standing.entries.iter().zip(&request.changes).all(|(place, change)| {
-        place.entry.as_ref().is_some_and(|entry| entry.value == change.value)
+    changed_catalog.validate()?;
+    let unchanged = current.entries.iter().zip(&request.changes).all(|(existing, change)| {
+        existing.entry.as_ref().is_some_and(|entry| entry.value == change.value)
     });
     if unchanged {
         return Ok(None);
     }
     let mut transaction = Transaction::default();
-    transaction.conditions.push(Condition { key: GUARD_KEY.into(), mod_revision: standing.guard });
+    transaction
+        .conditions
+        .push(Condition { key: GUARD_KEY.into(), mod_revision: current.guard_revision });
     transaction.puts.push(Put { key: GUARD_KEY.into(), value: request.request.0.clone().into() });
-    for (place, change) in standing.entries.iter().zip(&request.changes) {
-        add_writes(&mut transaction, place, change, request).map_err(|error| {
+    for (existing, change) in current.entries.iter().zip(&request.changes) {
+        add_writes(&mut transaction, existing, change, request).map_err(|error| {
             ApplyError::Malformed(CatalogError::Malformed {
-                key: place.key.clone(),
+                key: existing.key.clone(),
                 problem: error.to_string(),
             })
         })?;
@@ -177,16 +184,17 @@
 
 fn add_writes(
     transaction: &mut Transaction,
-    place: &Place,
+    existing: &CurrentEntry,
     change: &Change,
     request: &ApplyRequest,
 ) -> Result<(), serde_json::Error> {
     let id = change.id();
     let mut version = 0;
-    if let Some(entry) = &place.entry {
+    if let Some(entry) = &existing.entry {
         version = entry.authorship.version;
         if version == 0 {
-            // Written by other means: keep it, so that it can be returned to.
+            // The entry was written by other means and is not in the history yet. Add it, so that
+            // operators can go back to it.
             let value = catalog::encode(&entry.authorship, &entry.value)?;
             transaction.puts.push(Put { key: catalog::history_key(&id, 0), value });
         }
@@ -199,8 +207,10 @@
     };
     let value = catalog::encode(&authorship, &change.value)?;
     let history = catalog::history_key(&id, authorship.version);
-    transaction.conditions.push(Condition { key: place.key.clone(), mod_revision: place.modified });
-    transaction.puts.push(Put { key: place.key.clone(), value: value.clone() });
+    transaction
+        .conditions
+        .push(Condition { key: existing.key.clone(), mod_revision: existing.mod_revision });
+    transaction.puts.push(Put { key: existing.key.clone(), value: value.clone() });
     transaction.puts.push(Put { key: history, value });
     Ok(())
 }
@@ -209,24 +219,24 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// What a change finds under the key of one of its entries.
-struct Place {
+/// Current state of an entry that a change writes.
+struct CurrentEntry {
     key: String,
-    modified: u64,
-    /// `None` if the key does not exist, or holds something malformed.
+    mod_revision: u64,
+    /// `None` if the key does not exist or its value is malformed.
     entry: Option<Entry>,
 }
 
-/// What a change finds in the store.
-struct Standing {
-    guard: u64,
-    /// One for each entry of the change, in its order.
-    entries: Vec<Place>,
-    /// All entries that the change leaves alone.
-    rest: Catalog,
+/// Current state of the configuration that a change is based on.
+struct CurrentState {
+    guard_revision: u64,
+    /// One for each entry of the change, in the same order.
+    entries: Vec<CurrentEntry>,
+    /// All entries that the change does not write.
+    other_entries: Catalog,
 }
 
-impl Standing {
+impl CurrentState {
     fn read(snapshot: &Snapshot, request: &ApplyRequest) -> Result<Self, ApplyError> {
         let find = |key: &str| snapshot.entries.iter().find(|stored| stored.key == key);
         let entries = request.changes.iter().map(|change| {
@@ -234,26 +244,27 @@
             let key = catalog::entry_key(&id);
             let stored = find(&key);
             let entry = stored.and_then(|found| catalog::decode_as(id.kind, &id.name, found).ok());
-            Place { modified: stored.map_or(0, |found| found.mod_revision), key, entry }
+            CurrentEntry { mod_revision: stored.map_or(0, |found| found.mod_revision), key, entry }
         });
-        let entries: Vec<Place> = entries.collect();
-        let mut rest = Catalog::default();
+        let entries: Vec<CurrentEntry> = entries.collect();
+        let mut other_entries = Catalog::default();
         for stored in &snapshot.entries {
-            let replaced = entries.iter().any(|place| place.key == stored.key);
-            if replaced {
+            let is_replaced = entries.iter().any(|existing| existing.key == stored.key);
+            if is_replaced {
                 continue;
             }
             if let Some(entry) = catalog::decode(stored).map_err(ApplyError::Malformed)? {
-                rest.insert(&entry.name, entry.value);
+                other_entries.insert(&entry.name, entry.value);
             }
         }
-        let guard = find(GUARD_KEY).map_or(0, |stored| stored.mod_revision);
-        Ok(Self { guard, entries, rest })
+        let guard_revision = find(GUARD_KEY).map_or(0, |stored| stored.mod_revision);
+        Ok(Self { guard_revision, entries, other_entries })
     }
 
     fn check_base(&self, request: &ApplyRequest) -> Result<(), ApplyError> {
-        let newer = self.entries.iter().filter(|place| place.modified > request.base.0);
-        let entries: Vec<Entry> = newer.clone().filter_map(|place| place.entry.clone()).collect();
+        let newer = self.entries.iter().filter(|existing| existing.mod_revision > request.base.0);
+        let entries: Vec<Entry> =
+            newer.clone().filter_map(|existing| existing.entry.clone()).collect();
         match newer.count() {
             0 => Ok(()),
             _ => Err(ApplyError::Conflict { base: request.base, entries }),
@@ -261,62 +272,63 @@
     }
 }
 
-fn busy() -> StoreError {
+fn contention() -> StoreError {
     StoreError::Unreachable("others keep changing the configuration".to_owned())
 }
 
-/// Keeps the time, and whether the store may have acted.
+/// Deadline and backoff of the attempts, and whether the store may have acted on an earlier one.
 struct Attempts {
     deadline: Instant,
     backoff: Backoff,
-    /// The error that left it open, if one did.
-    doubt: Option<StoreError>,
+    /// The last error after which the store may have written the change.
+    in_doubt: Option<StoreError>,
 }
 
 impl Attempts {
     fn new(limits: &ApplyLimits) -> Self {
         let backoff = Backoff::new(limits.initial_delay, limits.max_delay);
-        Self { deadline: Instant::now() + limits.total_timeout, backoff, doubt: None }
+        Self { deadline: Instant::now() + limits.total_timeout, backoff, in_doubt: None }
     }
 
-    /// Waits before another attempt, or gives up.
+    /// Waits before another attempt, or fails if `error` is final or the deadline is too close.
     fn wait(&mut self, error: StoreError) -> Result<(), ApplyError> {
-        let wait = match &error {
+        let delay = match &error {
             StoreError::RateLimited { retry_after } => {
                 *retry_after + self.backoff.next_delay(rand::random())
             }
             StoreError::Protocol(_) => return Err(self.give_up(error)),
             _ => self.backoff.next_delay(rand::random()),
         };
-        if Instant::now() + wait >= self.deadline {
+        if Instant::now() + delay >= self.deadline {
             return Err(self.give_up(error));
         }
-        std::thread::sleep(wait);
+        std::thread::sleep(delay);
         Ok(())
     }
 
-    /// Like [`Attempts::wait`], after an error that may hide that the change was made.
+    /// Like [`Attempts::wait`], after an error of a write that the store may have carried out.
     fn wait_after_write(&mut self, error: StoreError) -> Result<(), ApplyError> {
         if let StoreError::Unanswered(problem) = &error {
-            self.doubt = Some(StoreError::Unanswered(problem.clone()));
+            self.in_doubt = Some(StoreError::Unanswered(problem.clone()));
         }
         self.wait(error)
     }
 
     fn give_up(&mut self, error: StoreError) -> ApplyError {
-        match self.doubt.take() {
-            Some(doubt) => ApplyError::InDoubt(doubt),
+        match self.in_doubt.take() {
+            Some(in_doubt) => ApplyError::InDoubt(in_doubt),
             None => ApplyError::Unavailable(error),
         }
     }
 
-    /// An earlier attempt that was not answered may still be carried out unless its conditions
-    /// are broken; only a conflict proves that they are.
-    fn judge(&mut self, error: ApplyError) -> ApplyError {
+    /// The error to report when the change is rejected. The store may still carry out an earlier
+    /// attempt that it has not answered, unless the conditions of that attempt no longer hold. Only a
+    /// conflict proves this; any other error is reported as in doubt.
+    fn reject(&mut self, error: ApplyError) -> ApplyError {
         match error {
             ApplyError::Conflict { .. } => error,
-            _ => match self.doubt.take() {
-                Some(doubt) => ApplyError::InDoubt(doubt),
+            _ => match self.in_doubt.take() {
+                Some(in_doubt) => ApplyError::InDoubt(in_doubt),
                 None => error,
             },
         }
--- a/crates/store/src/catalog.rs
+++ b/crates/store/src/catalog.rs
@@ -1,5 +1,5 @@
-//! How the configuration is laid out in the store: one key a group, template and tenant, a guard
-//! that every change writes, and a bounded history beside them.
+//! Layout of the configuration in the store: one key for each entry (such as a group, template or
+//! tenant), a guard key that every change writes, and a bounded history of each entry.
 
 use kestrellock_core::admin::configuration::{Authorship, Entry, EntryId, EntryKind, EntryValue};
 use kestrellock_core::catalog::{Catalog, Revision, VersionedCatalog};
@@ -17,31 +17,32 @@
 pub const TEMPLATES_PREFIX: &str = "/kestrellock/templates/";
 /// Prefix of tenants.
 pub const TENANTS_PREFIX: &str = "/kestrellock/tenants/";
-/// Written by every change, so that two changes never pass each other unseen.
+/// Key that every change writes, so that two concurrent changes always conflict.
 pub const GUARD_KEY: &str = "/kestrellock/guard";
-/// Prefix of former versions; not under [`PREFIX`], so that no node reads them to follow the
-/// configuration.
-const HISTORY: &str = "/kestrellock-history/";
-/// Versions kept of an entry.
+/// Prefix of earlier versions. It lies outside [`CATALOG_PREFIX`], so that nodes that watch the
+/// configuration do not read the history.
+const HISTORY_PREFIX: &str = "/kestrellock-history/";
+/// Number of versions kept for each entry.
 pub const MAX_HISTORY_VERSIONS: u64 = 20;
 
 /// Why the catalog could not be read.
 #[derive(Debug, Error)]
 pub enum CatalogError {
-    /// The store did not answer.
+    /// The call to the store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// A value is not what its key says.
+    /// The value cannot be decoded as the kind of entry that its key names.
     #[error("value of {key} is malformed: {problem}")]
     Malformed {
         /// Key of the value.
         key: String,
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
     },
 }
 
-/// A value as a change writes it. A bare value, written by other means, is read as version zero.
+/// Stored form of an entry that was written by a change. A value without this envelope was written
+/// by other means and is read as version zero.
 #[derive(Serialize, Deserialize)]
 struct Record {
     #[serde(flatten)]
@@ -54,17 +55,18 @@
     format!("{CATALOG_PREFIX}{}/{}", id.kind.table(), id.name)
 }
 
-/// Prefix of the kept versions of an entry.
+/// Prefix of the history of an entry.
 pub fn history_prefix(id: &EntryId) -> String {
-    format!("{HISTORY}{}/{}/", id.kind.table(), id.name)
+    format!("{HISTORY_PREFIX}{}/{}/", id.kind.table(), id.name)
 }
 
-/// Key of one kept version; the versions of an entry share [`MAX_HISTORY`] keys in turn.
+/// Key of a version in the history. The versions of an entry rotate through
+/// [`MAX_HISTORY_VERSIONS`] keys, so a new version overwrites the oldest one.
 pub fn history_key(id: &EntryId, version: u64) -> String {
     format!("{}{}", history_prefix(id), version % MAX_HISTORY_VERSIONS)
 }
 
-/// The bytes stored for an entry's version.
+/// Encodes a version of an entry for the store.
 pub fn encode(authorship: &Authorship, value: &EntryValue) -> Result<Vec<u8>, serde_json::Error> {
     let value = match value {
         EntryValue::Zone(zone) => serde_json::to_value(zone)?,
@@ -76,7 +78,7 @@
     serde_json::to_vec(&Record { authorship: authorship.clone(), value })
 }
 
-/// The entry that a key holds; `None` if the key holds none.
+/// Decodes the entry stored under a key; `None` if the key is not the key of an entry.
 pub fn decode(stored: &KeyValue) -> Result<Option<Entry>, CatalogError> {
     let Some((kind, name)) = stored.key.strip_prefix(CATALOG_PREFIX).and_then(split_key) else {
         return Ok(None);
@@ -89,19 +91,19 @@
     Some((EntryKind::of_table(table)?, name))
 }
 
-/// The entry of that kind and name in a stored value.
+/// Decodes a stored value as an entry of the given kind and name.
 pub fn decode_as(kind: EntryKind, name: &str, stored: &KeyValue) -> Result<Entry, CatalogError> {
     let malformed = |error: serde_json::Error| CatalogError::Malformed {
         key: stored.key.clone(),
         problem: error.to_string(),
     };
-    let whole: Value = serde_json::from_slice(&stored.value).map_err(malformed)?;
-    let is_record = whole.get("version").is_some() && whole.get("value").is_some();
+    let json: Value = serde_json::from_slice(&stored.value).map_err(malformed)?;
+    let is_record = json.get("version").is_some() && json.get("value").is_some();
     let (authorship, value) = if is_record {
-        let record: Record = serde_json::from_value(whole).map_err(malformed)?;
+        let record: Record = serde_json::from_value(json).map_err(malformed)?;
         (record.authorship, record.value)
     } else {
-        (Authorship::default(), whole)
+        (Authorship::default(), json)
     };
     let value = match kind {
         EntryKind::Zone => serde_json::from_value(value).map(EntryValue::Zone),
@@ -118,25 +120,26 @@
 /// A catalog as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredCatalog {
-    /// The catalog; its revision is the store's revision at which its newest part was written.
+    /// The catalog. Its revision is the store revision at which its newest key was written.
     pub catalog: VersionedCatalog,
-    /// Revision of the store at which it was read.
+    /// Store revision at which the catalog was read.
     pub store_revision: u64,
 }
 
-/// Reads the whole catalog at one revision.
+/// Reads the whole catalog at one store revision.
 pub fn read_catalog(store: &dyn ConfigStore) -> Result<StoredCatalog, CatalogError> {
     let snapshot = store.range(CATALOG_PREFIX)?;
     let catalog = catalog_from_snapshot(&snapshot)?;
     Ok(StoredCatalog { catalog, store_revision: snapshot.revision })
 }
 
-/// Revision of the configuration that a snapshot of [`PREFIX`] holds.
+/// Revision of the configuration in a snapshot of [`CATALOG_PREFIX`]: the newest revision of its
+/// keys.
 pub fn configuration_revision(snapshot: &Snapshot) -> Revision {
     Revision(snapshot.entries.iter().map(|entry| entry.mod_revision).max().unwrap_or(0))
 }
 
-/// The catalog that a snapshot of [`PREFIX`] holds.
+/// Decodes the catalog in a snapshot of [`CATALOG_PREFIX`].
 pub fn catalog_from_snapshot(snapshot: &Snapshot) -> Result<VersionedCatalog, CatalogError> {
     let mut catalog = Catalog { revision: configuration_revision(snapshot), ..Catalog::default() };
     for stored in &snapshot.entries {
@@ -147,7 +150,7 @@
     Ok(VersionedCatalog::from(catalog))
 }
 
-/// The kept versions of an entry, newest first.
+/// Reads the history of an entry, newest version first.
 pub fn read_history(store: &dyn ConfigStore, id: &EntryId) -> Result<Vec<Entry>, CatalogError> {
     let snapshot = store.range(&history_prefix(id))?;
     let decoded = snapshot.entries.iter().map(|stored| decode_as(id.kind, &id.name, stored));
--- a/crates/store/src/control.rs
+++ b/crates/store/src/control.rs
@@ -1,4 +1,4 @@
-//! Telling instances what replaces a primary needs, and the platform to promote one.
+//! Commands that a primary replacement sends to instances, and the platform's promotion call.
 
 use std::net::SocketAddr;
 
@@ -7,65 +7,66 @@
 use kestrellock_core::promotion::{PromotionAnswer, Standing};
 use thiserror::Error;
 
-/// An instance to speak to.
+/// An instance that receives commands.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlTarget {
     /// Group of the instance.
     pub group: GroupName,
     /// The instance.
     pub instance: InstanceName,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
 }
 
-/// Why an instance did not do what it was told.
+/// Why an instance did not confirm a command.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ControlError {
-    /// Nothing runs at its address.
+    /// Nothing listens on the instance's address.
     #[error("the connection was refused")]
     Refused,
-    /// Another instance runs at its address.
+    /// Another instance listens on the address.
     #[error("another instance answers at the address")]
     Displaced,
-    /// No answer; it may have done it.
+    /// The instance did not answer and may have carried out the command.
     #[error("no answer: {0}")]
     Unanswered(String),
-    /// It answered that it has not done it.
+    /// The instance answered that it has not carried out the command.
     #[error("rejected: {0}")]
     Rejected(String),
 }
 
-/// What an instance may be told.
+/// A command to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceCommand {
-    /// Say how you stand.
+    /// Report the replication status.
     Ask,
-    /// Receive nothing below this term.
+    /// Reject replication below this minimum term.
     Stop(Term),
-    /// Step down, if your term is lower.
+    /// Step down as primary if the instance's term is lower than this one.
     Demote(Term),
-    /// Receive again.
+    /// Accept replication again.
     Release,
 }
 
-/// Speaks to instances.
+/// Sends commands to instances.
 pub trait InstanceControl: Send + Sync {
-    /// Gives an order and returns how the instance stands afterwards.
+    /// Executes a command and returns the instance's replication status afterwards.
     fn execute(
         &self,
         target: &ControlTarget,
-        order: InstanceCommand,
+        command: InstanceCommand,
     ) -> Result<Standing, ControlError>;
 }
 
 /// The platform's promotion call.
 pub trait PromotionService: Send + Sync {
-    /// Has `instance` take over as the primary of `group`; `holder` acts under `fence`.
+    /// Promotes `instance` to primary of `group`, on behalf of `coordinator` with the fencing token
+    /// `fence`.
     fn promote(
         &self,
         group: &GroupName,
         instance: &InstanceName,
-        holder: &NodeName,
+        coordinator: &NodeName,
         fence: u64,
     ) -> PromotionAnswer;
 }
--- a/crates/store/src/coordination.rs
+++ b/crates/store/src/coordination.rs
@@ -1,9 +1,10 @@
-//! How nodes agree on who replaces a primary, through a store with leases.
+//! Election of the coordinator, the only node that may replace primaries, by a lease in the store.
 //!
-//! One node at a time holds the right to act. A hold counts from the moment its lease was asked
-//! for, on the holder's own steady clock, so that it is over for the holder before it is for
-//! others. Its fence is the position in the store's history at which it was taken: it rises with each hold, and
-//! none repeats, also where the store has come back from a copy. With that a hold is over.
+//! One node at a time holds the coordinator lease. The coordinator counts the lease's validity from
+//! the moment at which it sent the request, on its own monotonic clock, so that the lease expires
+//! for the coordinator before it expires for other nodes. The fencing token is the position in the
+//! store's history at which the lease was acquired. It rises with each lease and never repeats, even
+//! after a store restore. A store restore ends the lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,41 +18,42 @@
 
 use crate::store::StoreError;
 
-/// The right to act, taken by this node.
+/// The coordinator lease as acquired by this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinatorLease {
-    /// The store's number of the lease.
+    /// Number of the lease in the store.
     pub lease_id: u64,
-    /// Rises with each hold.
+    /// Fencing token, which rises with each acquired lease.
     pub fence: u64,
-    /// Until when it surely lasts.
+    /// Time until which the lease is certainly valid.
     pub valid_until: Instant,
 }
 
-/// The store's part in replacing primaries.
+/// State of primary replacements in the store, and the operations on it.
 pub trait Coordination: Send + Sync {
-    /// What the store said last.
+    /// The state that this node last read from the store.
     fn view(&self) -> Arc<CoordinationView>;
 
-    /// The newest era of the store that any answer has told; [`Self::view`] may still be of the one before.
+    /// The newest store era seen in any answer; [`Self::view`] may still be from the previous one.
     fn era(&self) -> StoreEra;
 
-    /// Asks the store whether [`Self::view`] is complete: its revision, if nothing has changed since.
+    /// Performs a replacement check: asks the store whether [`Self::view`] is complete. Returns the
+    /// revision of the view if nothing has changed since, otherwise `None`.
     fn check_view(&self) -> Result<Option<u64>, StoreError>;
 
-    /// Replaces what `node` suspects.
+    /// Replaces the votes of `node`.
     fn publish_votes(&self, node: &NodeName, votes: &NodeVotes) -> Result<(), StoreError>;
 
-    /// Takes the right to act; `None` if another node has it.
+    /// Acquires the coordinator lease; `None` if another node holds it.
     fn acquire(&self, node: &NodeName) -> Result<Option<CoordinatorLease>, StoreError>;
 
-    /// Prolongs a hold; `None` if it is over.
+    /// Renews the lease; `None` if it has expired.
     fn renew(&self, hold: &CoordinatorLease) -> Result<Option<CoordinatorLease>, StoreError>;
 
-    /// Gives the right to act up.
+    /// Releases the lease before it expires.
     fn release(&self, hold: &CoordinatorLease) -> Result<(), StoreError>;
 
-    /// Records an intent under the hold; false if the hold is over.
+    /// Records an intent on condition that the lease is valid; false if it has expired.
     fn record_intent(
         &self,
         hold: &CoordinatorLease,
@@ -59,13 +61,14 @@
         intent: &Intent,
     ) -> Result<bool, StoreError>;
 
-    /// Asks the store which starts of their processes `instances` tell; those are left out that tell none.
+    /// Asks the store which incarnations `instances` have reported. Instances that have reported none
+    /// are missing from the result.
     fn reported_incarnations(
         &self,
         instances: &[InstanceName],
     ) -> Result<BTreeMap<InstanceName, InstanceIncarnation>, StoreError>;
 
-    /// Records the successor that leads a group; false if the hold is over.
+    /// Records `successor` as the primary of a group; false if the lease has expired.
     fn record_primary(
         &self,
         hold: &CoordinatorLease,
@@ -73,12 +76,13 @@
         successor: &InstanceName,
     ) -> Result<bool, StoreError>;
 
-    /// Records again what the store has lost of a group's replacements by coming back from a copy: who was promoted
-    /// last, and that the replacement it shows is over. Whatever has been recorded since stands.
+    /// Writes back what a store restore has lost of a group's replacements: which instance was
+    /// promoted last, and that the replacement that the restored copy shows has finished. Records
+    /// written since the restore are kept.
     fn write_back(&self, group: &GroupName) -> Result<(), StoreError>;
 
-    /// Takes the intent of a replacement back under the hold, and records the successor; false if the hold is
-    /// over. The intent of another replacement stays.
+    /// Removes the intent of a replacement and records its successor, on condition that the lease is
+    /// valid; false if it has expired. The intent of another replacement is kept.
     fn finish_replacement(
         &self,
         hold: &CoordinatorLease,
--- a/crates/store/src/etcd/http.rs
+++ b/crates/store/src/etcd/http.rs
@@ -1,4 +1,5 @@
-//! Calls to the endpoints in turn, with limits, and what each failure says of the call's effect.
+//! HTTP calls to the store's endpoints in turn, with timeouts. Each failure is classified by whether
+//! the store may have acted on the call.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,41 +12,42 @@
 
 use crate::store::StoreError;
 
-const CALL_LIMIT: Duration = Duration::from_secs(3);
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
-/// Largest answer read, in bytes.
-const MAX_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024 * 1024;
 const TOO_MANY_REQUESTS: u16 = 429;
-/// Wait after a refusal for the rate that names none.
+/// Delay after a rate-limited response without a `Retry-After` header.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Whether a call changes the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It only reads, so that it may be sent to another endpoint whatever happened.
+    /// The call only reads, so it may be sent to another endpoint after any failure.
     None,
-    /// It writes: once it may have arrived, only its sender can tell what to do.
+    /// The call writes. Once it may have arrived, it is not sent again; the caller must decide what
+    /// to do.
     Write,
 }
 
-/// The endpoints of one store.
+/// The endpoints of a store.
 pub struct Endpoints {
     urls: Vec<String>,
     agent: ureq::Agent,
-    /// Endpoint that answered last; the next call begins there.
+    /// Endpoint that answered last; the next call tries it first.
     preferred: AtomicUsize,
-    /// Nothing is sent before this moment, because the store asked so.
+    /// Time before which no request is sent, because the store reported its rate limit.
     not_before: Mutex<Option<Instant>>,
-    /// Limit of a whole call.
-    pub call_limit: Duration,
+    /// Timeout of a call to one endpoint.
+    pub call_timeout: Duration,
 }
 
 impl Endpoints {
-    /// No call yet.
+    /// A client for the endpoints at `urls`.
     pub fn new(urls: Vec<String>) -> Self {
         let config = ureq::Agent::config_builder()
-            .timeout_connect(Some(CONNECT_LIMIT))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
             .http_status_as_error(false)
             .build();
         Self {
@@ -53,57 +55,59 @@
             agent: config.into(),
             preferred: AtomicUsize::new(0),
             not_before: Mutex::new(None),
-            call_limit: CALL_LIMIT,
+            call_timeout: CALL_TIMEOUT,
         }
     }
 
-    /// Posts `body` and reads the answer.
+    /// Posts `body` and decodes the response.
     pub fn call<A: DeserializeOwned>(
         &self,
         path: &str,
         body: &impl Serialize,
         effect: Effect,
     ) -> Result<A, StoreError> {
-        let mut response = self.post(path, body, effect, self.call_limit)?;
-        // The store did answer, but what is not known: a write may have taken effect.
+        let mut response = self.post(path, body, effect, self.call_timeout)?;
+        // If the response cannot be read, a write may still have taken effect.
         response
             .body_mut()
             .with_config()
-            .limit(MAX_ANSWER_BYTES)
+            .limit(MAX_RESPONSE_BYTES)
             .read_json()
             .map_err(|error| StoreError::Unanswered(error.to_string()))
     }
 
-    /// Posts `body` to the endpoints in turn until one answers with success.
+    /// Posts `body` to the endpoints in turn until one responds with success. Stops at the first
+    /// error after which another endpoint must not be tried: a rate limit, a protocol error, or a
+    /// write that may have taken effect.
     pub fn post(
         &self,
         path: &str,
         body: &impl Serialize,
         effect: Effect,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response<Body>, StoreError> {
         self.check_rate()?;
         let first = self.preferred.load(Ordering::Relaxed);
-        let mut last = StoreError::Unreachable("no endpoint is configured".into());
-        for turn in 0..self.urls.len() {
-            let index = (first + turn) % self.urls.len();
-            match self.post_to(&self.urls[index], path, body, limit) {
+        let mut last_error = StoreError::Unreachable("no endpoint is configured".into());
+        for attempt in 0..self.urls.len() {
+            let index = (first + attempt) % self.urls.len();
+            match self.post_to(&self.urls[index], path, body, timeout) {
                 Ok(response) => {
                     self.preferred.store(index, Ordering::Relaxed);
                     return Ok(response);
                 }
                 Err(error @ StoreError::RateLimited { retry_after }) => {
-                    self.hold_back(retry_after);
+                    self.suspend_requests(retry_after);
                     return Err(error);
                 }
                 Err(error @ StoreError::Protocol(_)) => return Err(error),
                 Err(error) if error.may_have_acted() && effect == Effect::Write => {
                     return Err(error);
                 }
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     fn post_to(
@@ -111,10 +115,10 @@
         url: &str,
         path: &str,
         body: &impl Serialize,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response<Body>, StoreError> {
         let request = self.agent.post(format!("{url}{path}"));
-        let request = request.config().timeout_global(Some(limit)).build();
+        let request = request.config().timeout_global(Some(timeout)).build();
         let response = request.send_json(body).map_err(|error| classify(&error))?;
         let status = response.status();
         match status.as_u16() {
@@ -122,15 +126,16 @@
             TOO_MANY_REQUESTS => {
                 Err(StoreError::RateLimited { retry_after: retry_after(&response) })
             }
-            // The gateway reports a time-out behind it in this way, among other things.
+            // Among other errors, the gateway reports a timeout of the store behind it in this way, so
+            // the store may have acted.
             500.. => Err(StoreError::Unanswered(status.to_string())),
             _ => Err(StoreError::Protocol(status.to_string())),
         }
     }
 
-    /// Refuses the call while the store wants none.
+    /// Rejects the call while the store's rate limit is in effect.
     fn check_rate(&self) -> Result<(), StoreError> {
-        let mut not_before = self.not_before.lock().expect("a holder of the lock panicked");
+        let mut not_before = self.not_before.lock().expect("the rate limit lock is not poisoned");
         let now = Instant::now();
         match *not_before {
             Some(moment) if moment > now => {
@@ -143,9 +148,9 @@
         }
     }
 
-    fn hold_back(&self, wait: Duration) {
-        let mut not_before = self.not_before.lock().expect("a holder of the lock panicked");
-        *not_before = Some(Instant::now() + wait);
+    fn suspend_requests(&self, delay: Duration) {
+        let mut not_before = self.not_before.lock().expect("the rate limit lock is not poisoned");
+        *not_before = Some(Instant::now() + delay);
     }
 }
 
@@ -155,9 +160,9 @@
     seconds.map_or(DEFAULT_RETRY_AFTER, Duration::from_secs).min(MAX_RETRY_AFTER)
 }
 
-/// Only a failure to connect proves that nothing was sent.
+/// Classifies a transport error. Only a failure to connect proves that the request was not sent.
 fn classify(error: &ureq::Error) -> StoreError {
-    let refused = |error: &std::io::Error| {
+    let is_connect_error = |error: &std::io::Error| {
         matches!(
             error.kind(),
             std::io::ErrorKind::ConnectionRefused
@@ -169,7 +174,7 @@
     let not_sent = match error {
         ureq::Error::ConnectionFailed | ureq::Error::HostNotFound | ureq::Error::BadUri(_) => true,
         ureq::Error::Timeout(Timeout::Connect | Timeout::Resolve) => true,
-        ureq::Error::Io(error) => refused(error),
+        ureq::Error::Io(error) => is_connect_error(error),
         _ => false,
     };
     match not_sent {
--- a/crates/store/src/etcd/mod.rs
+++ b/crates/store/src/etcd/mod.rs
@@ -1,4 +1,4 @@
-//! Client of etcd's published v3 HTTP/JSON gateway.
+//! Client for etcd's v3 HTTP/JSON gateway.
 
 mod http;
 mod watch;
@@ -12,23 +12,23 @@
 use http::{Effect, Endpoints};
 use watch::EtcdWatch;
 
-const RANGE: &str = "/v3/kv/range";
-const TRANSACTION: &str = "/v3/kv/txn";
+const RANGE_PATH: &str = "/v3/kv/range";
+const TRANSACTION_PATH: &str = "/v3/kv/txn";
 
-/// A store reached over HTTP, trying its endpoints in turn.
+/// An etcd cluster reached over HTTP. The client tries its endpoints in turn.
 pub struct EtcdStore {
     endpoints: Endpoints,
 }
 
 impl EtcdStore {
-    /// A client of the service at `endpoints`, such as `http://127.0.0.1:2379`.
+    /// A client for the cluster at `endpoints`, such as `http://127.0.0.1:2379`.
     pub fn new(endpoints: Vec<String>) -> Self {
         Self { endpoints: Endpoints::new(endpoints) }
     }
 
-    /// The same client with another limit for a call.
-    pub fn with_call_timeout(mut self, limit: Duration) -> Self {
-        self.endpoints.call_limit = limit;
+    /// Sets the timeout of a call.
+    pub fn with_call_timeout(mut self, timeout: Duration) -> Self {
+        self.endpoints.call_timeout = timeout;
         self
     }
 }
@@ -36,24 +36,29 @@
 impl ConfigStore for EtcdStore {
     fn range(&self, prefix: &str) -> Result<Snapshot, StoreError> {
         let body = wire::RangeRequest::of_prefix(prefix);
-        let answer: wire::RangeAnswer = self.endpoints.call(RANGE, &body, Effect::None)?;
-        let mut entries = Vec::with_capacity(answer.kvs.len());
-        for entry in answer.kvs {
-            let key = String::from_utf8(wire::decode(&entry.key)?)
+        let response: wire::RangeResponse = self.endpoints.call(RANGE_PATH, &body, Effect::None)?;
+        let mut entries = Vec::with_capacity(response.kvs.len());
+        for entry in response.kvs {
+            let key = String::from_utf8(wire::decode_base64(&entry.key)?)
                 .map_err(|error| StoreError::Protocol(error.to_string()))?;
-            let value = wire::decode(&entry.value)?;
-            entries.push(KeyValue { key, value, mod_revision: wire::number(&entry.mod_revision)? });
+            let value = wire::decode_base64(&entry.value)?;
+            entries.push(KeyValue {
+                key,
+                value,
+                mod_revision: wire::parse_revision(&entry.mod_revision)?,
+            });
         }
-        Ok(Snapshot { revision: wire::number(&answer.header.revision)?, entries })
+        Ok(Snapshot { revision: wire::parse_revision(&response.header.revision)?, entries })
     }
 
     fn commit(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError> {
         let body = wire::TransactionRequest::new(transaction);
-        let answer: wire::TransactionAnswer =
-            self.endpoints.call(TRANSACTION, &body, Effect::Write)?;
-        match answer.succeeded {
-            // A revision that cannot be read leaves the caller to read back what it wrote.
-            true => wire::number(&answer.header.revision)
+        let response: wire::TransactionResponse =
+            self.endpoints.call(TRANSACTION_PATH, &body, Effect::Write)?;
+        match response.succeeded {
+            // The write succeeded but its revision cannot be parsed. `Unanswered` makes the caller
+            // read back what it wrote.
+            true => wire::parse_revision(&response.header.revision)
                 .map(TransactionOutcome::Written)
                 .map_err(|error| StoreError::Unanswered(error.to_string())),
             false => Ok(TransactionOutcome::Conflict),
--- a/crates/store/src/etcd/wire.rs
+++ b/crates/store/src/etcd/wire.rs
@@ -1,4 +1,5 @@
-//! JSON of etcd's gateway: keys and values in base64, 64-bit numbers as text.
+//! JSON messages of etcd's gateway. Keys and values are base64 strings, 64-bit numbers are decimal
+//! strings.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -24,14 +25,14 @@
 }
 
 #[derive(Deserialize)]
-pub struct RangeAnswer {
+pub struct RangeResponse {
     pub header: Header,
     #[serde(default)]
-    pub kvs: Vec<KeyValueAnswer>,
+    pub kvs: Vec<KeyValueResponse>,
 }
 
 #[derive(Deserialize)]
-pub struct KeyValueAnswer {
+pub struct KeyValueResponse {
     pub key: String,
     #[serde(default)]
     pub value: String,
@@ -82,7 +83,7 @@
 }
 
 #[derive(Deserialize)]
-pub struct TransactionAnswer {
+pub struct TransactionResponse {
     pub header: Header,
     #[serde(default)]
     pub succeeded: bool,
@@ -107,7 +108,7 @@
     }
 }
 
-/// One line of a watch's answer.
+/// One line of a watch stream.
 #[derive(Deserialize)]
 pub struct WatchLine {
     pub result: WatchResult,
@@ -135,16 +136,16 @@
 fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
-        // UTF-8 has no byte 255, so nothing overflows.
+        // UTF-8 contains no byte 255, so this does not overflow.
         *last += 1;
     }
     end
 }
 
-pub fn decode(text: &str) -> Result<Vec<u8>, StoreError> {
+pub fn decode_base64(text: &str) -> Result<Vec<u8>, StoreError> {
     STANDARD.decode(text).map_err(|error| StoreError::Protocol(error.to_string()))
 }
 
-pub fn number(text: &str) -> Result<u64, StoreError> {
+pub fn parse_revision(text: &str) -> Result<u64, StoreError> {
     text.parse().map_err(|_| StoreError::Protocol(format!("{text:?} is not a revision")))
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,5 @@
-//! The platform's services behind traits: the configuration store and the machine list.
+//! Traits for the platform's services (configuration store, machine list, coordination of primary
+//! replacements, control of instances) and their clients that speak published protocols.
 
 pub mod apply;
 pub mod backoff;
--- a/crates/store/src/machines.rs
+++ b/crates/store/src/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving machines, which lags.
+//! The platform's list of live and leaving machines. The list lags behind the real state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,44 +8,45 @@
 
 use crate::store::StoreError;
 
-/// State of a machine as the platform tells it.
+/// State of a machine as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// Believed to run.
+    /// The platform believes that the machine runs.
     Live,
-    /// About to go.
+    /// The machine will be removed soon.
     Leaving,
 }
 
 /// One entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Node that runs on it.
+    /// Node that runs on the machine.
     pub node: NodeName,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Where the node accepts peers.
+    /// Address on which the node accepts connections from peers.
     pub peer_address: SocketAddr,
-    /// State.
+    /// Whether the machine is live or leaving.
     pub state: MachineState,
-    /// What its link carries, in Mbit/s; zero where the list does not tell.
+    /// Bandwidth of the machine's network link in Mbit/s; zero if the list does not contain it.
     #[serde(default)]
     pub link_mbps: u32,
 }
 
-/// Source of the machine list. Only a seed for membership: it lags and may be wrong.
+/// Source of the machine list. The list lags and may be wrong, so it only seeds the membership.
 pub trait MachineList: Send + Sync {
-    /// The list as the platform has it now.
+    /// Fetches the current list.
     fn machines(&self) -> Result<Vec<Machine>, StoreError>;
 
-    /// Enters this node, where nodes enter themselves.
+    /// Adds this node to the list, on platforms where nodes register themselves.
     fn register(&self, own: &Machine) -> Result<(), StoreError> {
         let _ = own;
         Ok(())
     }
 
-    /// Takes this node's entry back, where nodes enter themselves, as it ends for good.
+    /// Removes this node from the list when it ends for good, on platforms where nodes register
+    /// themselves.
     fn deregister(&self, own: &Machine) -> Result<(), StoreError> {
         let _ = own;
         Ok(())
@@ -57,7 +58,7 @@
 const TOO_MANY_REQUESTS: u16 = 429;
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The list as a JSON array behind a URL.
+/// The machine list as a JSON array served at a URL.
 pub struct HttpMachineList {
     url: String,
     agent: ureq::Agent,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,16 +1,16 @@
-//! The configuration store: a small key-value service with transactions and watches.
+//! The configuration store: a key-value service with transactions and watches.
 //!
-//! What every implementation must keep, and its contract test checks:
-//! * all writes of a transaction take effect at one revision, or none does;
-//! * revisions grow with every write, over all keys;
-//! * an error tells whether the store may have acted: [`StoreError::may_have_acted`];
-//! * a watch opened at revision R reports every write at or after R, or that it cannot.
+//! Every implementation must guarantee the following, which a contract test checks:
+//! * all writes of a transaction take effect at the same revision, or none takes effect;
+//! * the store has one revision for all keys, which increases with every write;
+//! * an error shows whether the store may have acted ([`StoreError::may_have_acted`]);
+//! * a watch opened at revision R reports every write at or after R, or reports that it cannot.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// A key and what the store holds under it.
+/// A key and its value in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
     /// Key.
@@ -26,16 +26,16 @@
 pub struct Snapshot {
     /// Revision of the store at which the range was read.
     pub revision: u64,
-    /// Keys in order.
+    /// Entries in key order.
     pub entries: Vec<KeyValue>,
 }
 
-/// Holds if the key was last written at that revision.
+/// Condition that a key was last written at a given revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
     /// Key.
     pub key: String,
-    /// Store revision; zero: the key does not exist.
+    /// Expected revision of the last write; zero means that the key does not exist.
     pub mod_revision: u64,
 }
 
@@ -48,22 +48,22 @@
     pub value: Vec<u8>,
 }
 
-/// Writes that take effect together if every condition holds. A key may be written once.
+/// Writes that take effect together if every condition holds. Each key may be written only once.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// All must hold.
+    /// Conditions that must all hold.
     pub conditions: Vec<Condition>,
-    /// All are written.
+    /// Values to write.
     pub puts: Vec<Put>,
 }
 
-/// Most conditions or writes of one transaction.
+/// Maximum number of conditions, and of writes, in one transaction.
 pub const MAX_TRANSACTION_OPERATIONS: usize = 128;
 
-/// Outcome of a transaction that reached the store and was answered.
+/// Outcome of a transaction that the store answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// Written; the new revision of the store.
+    /// The values were written; holds the new revision of the store.
     Written(u64),
     /// A condition did not hold; nothing was written.
     Conflict,
@@ -72,62 +72,62 @@
 /// Why a call to the store failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Nothing was sent: the store certainly did not act.
+    /// The request was not sent, so the store did not act.
     #[error("store unreachable: {0}")]
     Unreachable(String),
-    /// Sent but not answered, or answered by an error that leaves it open: the store may have
-    /// acted.
+    /// The request was sent but not answered, or the error in the answer does not show whether the
+    /// store acted: it may have.
     #[error("no answer from the store: {0}")]
     Unanswered(String),
-    /// The store asks to slow down; it did not act.
+    /// The store rejected the request because of its rate limit and did not act.
     #[error("store refuses requests for their rate for another {retry_after:?}")]
     RateLimited {
-        /// How long to send nothing.
+        /// Time for which the client must not send requests.
         retry_after: Duration,
     },
-    /// Refused as malformed, or an answer that does not follow the protocol.
+    /// The store rejected the request as malformed, or its answer violates the protocol.
     #[error("store answered out of protocol: {0}")]
     Protocol(String),
 }
 
 impl StoreError {
-    /// Whether the store may have done, or may yet do, what was asked.
+    /// Whether the store may have carried out the request, or may still do so.
     pub fn may_have_acted(&self) -> bool {
         matches!(self, Self::Unanswered(_))
     }
 }
 
-/// What a watch has to tell.
+/// Result of waiting on a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
-    /// Nothing within the time given.
+    /// No key was written within the time limit.
     TimedOut,
     /// A key was written at this revision.
     Changed(u64),
-    /// Writes since the watch's revision are no longer all known: read the whole again.
+    /// The store no longer has all writes since the watch's revision; the prefix must be read again.
     Compacted,
 }
 
-/// Writes under a prefix as they happen.
+/// Stream of the writes under a prefix.
 pub trait Watch: Send {
-    /// The next event, waiting at most `limit`. After an error the watch is over; another one
-    /// opened at the same revision misses nothing.
+    /// Waits at most `limit` for the next event. After an error the watch has ended; a new watch
+    /// opened at the same revision misses no write.
     fn next(&mut self, limit: Duration) -> Result<WatchEvent, StoreError>;
 }
 
-/// The platform's key-value service.
+/// Client of the platform's key-value service.
 pub trait ConfigStore: Send + Sync {
-    /// Reads all keys that begin with `prefix`, at one revision.
+    /// Reads all keys with the prefix `prefix` at one revision.
     fn range(&self, prefix: &str) -> Result<Snapshot, StoreError>;
 
-    /// Writes all or nothing.
+    /// Commits a transaction atomically.
     fn commit(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError>;
 
-    /// Watches keys that begin with `prefix` for writes at or after revision `from`.
+    /// Watches keys with the prefix `prefix` for writes at or after revision `from`.
     fn watch(&self, prefix: &str, from: u64) -> Result<Box<dyn Watch>, StoreError>;
 
-    /// Writes `value` under `key` if the key was last written at revision `expected`
-    /// (zero: if it does not exist).
+    /// Writes `value` to `key` if the key was last written at revision `expected`, or if it does not
+    /// exist and `expected` is zero.
     fn compare_and_swap(
         &self,
         key: &str,
