--- a/crates/peer/benches/authentication.rs
+++ b/crates/peer/benches/authentication.rs
@@ -1,4 +1,4 @@
-//! What authentication adds to a frame on a stream and to a datagram.
+//! Cost of authentication for frames of a stream and for datagrams.
 
 use bytes::BytesMut;
 use criterion::{Criterion, criterion_group, criterion_main};
@@ -21,16 +21,16 @@
     }
 }
 
-fn pair() -> (Channel, Channel) {
+fn established_pair() -> (Channel, Channel) {
     let keys = ClusterKeys::new([b"a key of the bench".as_slice()]).expect("valid key");
     let (mut to_acceptor, mut to_opener) = (BytesMut::new(), BytesMut::new());
     let mut opener = Channel::begin(Side::Opener, hello("a"), keys.clone(), &mut to_acceptor)
-        .expect("an introduction fits");
+        .expect("the hello fits into a frame");
     let mut acceptor = Channel::begin(Side::Acceptor, hello("b"), keys, &mut to_opener)
-        .expect("an introduction fits");
+        .expect("the hello fits into a frame");
     for _ in 0..2 {
-        opener.advance(&mut to_opener, &mut to_acceptor).expect("handshake");
-        acceptor.advance(&mut to_acceptor, &mut to_opener).expect("handshake");
+        opener.advance(&mut to_opener, &mut to_acceptor).expect("the handshake succeeds");
+        acceptor.advance(&mut to_acceptor, &mut to_opener).expect("the handshake succeeds");
     }
     (opener, acceptor)
 }
@@ -41,18 +41,18 @@
         criterion.bench_function(&format!("plain frame there and back, {size} B"), |bench| {
             let mut buffer = BytesMut::new();
             bench.iter(|| {
-                frame::encode(&body, &mut buffer).expect("encodes");
-                frame::decode::<bytes::Bytes>(&mut buffer).expect("decodes")
+                frame::encode(&body, &mut buffer).expect("the message is encoded");
+                frame::decode::<bytes::Bytes>(&mut buffer).expect("the message is decoded")
             });
         });
         criterion.bench_function(
             &format!("authenticated frame there and back, {size} B"),
             |bench| {
-                let (mut opener, mut acceptor) = pair();
+                let (mut opener, mut acceptor) = established_pair();
                 let mut buffer = BytesMut::new();
                 bench.iter(|| {
-                    opener.send(&body, &mut buffer).expect("encodes");
-                    acceptor.receive::<bytes::Bytes>(&mut buffer).expect("decodes")
+                    opener.send(&body, &mut buffer).expect("the message is encoded");
+                    acceptor.receive::<bytes::Bytes>(&mut buffer).expect("the message is decoded")
                 });
             },
         );
--- a/crates/peer/src/auth.rs
+++ b/crates/peer/src/auth.rs
@@ -1,33 +1,33 @@
-//! Authentication of everything that travels between nodes, under keys that a cluster shares.
+//! Authentication of all traffic between nodes, with keys that the nodes of a cluster share.
 //!
-//! Two keys may be in use while one is replaced by the other: the first signs, both are accepted.
+//! Two keys may be configured during a key rotation: the first one signs, both are accepted.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use thiserror::Error;
 
-/// Bytes of an authentication tag: the first half of an HMAC-SHA-256.
+/// Length of an authentication tag: the first half of an HMAC-SHA-256.
 pub const TAG_BYTES: usize = 16;
-/// Fewest bytes of a cluster key.
+/// Minimum length of a cluster key.
 pub const MIN_KEY_BYTES: usize = 16;
-/// Most keys in use at a time.
+/// Maximum number of keys in use at a time.
 pub const MAX_KEYS: usize = 2;
 
 /// An authentication tag.
 pub type Tag = [u8; TAG_BYTES];
 
-/// Why keys cannot be used.
+/// Why the configured cluster keys are invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
-    /// There is none, or there are more than [`MAX_KEYS`].
-    #[error("{0} cluster keys; one or {MAX_KEYS} are needed")]
+    /// No key is configured, or more than [`MAX_KEYS`].
+    #[error("{0} cluster keys configured; one or {MAX_KEYS} are required")]
     Count(usize),
     /// A key is shorter than [`MIN_KEY_BYTES`].
     #[error("a cluster key of {0} bytes is shorter than {MIN_KEY_BYTES}")]
     Short(usize),
 }
 
-/// One key, prepared for use.
+/// A key with its precomputed HMAC state.
 #[derive(Clone)]
 pub struct Key {
     state: Hmac<Sha256>,
@@ -40,10 +40,10 @@
 }
 
 impl Key {
-    /// Prepares key material of any length.
+    /// Creates a key from key material of any length.
     pub fn new(material: &[u8]) -> Self {
         let state =
-            Hmac::<Sha256>::new_from_slice(material).expect("HMAC takes keys of any length");
+            Hmac::<Sha256>::new_from_slice(material).expect("HMAC accepts keys of any length");
         Self { state }
     }
 
@@ -53,33 +53,33 @@
         mac
     }
 
-    /// The tag of the concatenated parts.
+    /// Computes the tag of the concatenated parts.
     pub fn sign(&self, parts: &[&[u8]]) -> Tag {
-        let whole = self.mac(parts).finalize().into_bytes();
+        let mac = self.mac(parts).finalize().into_bytes();
         let mut tag = [0; TAG_BYTES];
-        tag.copy_from_slice(&whole[..TAG_BYTES]);
+        tag.copy_from_slice(&mac[..TAG_BYTES]);
         tag
     }
 
-    /// Whether `tag` belongs to the parts, in a time that does not depend on where it differs.
+    /// Whether `tag` is the tag of the parts. Compares in constant time.
     pub fn verify(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
         tag.len() == TAG_BYTES && self.mac(parts).verify_truncated_left(tag).is_ok()
     }
 
-    /// A key for one purpose, derived from this one.
+    /// Derives a key for the context that `parts` describe.
     pub fn derive(&self, parts: &[&[u8]]) -> Key {
         Key::new(&self.mac(parts).finalize().into_bytes())
     }
 }
 
-/// The keys of a cluster, the signing one first.
+/// The keys of a cluster, the signing key first.
 #[derive(Clone, Debug)]
 pub struct ClusterKeys {
     keys: Vec<Key>,
 }
 
 impl ClusterKeys {
-    /// Prepares one or two keys.
+    /// Creates one or two keys from their key material.
     pub fn new<'a>(materials: impl IntoIterator<Item = &'a [u8]>) -> Result<Self, KeyError> {
         let mut keys = Vec::new();
         for material in materials {
@@ -94,12 +94,12 @@
         Ok(Self { keys })
     }
 
-    /// The key that signs.
+    /// The key that signs outgoing traffic.
     pub fn signing(&self) -> &Key {
         &self.keys[0]
     }
 
-    /// Every key that is accepted.
+    /// All keys that are accepted on incoming traffic.
     pub fn accepted(&self) -> &[Key] {
         &self.keys
     }
--- a/crates/peer/src/catalog_transfer.rs
+++ b/crates/peer/src/catalog_transfer.rs
@@ -1,4 +1,5 @@
-//! A delta of the configuration on its way to another node: CBOR, compressed, in parts.
+//! Encoding of a configuration delta that is sent to another node: compressed CBOR, split into
+//! chunks.
 
 use std::io::{Read, Write};
 
@@ -10,43 +11,44 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Most bytes of a delta before it is compressed: a hundred times the whole catalog of 550 groups.
+/// Maximum size of a delta before compression: a hundred times a whole catalog of 550 groups.
 const MAX_UNPACKED_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A delta that a node offers; the same number always names the same bytes of the same process.
+/// Id of a delta that a node sends. Within a process, an id always identifies the same bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TransferId(pub u64);
 
-/// A part of a delta.
+/// A chunk of a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The delta.
+    /// Id of the delta.
     pub transfer: TransferId,
-    /// Where the part begins.
+    /// Offset of the chunk in the delta, in bytes.
     pub offset: u32,
-    /// Bytes of the whole.
+    /// Size of the whole delta, in bytes.
     pub total: u32,
-    /// The part.
+    /// Content of the chunk.
     pub bytes: Bytes,
 }
 
-/// Why a delta cannot be packed or unpacked.
+/// Why a delta cannot be encoded, decoded or reassembled.
 #[derive(Debug, Error)]
 pub enum TransferError {
-    /// It is not what a node packs.
+    /// The delta is not valid compressed CBOR, or cannot be encoded.
     #[error("delta of the configuration is malformed: {0}")]
     Malformed(String),
-    /// It is too large.
+    /// The delta exceeds the maximum size.
     #[error("delta of the configuration has more than {MAX_UNPACKED_BYTES} bytes")]
     TooLarge,
-    /// A part does not continue what has arrived.
-    #[error("part of the configuration does not continue the one before")]
+    /// A chunk does not continue the previous one.
+    #[error("chunk of the configuration does not continue the previous one")]
     OutOfOrder,
 }
 
-/// The bytes that travel. Compressed, since entries repeat each other: 1,400 tenants take 23 kB instead of
-/// 171 kB, so 19 ms instead of 137 ms of a link of 10 Mbit/s (test `a_large_catalog_is_packed_small`).
+/// Encodes a delta. It is compressed because entries resemble each other: 1,400 tenants take 23 kB
+/// instead of 171 kB, which a 10 Mbit/s link transfers in 19 ms instead of 137 ms (test
+/// `a_large_catalog_is_packed_small`).
 pub fn pack(delta: &CatalogDelta) -> Result<Bytes, TransferError> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     ciborium::into_writer(delta, &mut encoder)
@@ -58,7 +60,7 @@
     packed.map(Bytes::from).map_err(|error| TransferError::Malformed(error.to_string()))
 }
 
-/// The delta that arrived.
+/// Decodes a received delta.
 pub fn unpack(bytes: &[u8]) -> Result<CatalogDelta, TransferError> {
     let mut limited = DeflateDecoder::new(bytes).take(MAX_UNPACKED_BYTES);
     ciborium::from_reader(&mut limited).map_err(|error| match limited.limit() {
@@ -67,14 +69,14 @@
     })
 }
 
-/// The part of `whole` that begins at `offset`.
-pub fn chunk_at(transfer: TransferId, whole: &Bytes, offset: u32, most: usize) -> Chunk {
-    let from = (offset as usize).min(whole.len());
-    let to = (from + most).min(whole.len());
-    Chunk { transfer, offset, total: whole.len() as u32, bytes: whole.slice(from..to) }
+/// The chunk of `delta` that starts at `offset`, with at most `max_bytes` bytes.
+pub fn chunk_at(transfer: TransferId, delta: &Bytes, offset: u32, max_bytes: usize) -> Chunk {
+    let start = (offset as usize).min(delta.len());
+    let end = (start + max_bytes).min(delta.len());
+    Chunk { transfer, offset, total: delta.len() as u32, bytes: delta.slice(start..end) }
 }
 
-/// What has arrived of a delta.
+/// A delta that is being received.
 #[derive(Debug)]
 pub struct IncomingTransfer {
     transfer: TransferId,
@@ -83,38 +85,38 @@
 }
 
 impl IncomingTransfer {
-    /// From its first part.
-    pub fn begin(part: &Chunk) -> Result<Self, TransferError> {
+    /// Starts a transfer with its first chunk.
+    pub fn begin(chunk: &Chunk) -> Result<Self, TransferError> {
         let mut incoming =
-            Self { transfer: part.transfer, total: part.total, bytes: BytesMut::new() };
-        incoming.add(part)?;
+            Self { transfer: chunk.transfer, total: chunk.total, bytes: BytesMut::new() };
+        incoming.add(chunk)?;
         Ok(incoming)
     }
 
-    /// Takes the next part in.
-    pub fn add(&mut self, part: &Chunk) -> Result<(), TransferError> {
-        let continues = part.transfer == self.transfer
-            && part.total == self.total
-            && part.offset as usize == self.bytes.len()
-            && self.bytes.len() + part.bytes.len() <= self.total as usize;
-        if !continues {
+    /// Appends the next chunk.
+    pub fn add(&mut self, chunk: &Chunk) -> Result<(), TransferError> {
+        let is_next = chunk.transfer == self.transfer
+            && chunk.total == self.total
+            && chunk.offset as usize == self.bytes.len()
+            && self.bytes.len() + chunk.bytes.len() <= self.total as usize;
+        if !is_next {
             return Err(TransferError::OutOfOrder);
         }
-        self.bytes.extend_from_slice(&part.bytes);
+        self.bytes.extend_from_slice(&chunk.bytes);
         Ok(())
     }
 
-    /// Where the next part begins.
+    /// Offset of the next chunk.
     pub fn next_offset(&self) -> u32 {
         self.bytes.len() as u32
     }
 
-    /// Whether all has arrived.
+    /// Whether the whole delta has been received.
     pub fn is_complete(&self) -> bool {
         self.bytes.len() == self.total as usize
     }
 
-    /// What has arrived.
+    /// The bytes received so far.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
--- a/crates/peer/src/channel.rs
+++ b/crates/peer/src/channel.rs
@@ -1,9 +1,10 @@
 //! An authenticated stream between two nodes.
 //!
-//! Both sides introduce themselves with a nonce, then prove that they hold a cluster key by a tag
-//! over both introductions. Each direction gets its own key, derived from the same bytes, and
-//! every later frame carries a tag over its number and body: nothing can be changed, left out,
-//! repeated, reflected or moved to another connection.
+//! Handshake: each side sends a [`Hello`] with a random nonce, then proves that it has a cluster key
+//! by a tag over both hellos. Each direction has its own key, which is derived from the cluster key
+//! and both hellos. Every later frame carries a tag over its number and body. An attacker can
+//! therefore not change, drop, repeat or reflect frames, or move them to another connection, without
+//! being detected.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use kestrellock_core::ids::NodeName;
@@ -15,7 +16,7 @@
 use crate::frame::{self, FrameError, LENGTH_BYTES, MAX_FRAME_BYTES};
 use crate::message::PROTOCOL_VERSION;
 
-/// Largest frame accepted before the other side has proved that it holds a key, in bytes.
+/// Maximum size of a frame before the peer has proved that it has a cluster key.
 pub const MAX_HANDSHAKE_BYTES: usize = 1024;
 const PURPOSE: &[u8] = b"kestrellock stream";
 const PROOF: &[u8] = b"proof";
@@ -25,29 +26,31 @@
 pub struct Hello {
     /// [`PROTOCOL_VERSION`] of the sender.
     pub version: u16,
-    /// Cluster the sender belongs to.
+    /// Cluster of the sender.
     pub cluster: String,
-    /// Sender.
+    /// Node name of the sender.
     pub node: NodeName,
     /// Incarnation of the sender's process.
     pub incarnation: u64,
-    /// Shard of the sender that holds the connection.
+    /// Shard of the sender that owns the connection.
     pub shard: u16,
-    /// Number of the sender's shards.
+    /// Number of shards of the sender.
     pub shards: u16,
-    /// Random bytes, so that no connection is like another.
+    /// Random bytes that make every connection unique, so that frames cannot be replayed on another
+    /// one.
     pub nonce: [u8; 16],
-    /// Nonce of the opener of the connection that the sender, if it opens this one, has retired for it.
+    /// The opener's nonce of the retired connection that this connection replaces. Only set by the
+    /// opener of a connection that replaces another one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub replaces: Option<[u8; 16]>,
 }
 
-/// Which side of a connection a node is.
+/// Role of a node in the setup of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// It opened the connection.
+    /// The node opened the connection.
     Opener,
-    /// It accepted it.
+    /// The node accepted the connection.
     Acceptor,
 }
 
@@ -67,27 +70,27 @@
     }
 }
 
-/// Why a stream cannot go on.
+/// Why a stream cannot continue.
 #[derive(Debug, Error)]
 pub enum ChannelError {
     /// A frame is malformed or too large.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The other side speaks another version.
-    #[error("protocol version {0}, not {PROTOCOL_VERSION}")]
+    /// The peer uses another protocol version.
+    #[error("peer has protocol version {0}, not {PROTOCOL_VERSION}")]
     Version(u16),
-    /// The other side belongs to another cluster.
-    #[error("member of another cluster")]
+    /// The peer belongs to another cluster.
+    #[error("peer is a member of another cluster")]
     OtherCluster,
-    /// A tag does not fit.
-    #[error("wrong tag")]
+    /// An authentication tag is invalid.
+    #[error("invalid authentication tag")]
     Tag,
-    /// Something was to be sent before the other side had proved itself.
-    #[error("not established")]
+    /// A message was to be sent or received before the handshake was complete.
+    #[error("the handshake is not complete")]
     NotEstablished,
 }
 
-/// One direction after the handshake.
+/// Key and frame counter of one direction after the handshake.
 #[derive(Debug)]
 struct Direction {
     key: Key,
@@ -113,7 +116,7 @@
 }
 
 impl Channel {
-    /// Begins a stream: appends this side's introduction to `output`.
+    /// Starts the handshake: appends this side's hello to `output`.
     pub fn begin(
         side: Side,
         own: Hello,
@@ -124,27 +127,28 @@
         Ok(Self { side, own, keys, peer: None, sending: None, state: State::AwaitsHello })
     }
 
-    /// Which side this is.
+    /// Role of this node.
     pub fn side(&self) -> Side {
         self.side
     }
 
-    /// This side's introduction.
+    /// This node's hello.
     pub fn own(&self) -> &Hello {
         &self.own
     }
 
-    /// The other side, once it has introduced itself.
+    /// The peer's hello, once it has been received.
     pub fn peer(&self) -> Option<&Hello> {
         self.peer.as_ref()
     }
 
-    /// Whether the other side has proved that it holds a key.
+    /// Whether the peer has proved that it has a cluster key.
     pub fn is_established(&self) -> bool {
         matches!(self.state, State::Established { .. })
     }
 
-    /// Takes the handshake as far as `input` allows; whether the stream is established after it.
+    /// Continues the handshake as far as `input` allows. Returns whether the stream is established
+    /// afterwards.
     pub fn advance(
         &mut self,
         input: &mut BytesMut,
@@ -178,7 +182,7 @@
         Ok(())
     }
 
-    /// Both introductions, the opener's first.
+    /// Both encoded hellos, the opener's first.
     fn transcript(&self, peer: &Hello) -> Result<Vec<u8>, ChannelError> {
         let (opener, acceptor) = match self.side {
             Side::Opener => (&self.own, peer),
@@ -202,7 +206,7 @@
         Ok(())
     }
 
-    /// Appends one message to `output`.
+    /// Appends a message to `output` as one frame.
     pub fn send<M: Serialize>(
         &mut self,
         message: &M,
@@ -234,7 +238,7 @@
         Ok(())
     }
 
-    /// Takes one message off the head of `input`; `None` while it is incomplete.
+    /// Removes one message from the start of `input`; `None` while its frame is incomplete.
     pub fn receive<M: DeserializeOwned>(
         &mut self,
         input: &mut BytesMut,
@@ -260,7 +264,7 @@
     key.derive(&[PURPOSE, from.label(), transcript])
 }
 
-/// The body of the frame at the head of `input`, taken off it; `None` while it is incomplete.
+/// Removes one frame from the start of `input` and returns its body; `None` while it is incomplete.
 fn next_body(input: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, FrameError> {
     let Some(head) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -1,8 +1,9 @@
-//! Datagrams between nodes: version, cluster, tag, then one CBOR value.
+//! Datagrams between nodes: version, cluster, authentication tag, then one CBOR value.
 //!
-//! A datagram names its receiver, and the receiver's process where the sender knows it, so that
-//! it can be replayed neither to another node nor to a later process. Whatever does not fit is
-//! refused with a reason that callers count; no input makes this module panic.
+//! A datagram names its receiver, and also the receiver's process if the sender knows it, so that
+//! it can be replayed neither to another node nor to a later process of the same node. Every invalid
+//! datagram is rejected with a reason, which the membership agent counts. No input makes this module
+//! panic.
 
 use std::time::Duration;
 
@@ -16,43 +17,44 @@
 use crate::auth::{ClusterKeys, TAG_BYTES};
 use crate::replay::{ReplayError, ReplayGuard};
 
-/// Version of datagrams; one with another version is refused.
+/// Version of the datagram format. Datagrams with another version are rejected.
 pub const DATAGRAM_VERSION: u8 = 1;
-/// Most bytes of a cluster's name and of a node's name.
+/// Maximum length of a cluster's name and of a node's name.
 pub const MAX_NAME_BYTES: usize = 64;
 const CLUSTER_BYTES: usize = 4;
 const TAG_START: usize = 1 + CLUSTER_BYTES;
 const BODY_START: usize = TAG_START + TAG_BYTES;
 const PURPOSE: &[u8] = b"kestrellock datagram";
 
-/// Why a datagram is refused, or cannot be sent.
+/// Why a datagram is rejected, or cannot be sent.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum DatagramError {
-    /// It is too short to hold anything.
+    /// The datagram is too short to have a body.
     #[error("datagram of {0} bytes is too short")]
     Short(usize),
-    /// It has another version.
+    /// The datagram has another version.
     #[error("datagram has version {0}, not {DATAGRAM_VERSION}")]
     Version(u8),
-    /// It belongs to another cluster.
+    /// The datagram belongs to another cluster.
     #[error("datagram of another cluster")]
     OtherCluster,
-    /// No accepted key made its tag.
-    #[error("datagram with a wrong tag")]
+    /// The tag was not made with any accepted key.
+    #[error("datagram with an invalid authentication tag")]
     Tag,
-    /// Its body is not the expected value.
+    /// The body cannot be decoded, or the message cannot be encoded.
     #[error("datagram with a malformed body")]
     Malformed,
-    /// It names another receiver or another process of it.
+    /// The datagram is addressed to another node or to another process of this node.
     #[error("datagram for another receiver")]
     OtherReceiver,
-    /// It was received before.
+    /// The datagram is a duplicate.
     #[error("datagram received before")]
     Repeated,
-    /// A process older than the newest known of its node sent it.
+    /// The datagram was sent by a process that is older than the newest known process of its node.
+    /// Holds the sender's record.
     #[error("datagram from an older process of its node")]
     OldProcess(Box<MemberRecord>),
-    /// It is larger than a network on the way may carry whole.
+    /// The datagram is too large to cross every network unfragmented.
     #[error("datagram of {0} bytes is larger than {MAX_DATAGRAM_BYTES}")]
     TooLarge(usize),
 }
@@ -81,21 +83,21 @@
     message: Message,
 }
 
-/// Seals and opens the datagrams of one node.
+/// Signs the datagrams that a node sends, and checks those that it receives.
 #[derive(Debug)]
 pub struct DatagramCodec {
     keys: ClusterKeys,
     cluster: [u8; CLUSTER_BYTES],
     node: NodeName,
     sequence: u64,
-    replays: ReplayGuard,
+    replay_guard: ReplayGuard,
 }
 
 impl DatagramCodec {
-    /// A codec of `node` in `cluster`.
+    /// A codec for `node` in `cluster`.
     pub fn new(keys: ClusterKeys, cluster: &str, node: NodeName) -> Self {
-        let cluster = cluster_mark(cluster);
-        Self { keys, cluster, node, sequence: 0, replays: ReplayGuard::default() }
+        let cluster = cluster_hash(cluster);
+        Self { keys, cluster, node, sequence: 0, replay_guard: ReplayGuard::default() }
     }
 
     /// Encodes and signs a message.
@@ -120,7 +122,7 @@
         Ok(bytes)
     }
 
-    /// Checks and decodes a datagram that arrived at process `process` of this node.
+    /// Checks and decodes a datagram that process `process` of this node received.
     pub fn open(
         &mut self,
         bytes: &[u8],
@@ -130,16 +132,16 @@
         let body = self.authenticate(bytes)?;
         let envelope: Envelope =
             ciborium::from_reader(body).map_err(|_| DatagramError::Malformed)?;
-        let other_process = envelope.process.is_some_and(|meant| meant != process);
-        if envelope.to != self.node || other_process {
+        let is_other_process = envelope.process.is_some_and(|addressee| addressee != process);
+        if envelope.to != self.node || is_other_process {
             return Err(DatagramError::OtherReceiver);
         }
         let sender = &envelope.message.sender;
         if sender.node == self.node {
             return Err(DatagramError::OtherReceiver);
         }
-        let sent_by = sender.incarnation.process;
-        match self.replays.check(&sender.node, sent_by, envelope.sequence, now) {
+        let sender_process = sender.incarnation.process;
+        match self.replay_guard.check(&sender.node, sender_process, envelope.sequence, now) {
             Ok(()) => Ok(envelope.message),
             Err(ReplayError::Repeated) => Err(DatagramError::Repeated),
             Err(ReplayError::OldProcess) => {
@@ -160,14 +162,14 @@
         }
         let (header, body) = (&bytes[..TAG_START], &bytes[BODY_START..]);
         let tag = &bytes[TAG_START..BODY_START];
-        let authentic =
+        let is_authentic =
             self.keys.accepted().iter().any(|key| key.verify(&[PURPOSE, header, body], tag));
-        if authentic { Ok(body) } else { Err(DatagramError::Tag) }
+        if is_authentic { Ok(body) } else { Err(DatagramError::Tag) }
     }
 }
 
-/// The first bytes of the hash of a cluster's name.
-fn cluster_mark(cluster: &str) -> [u8; CLUSTER_BYTES] {
+/// The first bytes of the SHA-256 hash of a cluster's name.
+fn cluster_hash(cluster: &str) -> [u8; CLUSTER_BYTES] {
     let hash = Sha256::digest(cluster.as_bytes());
     [hash[0], hash[1], hash[2], hash[3]]
 }
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -1,27 +1,27 @@
-//! Frames on TCP between nodes: a 4-byte big-endian length, then one CBOR value.
+//! Framing of TCP connections between nodes: a 4-byte big-endian length, then one CBOR value.
 
 use bytes::{Buf, BufMut, BytesMut};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Largest body accepted, in bytes.
+/// Maximum size of a frame body.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
-/// Bytes of the length field.
+/// Size of the length field.
 pub const LENGTH_BYTES: usize = 4;
 
-/// Why bytes from a peer were refused.
+/// Why a frame cannot be encoded or decoded.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The length field exceeds [`MAX_FRAME_BYTES`].
+    /// The body exceeds the maximum size.
     #[error("frame of {0} bytes is larger than {MAX_FRAME_BYTES}")]
     TooLarge(usize),
-    /// The body is not the expected CBOR value.
+    /// The body is not CBOR of the expected type, or the message cannot be encoded.
     #[error("frame body is malformed: {0}")]
     Malformed(String),
 }
 
-/// Appends one frame holding `message` to `buffer`.
+/// Appends a frame with `message` to `buffer`.
 pub fn encode<M: Serialize>(message: &M, buffer: &mut BytesMut) -> Result<(), FrameError> {
     let start = buffer.len();
     buffer.put_u32(0);
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// Takes one frame off the head of `buffer`; `None` while it is incomplete.
+/// Removes one frame from the start of `buffer` and decodes it; `None` while it is incomplete.
 pub fn decode<M: DeserializeOwned>(buffer: &mut BytesMut) -> Result<Option<M>, FrameError> {
     if buffer.len() < LENGTH_BYTES {
         return Ok(None);
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between nodes, and their frames.
+//! Messages between nodes, and their framing and authentication.
 //!
-//! Fronts and gateways exchange these values whether they share a shard, a node or neither; only
-//! between nodes are they encoded, as CBOR with a length in front.
+//! Fronts and gateways exchange the same message values within a shard, between shards of a node and
+//! between nodes. Only messages between nodes are encoded, as CBOR with a length prefix.
 
 pub mod auth;
 pub mod catalog_transfer;
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -1,4 +1,7 @@
-//! What fronts and gateways tell each other.
+//! Messages between fronts, gateways and the agents of nodes.
+//!
+//! Fields and variants are encoded under their names. A name that differs on the wire has a serde
+//! attribute.
 
 use std::time::Duration;
 
@@ -16,328 +19,339 @@
 
 use crate::catalog_transfer::{Chunk, TransferId};
 
-/// Version of the protocol between nodes; a peer with another one is refused.
+/// Version of the protocol between nodes. A peer with another version is rejected.
 pub const PROTOCOL_VERSION: u16 = 7;
 
-/// A prepared statement that an exchange refers to under a cluster-wide name.
+/// A prepared statement that an exchange refers to by a cluster-wide name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreparedStatement {
-    /// Name derived from text and parameter types, the same on every node.
+    /// Name derived from the statement's text and parameter types, the same on every node.
     pub name: String,
     /// The complete `Parse` message that creates it.
     pub parse: Bytes,
 }
 
-/// Which instance of its group runs an exchange.
+/// Which instance of the group runs an exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Placement {
-    /// This one, which the front chose.
+    /// The instance that the front chose.
     Instance(InstanceName),
-    /// Whichever the gateway chooses.
+    /// Any instance that meets the requirements; the gateway chooses it.
     Any(PlacementRequirements),
 }
 
-/// What the choice of an instance depends on, beside [`Exchange::access`].
+/// Inputs to the gateway's choice of an instance, in addition to [`Exchange::access`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRequirements {
-    /// Time since the request arrived at the front. Nodes share no clock; the time under way is not
-    /// part of it, so the gateway takes the request for younger than it is, which asks for more.
+    /// Time between the request's arrival at the front and the sending of this message. Nodes share
+    /// no clock, so the time in transit is not included. The gateway therefore assumes a later arrival
+    /// than the real one, which makes its freshness requirement stricter, never weaker.
     pub waited: Duration,
-    /// How old what it reads may be; `None` if it reads nothing.
+    /// Maximum staleness of the data that the exchange reads; `None` if it reads nothing.
     pub staleness: Option<Duration>,
-    /// An instance that could not run it a moment ago.
+    /// An instance that has just failed to run the exchange.
     #[serde(rename = "passed_over")]
     pub excluded_instance: Option<InstanceName>,
 }
 
-/// One round trip with a back end on behalf of a caller.
+/// One round trip with an instance on behalf of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Lease it belongs to; the first exchange of a lease opens it.
+    /// Server lease of the exchange; the first exchange of a lease opens the lease.
     pub lease: LeaseId,
-    /// Number within the lease, from zero.
+    /// Number of the exchange within the lease, from zero.
     pub number: u32,
-    /// The request's id, as far as the callers' protocol has one; for the log.
+    /// Id of the request for the log, if the client's protocol has request ids.
     pub request: Option<String>,
-    /// Where to run it. Only the first exchange of a lease is placed; the others follow it.
+    /// Where to run the exchange. Only the first exchange of a lease is placed; later exchanges run on
+    /// the same instance.
     pub placement: Placement,
-    /// Tenant charged for it.
+    /// Tenant that is charged for the exchange.
     pub tenant: TenantName,
-    /// Account on whose behalf it is asked: the only one whose exchanges its connection carries.
+    /// Account of the client. A server connection carries only exchanges of a single account.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub account: Option<AccountName>,
-    /// What it needs.
+    /// Access that the exchange needs.
     pub access: Access,
-    /// Order in the queue.
+    /// Priority in the gateway's queue.
     pub priority: Priority,
-    /// Time left to answer it.
+    /// Time left until the request's deadline.
     pub time_left: Duration,
-    /// Prepared statements that must exist on the connection.
+    /// Prepared statements that must exist on the server connection.
     pub statements: Vec<PreparedStatement>,
-    /// The caller's session settings, to be put in force on the connection.
+    /// Session settings of the client, which the gateway applies to the server connection.
     pub settings: Vec<SessionSetting>,
-    /// Whether it may leave something on the connection beyond its transaction and settings.
+    /// Whether the exchange may leave state on the server connection other than its transaction and
+    /// settings.
     pub taints: bool,
-    /// Front-end messages, whole, as the back end is to see them.
+    /// Complete frontend messages, as they are sent to the instance.
     pub frames: Bytes,
-    /// How many `ReadyForQuery` messages end the answer.
+    /// Number of `ReadyForQuery` messages in the answer; the last one ends it.
     pub ready_expected: u32,
     /// Whether the exchange may commit, so that its answer must wait for confirmation.
     pub may_commit: bool,
-    /// Whether it commits something that wrote, if it succeeds: where the primary answers commits only
-    /// after replicas have them, that shows that no other one leads.
+    /// Whether the exchange, if it succeeds, commits a transaction that wrote. If the primary
+    /// acknowledges commits only after replicas have received them, success is evidence that no other
+    /// instance is primary.
     pub commits_write: bool,
 }
 
-/// What a front asks of a gateway.
+/// A request of a front to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GatewayCall {
-    /// Run this.
+    /// Run an exchange.
     Exchange(Box<Exchange>),
-    /// The caller is gone: roll back, reset, and reuse the connection.
+    /// The client has disconnected: roll back and reset the server connection, and reuse it.
     Abandon(LeaseId),
-    /// The caller asked to cancel what runs on the lease.
+    /// The client has requested to cancel the statement that runs on the lease.
     Cancel(LeaseId),
-    /// Tell the group's position as of now, one that covers every write acknowledged before.
+    /// Report a current position of the group that covers every write acknowledged before this
+    /// request.
     CurrentPosition {
-        /// Shard of the front that asks.
+        /// Shard of the requesting front.
         shard: u16,
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
     },
-    /// Send statuses of the group for the next [`SUBSCRIPTION_LIFETIME`].
+    /// Send instance statuses of the group for the next [`SUBSCRIPTION_LIFETIME`].
     Subscribe,
 }
 
-/// From a front to a gateway of the node that owns an instance.
+/// Message from a front to a gateway of the node that owns an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToGateway {
     /// Node of the front.
     pub from: NodeName,
-    /// Group concerned; decides the shard that holds its gateway.
+    /// Database group of the request. It determines the shard of the gateway.
     pub group: GroupName,
-    /// What is asked.
+    /// The request.
     pub call: GatewayCall,
 }
 
-/// How long a status subscription lasts unless renewed.
+/// Time after which a status subscription expires unless it is renewed.
 pub const SUBSCRIPTION_LIFETIME: Duration = Duration::from_secs(10);
 
-/// State of the back-end transaction after an exchange.
+/// State of the transaction on the instance after an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransactionState {
-    /// None open: the lease is over unless it is pinned.
+    /// No transaction is open. The lease ends unless it is pinned.
     Idle,
-    /// Open.
+    /// A transaction is open.
     Open,
-    /// Open and failed: only a rollback is accepted.
+    /// The open transaction has failed; the instance only accepts a rollback.
     Failed,
 }
 
-/// What a front hears about one lease.
+/// An event of a server lease, sent to its front.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseEvent {
-    /// Part of the answer: whole back-end messages to pass on.
+    /// Part of the answer: complete backend messages to forward to the client.
     Part(Bytes),
     /// The end of an exchange's answer.
     Done {
-        /// Last back-end messages, ending with `ReadyForQuery`.
+        /// Last backend messages, ending with `ReadyForQuery`.
         frames: Bytes,
-        /// Transaction state after it.
+        /// Transaction state after the exchange.
         transaction: TransactionState,
-        /// Position that a confirmed write has reached; raises the session bound.
+        /// Position of a confirmed write. The session's later reads must not be older.
         confirmed: Option<Position>,
-        /// The instance that ran it.
+        /// Instance that ran the exchange.
         instance: InstanceName,
     },
-    /// The gateway does not own the instance and has not run the exchange; the lease is over.
+    /// The gateway's node does not own the instance and has not run the exchange. The lease has ended.
     NotOwner {
-        /// The node that does, as far as the gateway knows.
+        /// Owner of the instance, if the gateway knows it.
         owner: Option<NodeName>,
     },
-    /// The gateway has nothing under way for the exchange and no answer to repeat; the lease is over.
+    /// The gateway is not running the exchange and has no answer to send again. The lease has ended.
     #[serde(rename = "NotUnderWay")]
     NotInProgress {
-        /// Whether it has surely not run: it never reached the gateway's node.
+        /// Whether the exchange has certainly not run, because it never reached the gateway's node.
         has_not_run: bool,
     },
-    /// The exchange failed in the proxy, and the lease is over.
+    /// The exchange failed in the proxy. The lease has ended.
     Refused(Refusal),
 }
 
-/// From a gateway to a front.
+/// Message from a gateway to a front.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToFront {
-    /// News of a lease.
+    /// An event of a lease.
     Lease {
         /// The lease.
         lease: LeaseId,
-        /// Number of this message within the lease, from zero: a gap means that a message was lost.
+        /// Number of this message within the lease, from zero. A gap means that a message was lost.
         sequence: u32,
-        /// What happened.
+        /// The event.
         event: LeaseEvent,
     },
-    /// News of a lease that the front may have missed on a connection that was replaced, or may have
-    /// received.
+    /// An event of a lease that is sent again after a link was replaced. The front may or may not have
+    /// received it on the old link.
     #[serde(rename = "Again")]
     Resent {
         /// The lease.
         lease: LeaseId,
-        /// Its number within the lease.
+        /// Number of the original message within the lease.
         sequence: u32,
-        /// What happened.
+        /// The event.
         event: LeaseEvent,
     },
     /// The answer to [`GatewayCall::CurrentPosition`].
     CurrentPosition {
         /// The group.
         group: GroupName,
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
         /// The position.
         position: Position,
     },
-    /// Statuses of instances of one group, newest known to the sender.
+    /// The newest statuses of instances of a group that the sender has.
     Statuses {
         /// The group.
         group: GroupName,
-        /// Statuses; instances missing from it are unchanged.
+        /// Statuses. The status of an instance that is missing here has not changed.
         statuses: Vec<InstanceStatus>,
     },
 }
 
-/// One lease that a front has at a gateway, when a new connection replaces one that went silent.
+/// A lease that a front has at a gateway when a new link replaces one that went silent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldLease {
     /// The lease.
     pub lease: LeaseId,
-    /// Number of the first of its messages that the front has not received.
+    /// Number of the first message of the lease that the front has not received.
     pub next_sequence: u32,
-    /// Time since the front sent the exchange that it has no answer to; `None` while the lease rests.
+    /// Time since the front sent the exchange that has not been answered; `None` if the lease has no
+    /// exchange in progress.
     pub sent_ago: Option<Duration>,
 }
 
-/// What nodes tell each other of the configuration.
+/// A message of the configuration distribution.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationMessage {
-    /// The sender has this revision in force and asks for the receiver's.
+    /// Reports the sender's active revision and requests the receiver's.
     Request {
-        /// Revision of the sender.
+        /// Active revision of the sender.
         have: Revision,
     },
-    /// The sender has this revision in force.
+    /// Reports the sender's active revision.
     #[serde(rename = "InForce")]
     Active {
         /// The revision.
         revision: Revision,
     },
-    /// The sender wants what the receiver has other than it, if that is newer.
+    /// Requests the difference between the receiver's and the sender's configuration, if the
+    /// receiver's is newer.
     Fetch {
-        /// What the sender has.
+        /// Summary of the sender's configuration.
         have: CatalogSummary,
     },
-    /// The sender will send what the receiver wants to fetch, after it has served others.
+    /// The sender will answer the receiver's fetch after it has served other nodes.
     Queued,
-    /// The next part of what the receiver fetches.
+    /// The next chunk of the configuration that the receiver fetches.
     #[serde(rename = "Part")]
     Chunk(Chunk),
-    /// The sender has received what comes before `offset`; the whole, if nothing follows it.
+    /// The sender has received all bytes before `offset` and requests the next chunk. An `offset` at
+    /// the end of the transfer acknowledges it as complete.
     Next {
-        /// What it fetches.
+        /// The transfer.
         transfer: TransferId,
-        /// Where the next part begins.
+        /// Offset of the next chunk.
         offset: u32,
     },
-    /// The sender wants no more of what the receiver sends.
+    /// The sender cancels its fetch from the receiver.
     #[serde(rename = "Enough")]
     StopTransfer,
-    /// The sender asks since when no newer configuration than the receiver's is known to stand.
+    /// Asks for the last moment at which the receiver knows its configuration to have been the newest.
     Confirm {
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
     },
-    /// The answer: at some moment that configuration was the newest.
+    /// The answer to [`ConfigurationMessage::Confirm`].
     Confirmed {
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
-        /// Which one, and how long ago the moment was when the answer was sent; `None` if the sender
-        /// knows nothing.
+        /// Version that was confirmed to be the newest, and the age of the confirmation when the answer
+        /// was sent; `None` if the sender has no confirmation.
         newest: Option<(CatalogVersion, Duration)>,
     },
 }
 
-/// Everything that travels between nodes over TCP.
+/// A message between nodes over TCP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// For the agent that keeps the receiver's configuration.
+    /// A message to the agent that maintains the receiver's configuration.
     Configuration {
         /// Sender.
         from: NodeName,
         /// The message.
         message: ConfigurationMessage,
     },
-    /// The sender has drained and ends: what it has not answered on this connection has not run
-    /// and never will.
+    /// The sender has drained and leaves the cluster. Exchanges that it has not answered on this
+    /// connection have not run and will not run.
     #[serde(rename = "Goodbye")]
     Leave {
         /// The sender.
         node: NodeName,
     },
-    /// The first message on a connection that replaces another one to the same process: nothing that
-    /// arrives on the old one counts from here on.
+    /// The first message on a connection that replaces another one to the same process. Messages that
+    /// arrive on the old connection from now on are ignored.
     Reconnected {
         /// Node of the front.
         node: NodeName,
-        /// Every lease that its front has at gateways of the receiver: all others are over.
+        /// All leases that the node's front has at gateways of the receiver. The receiver ends every
+        /// other lease of that front.
         leases: Vec<HeldLease>,
     },
-    /// The sender has given its evidence of a group's primary up, for the replacement that the
-    /// receiver carries out.
+    /// The sender has revoked its evidence on a group's primary, as required by the replacement that
+    /// the receiver coordinates.
     #[serde(rename = "EvidenceGivenUp")]
     EvidenceRevoked {
         /// The sender.
         node: NodeName,
         /// The group.
         group: GroupName,
-        /// Which replacement it is.
+        /// The replacement.
         id: ReplacementId,
-        /// What it knows of instances that have started again.
+        /// What the sender knows about restarted instances.
         #[serde(default)]
         witness: Witness,
     },
-    /// The sender has a group's primary replaced.
+    /// The sender is the coordinator and is replacing a group's primary.
     #[serde(rename = "ReplacementUnderWay")]
     ReplacementInProgress {
         /// The group.
         group: GroupName,
-        /// What it has recorded in the store.
+        /// The intent that the sender has recorded in the store.
         intent: Intent,
-        /// How long the sender has known it to be recorded.
+        /// Time since the sender learned that the intent is recorded.
         age: Duration,
     },
-    /// A replacement of the sender is over.
+    /// A replacement that the sender coordinated has finished.
     #[serde(rename = "ReplacementOver")]
     ReplacementFinished {
         /// The group.
         group: GroupName,
-        /// Which replacement it is.
+        /// The replacement.
         id: ReplacementId,
-        /// Term that the new primary leads, if there is one.
+        /// Term that the new primary leads; `None` if no instance was promoted.
         led: Option<Term>,
     },
-    /// About how much accounts may ask.
+    /// A message about the quotas of accounts.
     Quota(QuotaMessage),
-    /// The receiver owes the sender an answer and is to say that it runs.
+    /// Heartbeat request. The sender waits for an answer of the receiver and checks that the receiver
+    /// is alive.
     Ping,
-    /// The sender runs.
+    /// Heartbeat response.
     Pong,
-    /// For a gateway of the receiver.
+    /// A message to a gateway of the receiver.
     ToGateway(ToGateway),
-    /// A caller asked to cancel what the session with this key, of the receiver, runs.
+    /// A client has requested to cancel the statement that runs in the receiver's session with this
+    /// key.
     Cancel(CancelKey),
-    /// For the front at this shard of the receiver.
+    /// A message to a front of the receiver.
     ToFront {
-        /// Shard of the front; `None` for news that concerns the whole node.
+        /// Shard of the front; `None` if the message concerns the whole node.
         shard: Option<u16>,
         /// The message.
         message: ToFront,
--- a/crates/peer/src/replay.rs
+++ b/crates/peer/src/replay.rs
@@ -1,4 +1,5 @@
-//! Refuses datagrams that were received before, or that an older process of a node sent.
+//! Replay protection: rejects datagrams that were received before, and those of an older process of
+//! a node.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,38 +9,41 @@
 
 const WORD_BITS: u64 = 64;
 const WORDS: usize = 8;
-/// How far a datagram may lag behind the newest of its sender.
+/// Number of sequence numbers, up to the highest one of a sender, that are still accepted.
 pub const REPLAY_WINDOW: u64 = WORD_BITS * WORDS as u64;
-/// Senders remembered before those that have been silent longest are forgotten.
+/// Maximum number of senders in the guard. When it is reached, a new sender replaces the one that
+/// has been silent longest.
 pub const MAX_SENDERS: usize = 4096;
 
-/// Why a datagram is not taken in.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ReplayError {
-    /// A newer process of the node has been heard.
+    /// A datagram of a newer process of the node has been received.
     #[error("sent by an older process of the node")]
     OldProcess,
-    /// Received before, or too old to tell.
-    #[error("received before, or too old to tell")]
+    /// The datagram was received before, or its sequence number lies before the replay window.
+    #[error("received before, or older than the replay window")]
     Repeated,
 }
 
+/// Sequence numbers received from the newest process of a sender.
 #[derive(Clone, Debug)]
 struct Window {
     process: u64,
     highest: u64,
-    seen: [u64; WORDS],
-    heard: Duration,
+    /// Bitmap of the received sequence numbers, indexed by their remainder.
+    received: [u64; WORDS],
+    last_received_at: Duration,
 }
 
-/// What has been received from every sender.
+/// Replay windows of all senders.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayGuard {
     senders: HashMap<NodeName, Window>,
 }
 
 impl ReplayGuard {
-    /// Notes an authentic datagram, or says why it is refused.
+    /// Records an authentic datagram, or returns why it is rejected.
     pub fn check(
         &mut self,
         sender: &NodeName,
@@ -48,9 +52,10 @@
         now: Duration,
     ) -> Result<(), ReplayError> {
         if !self.senders.contains_key(sender) {
-            self.make_room();
+            self.evict_if_full();
         }
-        let fresh = Window { process, highest: sequence, seen: [0; WORDS], heard: now };
+        let fresh =
+            Window { process, highest: sequence, received: [0; WORDS], last_received_at: now };
         let window = self.senders.entry(sender.clone()).or_insert_with(|| fresh.clone());
         if process < window.process {
             return Err(ReplayError::OldProcess);
@@ -58,15 +63,15 @@
         if process > window.process {
             *window = fresh;
         }
-        window.heard = now;
-        window.note(sequence)
+        window.last_received_at = now;
+        window.record(sequence)
     }
 
-    fn make_room(&mut self) {
+    fn evict_if_full(&mut self) {
         if self.senders.len() < MAX_SENDERS {
             return;
         }
-        let longest_silent = self.senders.iter().min_by_key(|(_, window)| window.heard);
+        let longest_silent = self.senders.iter().min_by_key(|(_, window)| window.last_received_at);
         if let Some(sender) = longest_silent.map(|(sender, _)| sender.clone()) {
             self.senders.remove(&sender);
         }
@@ -74,36 +79,37 @@
 }
 
 impl Window {
-    fn note(&mut self, sequence: u64) -> Result<(), ReplayError> {
+    fn record(&mut self, sequence: u64) -> Result<(), ReplayError> {
         if sequence > self.highest {
             self.advance(sequence);
         }
         if self.highest - sequence >= REPLAY_WINDOW {
             return Err(ReplayError::Repeated);
         }
-        let (word, bit) = place(sequence);
-        if self.seen[word] & bit != 0 {
+        let (word, bit) = bit_of(sequence);
+        if self.received[word] & bit != 0 {
             return Err(ReplayError::Repeated);
         }
-        self.seen[word] |= bit;
+        self.received[word] |= bit;
         Ok(())
     }
 
-    /// Clears the places of the numbers between the old highest and the new.
+    /// Moves the window to a new highest number. Clears the bits of the numbers that it adds.
     fn advance(&mut self, sequence: u64) {
         if sequence - self.highest >= REPLAY_WINDOW {
-            self.seen = [0; WORDS];
+            self.received = [0; WORDS];
         } else {
-            for passed in self.highest + 1..=sequence {
-                let (word, bit) = place(passed);
-                self.seen[word] &= !bit;
+            for added in self.highest + 1..=sequence {
+                let (word, bit) = bit_of(added);
+                self.received[word] &= !bit;
             }
         }
         self.highest = sequence;
     }
 }
 
-fn place(sequence: u64) -> (usize, u64) {
+/// Word and bit of a sequence number in [`Window::received`].
+fn bit_of(sequence: u64) -> (usize, u64) {
     let index = sequence % REPLAY_WINDOW;
     ((index / WORD_BITS) as usize, 1 << (index % WORD_BITS))
 }
