--- a/crates/peer/src/channel.rs
+++ b/crates/peer/src/channel.rs
@@ -1,10 +1,10 @@
 //! An authenticated stream between two nodes.
 //!
-//! Handshake: each side sends a [`Hello`] with a random nonce, then proves that it has a cluster key
-//! by a tag over both hellos. Each direction has its own key, which is derived from the cluster key
-//! and both hellos. Every later frame carries a tag over its number and body. An attacker can
-//! therefore not change, drop, repeat or reflect frames, or move them to another connection, without
-//! being detected.
+//! Handshake: each side sends a [`Hello`] with a random nonce, then proves that it has a cluster
+//! key by a tag over both hellos. Each direction has its own key, which is derived from the cluster
+//! key and both hellos. Every later frame carries a tag over its number and body. An attacker can
+//! therefore not change, drop, repeat or reflect frames, or move them to another connection,
+//! without being detected.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use kestrellock_core::ids::NodeName;
--- a/crates/peer/src/datagram.rs
+++ b/crates/peer/src/datagram.rs
@@ -1,9 +1,9 @@
 //! Datagrams between nodes: version, cluster, authentication tag, then one CBOR value.
 //!
 //! A datagram names its receiver, and also the receiver's process if the sender knows it, so that
-//! it can be replayed neither to another node nor to a later process of the same node. Every invalid
-//! datagram is rejected with a reason, which the membership agent counts. No input makes this module
-//! panic.
+//! it can be replayed neither to another node nor to a later process of the same node. Every
+//! invalid datagram is rejected with a reason, which the membership agent counts. No input makes
+//! this module panic.
 
 use std::time::Duration;
 
--- a/crates/peer/src/message.rs
+++ b/crates/peer/src/message.rs
@@ -44,8 +44,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRequirements {
     /// Time between the request's arrival at the front and the sending of this message. Nodes share
-    /// no clock, so the time in transit is not included. The gateway therefore assumes a later arrival
-    /// than the real one, which makes its freshness requirement stricter, never weaker.
+    /// no clock, so the time in transit is not included. The gateway therefore assumes a later
+    /// arrival than the real one, which makes its freshness requirement stricter, never weaker.
     pub waited: Duration,
     /// Maximum staleness of the data that the exchange reads; `None` if it reads nothing.
     pub staleness: Option<Duration>,
@@ -63,8 +63,8 @@
     pub number: u32,
     /// Id of the request for the log, if the client's protocol has request ids.
     pub request: Option<String>,
-    /// Where to run the exchange. Only the first exchange of a lease is placed; later exchanges run on
-    /// the same instance.
+    /// Where to run the exchange. Only the first exchange of a lease is placed; later exchanges run
+    /// on the same instance.
     pub placement: Placement,
     /// Tenant that is charged for the exchange.
     pub tenant: TenantName,
@@ -91,8 +91,8 @@
     /// Whether the exchange may commit, so that its answer must wait for confirmation.
     pub may_commit: bool,
     /// Whether the exchange, if it succeeds, commits a transaction that wrote. If the primary
-    /// acknowledges commits only after replicas have received them, success is evidence that no other
-    /// instance is primary.
+    /// acknowledges commits only after replicas have received them, success is evidence that no
+    /// other instance is primary.
     pub commits_write: bool,
 }
 
@@ -101,7 +101,7 @@
 pub enum GatewayCall {
     /// Run an exchange.
     Exchange(Box<Exchange>),
-    /// The client has disconnected: roll back and reset the server connection, and reuse it.
+    /// The client has disconnected: roll back, reset the server connection, and reuse it.
     Abandon(LeaseId),
     /// The client has requested to cancel the statement that runs on the lease.
     Cancel(LeaseId),
@@ -153,17 +153,20 @@
         frames: Bytes,
         /// Transaction state after the exchange.
         transaction: TransactionState,
-        /// Position of a confirmed write. The session's later reads must not be older.
+        /// Position of a confirmed write. It raises the session's bound: later reads must not be
+        /// older.
         confirmed: Option<Position>,
         /// Instance that ran the exchange.
         instance: InstanceName,
     },
-    /// The gateway's node does not own the instance and has not run the exchange. The lease has ended.
+    /// The gateway's node does not own the instance and has not run the exchange. The lease has
+    /// ended.
     NotOwner {
         /// Owner of the instance, if the gateway knows it.
         owner: Option<NodeName>,
     },
-    /// The gateway is not running the exchange and has no answer to send again. The lease has ended.
+    /// The gateway is not running the exchange and has no answer to send again. The lease has
+    /// ended.
     #[serde(rename = "NotUnderWay")]
     NotInProgress {
         /// Whether the exchange has certainly not run, because it never reached the gateway's node.
@@ -185,8 +188,8 @@
         /// The event.
         event: LeaseEvent,
     },
-    /// An event of a lease that is sent again after a link was replaced. The front may or may not have
-    /// received it on the old link.
+    /// An event of a lease that is sent again after a link was replaced. The front may or may not
+    /// have received it on the old link.
     #[serde(rename = "Again")]
     Resent {
         /// The lease.
@@ -221,8 +224,8 @@
     pub lease: LeaseId,
     /// Number of the first message of the lease that the front has not received.
     pub next_sequence: u32,
-    /// Time since the front sent the exchange that has not been answered; `None` if the lease has no
-    /// exchange in progress.
+    /// Time since the front sent the exchange that has not been answered; `None` if the lease has
+    /// no exchange in progress.
     pub sent_ago: Option<Duration>,
 }
 
@@ -251,8 +254,8 @@
     /// The next chunk of the configuration that the receiver fetches.
     #[serde(rename = "Part")]
     Chunk(Chunk),
-    /// The sender has received all bytes before `offset` and requests the next chunk. An `offset` at
-    /// the end of the transfer acknowledges it as complete.
+    /// The sender has received all bytes before `offset` and requests the next chunk. An `offset`
+    /// at the end of the transfer acknowledges it as complete.
     Next {
         /// The transfer.
         transfer: TransferId,
@@ -262,7 +265,8 @@
     /// The sender cancels its fetch from the receiver.
     #[serde(rename = "Enough")]
     StopTransfer,
-    /// Asks for the last moment at which the receiver knows its configuration to have been the newest.
+    /// Asks for the last moment at which the receiver knows its configuration to have been the
+    /// newest.
     Confirm {
         /// Number of the request.
         number: u64,
@@ -271,8 +275,8 @@
     Confirmed {
         /// Number of the request.
         number: u64,
-        /// Version that was confirmed to be the newest, and the age of the confirmation when the answer
-        /// was sent; `None` if the sender has no confirmation.
+        /// Version that was confirmed to be the newest, and the age of the confirmation when the
+        /// answer was sent; `None` if the sender has no confirmation.
         newest: Option<(CatalogVersion, Duration)>,
     },
 }
@@ -294,17 +298,17 @@
         /// The sender.
         node: NodeName,
     },
-    /// The first message on a connection that replaces another one to the same process. Messages that
-    /// arrive on the old connection from now on are ignored.
+    /// The first message on a connection that replaces another one to the same process. Messages
+    /// that arrive on the old connection from now on are ignored.
     Reconnected {
         /// Node of the front.
         node: NodeName,
-        /// All leases that the node's front has at gateways of the receiver. The receiver ends every
-        /// other lease of that front.
+        /// All leases that the node's front has at gateways of the receiver. The receiver ends
+        /// every other lease of that front.
         leases: Vec<HeldLease>,
     },
-    /// The sender has revoked its evidence on a group's primary, as required by the replacement that
-    /// the receiver coordinates.
+    /// The sender has revoked its evidence for a group's primary, because the receiver is replacing
+    /// that primary.
     #[serde(rename = "EvidenceGivenUp")]
     EvidenceRevoked {
         /// The sender.
@@ -339,8 +343,8 @@
     },
     /// A message about the quotas of accounts.
     Quota(QuotaMessage),
-    /// Heartbeat request. The sender waits for an answer of the receiver and checks that the receiver
-    /// is alive.
+    /// Heartbeat request, sent while an answer of the receiver is outstanding. The receiver must
+    /// show that it is alive.
     Ping,
     /// Heartbeat response.
     Pong,
--- a/crates/peer/tests/catalog_transfer.rs
+++ b/crates/peer/tests/catalog_transfer.rs
@@ -1,4 +1,4 @@
-//! Deltas of the configuration on their way: packed, in parts, and what arrives malformed.
+//! Configuration deltas: compression, reassembly from chunks, and rejection of malformed input.
 
 use bytes::Bytes;
 use kestrellock_core::admin::configuration::EntryValue;
@@ -10,9 +10,9 @@
 };
 
 const TENANTS: u64 = 1_400;
-const PART_BYTES: usize = 1_000;
+const CHUNK_BYTES: usize = 1_000;
 const TRANSFER: TransferId = TransferId(7);
-/// 10 Mbit/s carry it in 80 ms.
+/// A 10 Mbit/s link transfers this in 80 ms.
 const MAX_PACKED_BYTES: usize = 100_000;
 
 fn large_delta() -> CatalogDelta {
@@ -25,7 +25,8 @@
             number % 8,
             800 + number % 7
         );
-        catalog.insert(&name, EntryValue::Tenant(toml::from_str(&text).expect("a tenant")));
+        catalog
+            .insert(&name, EntryValue::Tenant(toml::from_str(&text).expect("the tenant is valid")));
     }
     VersionedCatalog::from(catalog).delta_for(&CatalogSummary::empty())
 }
@@ -34,38 +35,38 @@
 fn a_large_catalog_is_packed_small() {
     let delta = large_delta();
     let mut cbor = Vec::new();
-    ciborium::into_writer(&delta, &mut cbor).expect("CBOR");
-    let packed = pack(&delta).expect("it is packed");
+    ciborium::into_writer(&delta, &mut cbor).expect("the delta is encoded as CBOR");
+    let packed = pack(&delta).expect("the delta is encoded");
     println!("{} bytes, packed {}", cbor.len(), packed.len());
     assert!(packed.len() < MAX_PACKED_BYTES, "{}", packed.len());
-    assert_eq!(unpack(&packed).expect("it is unpacked"), delta);
+    assert_eq!(unpack(&packed).expect("the delta is decoded"), delta);
 }
 
 #[test]
-fn parts_make_the_whole_and_are_taken_in_order_only() {
-    let packed = pack(&large_delta()).expect("it is packed");
-    let part = |offset: u32| chunk_at(TRANSFER, &packed, offset, PART_BYTES);
-    let mut incoming = IncomingTransfer::begin(&part(0)).expect("the first");
-    assert!(matches!(incoming.add(&part(0)), Err(TransferError::OutOfOrder)));
-    assert!(matches!(incoming.add(&part(2_000)), Err(TransferError::OutOfOrder)));
-    let mut other = part(1_000);
+fn chunks_are_reassembled_and_rejected_out_of_order() {
+    let packed = pack(&large_delta()).expect("the delta is encoded");
+    let chunk = |offset: u32| chunk_at(TRANSFER, &packed, offset, CHUNK_BYTES);
+    let mut incoming = IncomingTransfer::begin(&chunk(0)).expect("the first chunk is accepted");
+    assert!(matches!(incoming.add(&chunk(0)), Err(TransferError::OutOfOrder)));
+    assert!(matches!(incoming.add(&chunk(2_000)), Err(TransferError::OutOfOrder)));
+    let mut other = chunk(1_000);
     other.transfer = TransferId(8);
     assert!(matches!(incoming.add(&other), Err(TransferError::OutOfOrder)));
     while !incoming.is_complete() {
-        incoming.add(&part(incoming.next_offset())).expect("the next");
+        incoming.add(&chunk(incoming.next_offset())).expect("the next chunk is accepted");
     }
     assert_eq!(incoming.bytes(), &packed[..]);
-    let end = part(packed.len() as u32);
-    assert!(end.bytes.is_empty(), "nothing follows the whole");
+    let end = chunk(packed.len() as u32);
+    assert!(end.bytes.is_empty(), "the chunk after the end must be empty");
 }
 
 #[test]
-fn what_is_no_delta_is_refused() {
-    let packed = pack(&large_delta()).expect("it is packed");
+fn malformed_deltas_are_rejected() {
+    let packed = pack(&large_delta()).expect("the delta is encoded");
     for bytes in [&packed[..packed.len() / 2], &b"no delta"[..], &[]] {
         assert!(matches!(unpack(bytes), Err(TransferError::Malformed(_))));
     }
-    let mut longer = chunk_at(TRANSFER, &Bytes::from_static(b"abc"), 0, PART_BYTES);
+    let mut longer = chunk_at(TRANSFER, &Bytes::from_static(b"abc"), 0, CHUNK_BYTES);
     longer.total = 2;
     assert!(matches!(IncomingTransfer::begin(&longer), Err(TransferError::OutOfOrder)));
 }
--- a/crates/peer/tests/channel.rs
+++ b/crates/peer/tests/channel.rs
@@ -1,4 +1,4 @@
-//! Authenticated streams: the handshake, rotation of keys, and every way to tamper with frames.
+//! Authenticated streams: the handshake, key rotation, and rejection of tampered frames.
 
 use bytes::{Bytes, BytesMut};
 use kestrellock_core::ids::NodeName;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Two sides and the bytes on their way to each.
+/// Both sides of a stream and the bytes in transit to each.
 struct Pair {
     opener: Channel,
     acceptor: Channel,
@@ -34,16 +34,17 @@
 
 impl Pair {
     fn new(opener: (Hello, &[&[u8]]), acceptor: (Hello, &[&[u8]])) -> Self {
-        let keys = |keys: &[&[u8]]| ClusterKeys::new(keys.iter().copied()).expect("valid keys");
+        let keys =
+            |keys: &[&[u8]]| ClusterKeys::new(keys.iter().copied()).expect("the keys are valid");
         let (mut to_opener, mut to_acceptor) = (BytesMut::new(), BytesMut::new());
         let opener = Channel::begin(Side::Opener, opener.0, keys(opener.1), &mut to_acceptor)
-            .expect("an introduction fits");
+            .expect("the hello fits");
         let acceptor = Channel::begin(Side::Acceptor, acceptor.0, keys(acceptor.1), &mut to_opener)
-            .expect("an introduction fits");
+            .expect("the hello fits");
         Self { opener, acceptor, to_opener, to_acceptor }
     }
 
-    fn shake_hands(&mut self) -> Result<(), ChannelError> {
+    fn complete_handshake(&mut self) -> Result<(), ChannelError> {
         for _ in 0..3 {
             self.opener.advance(&mut self.to_opener, &mut self.to_acceptor)?;
             self.acceptor.advance(&mut self.to_acceptor, &mut self.to_opener)?;
@@ -53,17 +54,19 @@
 
     fn established() -> Self {
         let mut pair = Self::new((hello("a", 1), &[OLD]), (hello("b", 2), &[OLD]));
-        pair.shake_hands().expect("the handshake succeeds");
+        pair.complete_handshake().expect("the handshake succeeds");
         assert!(pair.opener.is_established() && pair.acceptor.is_established());
         pair
     }
 
-    /// Frames of the opener, one a message.
+    /// Frames that the opener sends, one for each message.
     fn frames(&mut self, messages: &[&[u8]]) -> Vec<Bytes> {
         let mut frames = Vec::new();
         for message in messages {
             let mut frame = BytesMut::new();
-            self.opener.send(&Bytes::copy_from_slice(message), &mut frame).expect("it fits");
+            self.opener
+                .send(&Bytes::copy_from_slice(message), &mut frame)
+                .expect("the message fits");
             frames.push(frame.freeze());
         }
         frames
@@ -76,20 +79,26 @@
 }
 
 #[test]
-fn messages_pass_in_both_directions() {
+fn messages_are_delivered_in_both_directions() {
     let mut pair = Pair::established();
     assert_eq!(pair.acceptor.peer().map(|peer| peer.node.as_str()), Some("a"));
     let frames = pair.frames(&[b"one", b"two"]);
-    assert_eq!(pair.deliver(&frames[0]).expect("genuine"), Some(Bytes::from_static(b"one")));
-    assert_eq!(pair.deliver(&frames[1]).expect("genuine"), Some(Bytes::from_static(b"two")));
+    assert_eq!(
+        pair.deliver(&frames[0]).expect("the frame is authentic"),
+        Some(Bytes::from_static(b"one"))
+    );
+    assert_eq!(
+        pair.deliver(&frames[1]).expect("the frame is authentic"),
+        Some(Bytes::from_static(b"two"))
+    );
     let mut back = BytesMut::new();
-    pair.acceptor.send(&7_u64, &mut back).expect("it fits");
-    assert_eq!(pair.opener.receive::<u64>(&mut back).expect("genuine"), Some(7));
+    pair.acceptor.send(&7_u64, &mut back).expect("the message fits");
+    assert_eq!(pair.opener.receive::<u64>(&mut back).expect("the frame is authentic"), Some(7));
 }
 
 #[test]
-fn keys_are_rotated_without_an_interruption() {
-    // Each step of a rotation, as (keys of the one, keys of the other).
+fn keys_can_be_rotated_without_an_interruption() {
+    // Keys of the opener and of the acceptor, and whether the handshake succeeds.
     type Keys = &'static [&'static [u8]];
     let steps: [(Keys, Keys, bool); 4] = [
         (&[OLD], &[OLD, NEW], true),
@@ -97,15 +106,15 @@
         (&[NEW, OLD], &[NEW], true),
         (&[NEW], &[OLD, NEW], false),
     ];
-    for (one, other, works) in steps {
-        let mut pair = Pair::new((hello("a", 1), one), (hello("b", 2), other));
-        let outcome = pair.shake_hands();
-        assert_eq!(outcome.is_ok(), works, "{outcome:?}");
+    for (opener, acceptor, succeeds) in steps {
+        let mut pair = Pair::new((hello("a", 1), opener), (hello("b", 2), acceptor));
+        let outcome = pair.complete_handshake();
+        assert_eq!(outcome.is_ok(), succeeds, "{outcome:?}");
     }
 }
 
 #[test]
-fn strangers_are_refused() {
+fn peers_with_another_key_cluster_or_version_are_rejected() {
     let other_cluster = Hello { cluster: "d".into(), ..hello("b", 2) };
     let other_version = Hello { version: PROTOCOL_VERSION + 1, ..hello("b", 2) };
     let cases: [(&str, Hello, &[u8]); 3] = [
@@ -113,15 +122,15 @@
         ("another cluster", other_cluster, OLD),
         ("another version", other_version, OLD),
     ];
-    for (what, stranger, key) in cases {
-        let mut pair = Pair::new((hello("a", 1), &[OLD]), (stranger, &[key]));
-        assert!(pair.shake_hands().is_err(), "{what}");
+    for (what, other_hello, key) in cases {
+        let mut pair = Pair::new((hello("a", 1), &[OLD]), (other_hello, &[key]));
+        assert!(pair.complete_handshake().is_err(), "{what}");
         assert!(!pair.opener.is_established(), "{what}");
     }
 }
 
 #[test]
-fn nothing_is_sent_or_taken_in_before_the_handshake() {
+fn nothing_is_sent_or_received_before_the_handshake() {
     let mut pair = Pair::new((hello("a", 1), &[OLD]), (hello("b", 2), &[OLD]));
     let mut buffer = BytesMut::new();
     assert!(matches!(pair.opener.send(&1_u8, &mut buffer), Err(ChannelError::NotEstablished)));
@@ -133,10 +142,10 @@
 }
 
 #[test]
-fn frames_cannot_be_left_out_repeated_reflected_or_moved() {
+fn dropped_repeated_reflected_and_moved_frames_are_rejected() {
     let mut pair = Pair::established();
     let frames = pair.frames(&[b"one", b"two"]);
-    assert!(pair.deliver(&frames[1]).is_err(), "the first was left out");
+    assert!(pair.deliver(&frames[1]).is_err(), "the first frame was dropped");
 
     let mut pair = Pair::established();
     let frames = pair.frames(&[b"one"]);
@@ -149,7 +158,7 @@
     assert!(pair.opener.receive::<Bytes>(&mut reflected).is_err(), "sent back to its sender");
 
     let mut other = Pair::new((hello("a", 3), &[OLD]), (hello("b", 2), &[OLD]));
-    other.shake_hands().expect("the handshake succeeds");
+    other.complete_handshake().expect("the handshake succeeds");
     assert!(other.deliver(&frames[0]).is_err(), "moved to another connection");
 }
 
@@ -162,17 +171,17 @@
     })]
 
     #[test]
-    fn a_changed_bit_is_noticed(position in any::<prop::sample::Index>(), bit in 0_u8..8) {
+    fn a_flipped_bit_is_detected(position in any::<prop::sample::Index>(), bit in 0_u8..8) {
         let mut pair = Pair::established();
         let mut frame = pair.frames(&[b"a statement"])[0].to_vec();
         let index = position.index(frame.len());
         frame[index] ^= 1 << bit;
-        // A longer length makes the frame incomplete; anything else is an error.
+        // A larger length makes the frame incomplete; every other change is an error.
         prop_assert!(!matches!(pair.deliver(&frame), Ok(Some(_))));
     }
 
     #[test]
-    fn arbitrary_bytes_never_establish_and_never_panic(
+    fn arbitrary_bytes_neither_establish_a_stream_nor_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..600),
         established in any::<bool>(),
     ) {
--- a/crates/peer/tests/datagram.rs
+++ b/crates/peer/tests/datagram.rs
@@ -1,4 +1,5 @@
-//! Datagrams: what is refused and why, and that every message of membership fits into one.
+//! Datagrams: which ones are rejected and why, and that every membership message fits into one
+//! datagram.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,7 +30,7 @@
 }
 
 fn codec(node: &str, keys: &[&[u8]], cluster: &str) -> DatagramCodec {
-    let keys = ClusterKeys::new(keys.iter().copied()).expect("valid keys");
+    let keys = ClusterKeys::new(keys.iter().copied()).expect("the keys are valid");
     DatagramCodec::new(keys, cluster, NodeName::new(node))
 }
 
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn what_is_accepted_and_what_is_refused() {
+fn datagrams_are_accepted_only_with_a_valid_key_cluster_and_receiver() {
     type Outcome = Result<(), DatagramError>;
     type Case = (&'static str, &'static [&'static [u8]], &'static str, Outgoing, Outcome);
     let other_receiver = || Err(DatagramError::OtherReceiver);
@@ -69,38 +70,40 @@
         ("other process", &[OLD], "c", ping("a", 1, "b", Some(8)), other_receiver()),
     ];
     for (what, sender_keys, cluster, outgoing, expected) in cases {
-        let bytes = codec("a", sender_keys, cluster).seal(&outgoing).expect("it fits");
+        let bytes = codec("a", sender_keys, cluster).seal(&outgoing).expect("the message fits");
         let opened = codec("b", &[OLD], "c").open(&bytes, 9, NOW).map(|_| ());
         assert_eq!(opened, expected, "{what}");
     }
 }
 
 #[test]
-fn both_keys_are_accepted_while_one_is_replaced() {
+fn both_keys_are_accepted_during_a_rotation() {
     let mut receiver = codec("b", &[NEW, OLD], "c");
     for (sender, key) in [("a", OLD), ("e", NEW)] {
-        let bytes = codec(sender, &[key], "c").seal(&ping(sender, 1, "b", None)).expect("it fits");
+        let bytes =
+            codec(sender, &[key], "c").seal(&ping(sender, 1, "b", None)).expect("the message fits");
         assert!(receiver.open(&bytes, 9, NOW).is_ok(), "{sender}");
     }
 }
 
 #[test]
-fn repeated_datagrams_and_those_of_an_older_process_are_refused() {
+fn duplicates_and_datagrams_of_an_older_process_are_rejected() {
     let mut sender = codec("a", &[OLD], "c");
     let mut receiver = codec("b", &[OLD], "c");
-    let first = sender.seal(&ping("a", 5, "b", None)).expect("it fits");
-    let second = sender.seal(&ping("a", 5, "b", None)).expect("it fits");
+    let first = sender.seal(&ping("a", 5, "b", None)).expect("the message fits");
+    let second = sender.seal(&ping("a", 5, "b", None)).expect("the message fits");
     assert!(receiver.open(&second, 9, NOW).is_ok());
     assert!(receiver.open(&first, 9, NOW).is_ok(), "order does not matter");
     assert_eq!(receiver.open(&first, 9, NOW), Err(DatagramError::Repeated));
-    let restarted = codec("a", &[OLD], "c").seal(&ping("a", 6, "b", None)).expect("it fits");
+    let restarted =
+        codec("a", &[OLD], "c").seal(&ping("a", 6, "b", None)).expect("the message fits");
     assert!(receiver.open(&restarted, 9, NOW).is_ok());
     let outdated = receiver.open(&second, 9, NOW);
     assert_eq!(outdated, Err(DatagramError::OldProcess(Box::new(record("a", 5)))));
 }
 
 #[test]
-fn keys_that_are_short_or_too_many_are_refused() {
+fn short_keys_and_too_many_keys_are_rejected() {
     let refusal = |keys: &[&[u8]]| ClusterKeys::new(keys.iter().copied()).map(|_| ()).unwrap_err();
     assert_eq!(refusal(&[]), KeyError::Count(0));
     assert_eq!(refusal(&[b"short"]), KeyError::Short(5));
@@ -108,7 +111,7 @@
 }
 
 #[test]
-fn the_replay_guard_remembers_a_bounded_number_of_senders() {
+fn the_replay_guard_keeps_a_bounded_number_of_senders() {
     let mut guard = ReplayGuard::default();
     for sender in 0..=MAX_SENDERS as u64 {
         let name = NodeName::new(format!("node-{sender}"));
@@ -117,19 +120,23 @@
     let late = NOW + Duration::from_secs(MAX_SENDERS as u64 + 1);
     let kept = guard.check(&NodeName::new("node-9"), 1, 1, late);
     assert_eq!(kept, Err(ReplayError::Repeated));
-    assert!(guard.check(&NodeName::new("node-0"), 1, 1, late).is_ok(), "the oldest was forgotten");
+    assert!(
+        guard.check(&NodeName::new("node-0"), 1, 1, late).is_ok(),
+        "the sender silent for longest was evicted"
+    );
 }
 
-/// A record whose every part takes as many bytes as it may.
-fn large_record(number: u64, name_bytes: usize, wide: bool) -> MemberRecord {
+/// A record whose fields have their maximum encoded size, for names of the given length. With
+/// `long_addresses` its addresses are IPv6.
+fn large_record(number: u64, name_bytes: usize, long_addresses: bool) -> MemberRecord {
     let digits = format!("{number:0>name_bytes$}");
     let mut record = record(&digits[digits.len() - name_bytes..], u64::MAX - 9);
     record.zone = ZoneName::new("z".repeat(name_bytes));
     record.incarnation.refutation = u32::MAX - 9;
     record.revision = Revision(u64::MAX);
-    if wide {
+    if long_addresses {
         let address = "[ffff:ffff:ffff:ffff:ffff:ffff:ffff:ffff]:65535";
-        record.peer_address = address.parse().expect("an address");
+        record.peer_address = address.parse().expect("the address is valid");
         record.admin_address = record.peer_address;
     }
     record
@@ -139,13 +146,14 @@
     #![proptest_config(config(512))]
 
     #[test]
-    fn arbitrary_bytes_are_refused_without_a_panic(
+    fn arbitrary_bytes_are_rejected_without_a_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..1500),
         valid_header in any::<bool>(),
     ) {
         let mut bytes = bytes;
         if valid_header {
-            let real = codec("a", &[OLD], "c").seal(&ping("a", 1, "b", None)).expect("it fits");
+            let real =
+                codec("a", &[OLD], "c").seal(&ping("a", 1, "b", None)).expect("the message fits");
             let replaced = 5.min(bytes.len());
             bytes.splice(0..replaced, real[..5].iter().copied());
         }
@@ -153,19 +161,21 @@
     }
 
     #[test]
-    fn a_changed_bit_is_noticed(position in any::<prop::sample::Index>(), bit in 0_u8..8) {
-        let mut bytes = codec("a", &[OLD], "c").seal(&ping("a", 1, "b", None)).expect("it fits");
+    fn a_flipped_bit_is_detected(position in any::<prop::sample::Index>(), bit in 0_u8..8) {
+        let mut bytes =
+            codec("a", &[OLD], "c").seal(&ping("a", 1, "b", None)).expect("the message fits");
         let index = position.index(bytes.len());
         bytes[index] ^= 1 << bit;
         prop_assert!(codec("b", &[OLD], "c").open(&bytes, 9, NOW).is_err());
     }
 
-    /// A body that a holder of the key made but that is no message.
+    /// The body is signed with the cluster key but is not a message.
     #[test]
-    fn malformed_bodies_of_key_holders_are_refused(
+    fn authentic_datagrams_with_a_malformed_body_are_rejected(
         body in prop::collection::vec(any::<u8>(), 1..300),
     ) {
-        let real = codec("a", &[OLD], "c").seal(&ping("a", 1, "b", None)).expect("it fits");
+        let real =
+            codec("a", &[OLD], "c").seal(&ping("a", 1, "b", None)).expect("the message fits");
         let header = &real[..5];
         let tag = Key::new(OLD).sign(&[b"kestrellock datagram", header, &body]);
         let bytes = [header, &tag, &body].concat();
@@ -173,7 +183,7 @@
         prop_assert_eq!(opened, Err(DatagramError::Malformed));
     }
 
-    /// Each sequence number in the window is accepted exactly once.
+    /// Every sequence number in the window is accepted exactly once.
     #[test]
     fn the_replay_window_accepts_each_number_once(
         numbers in prop::collection::vec(1_u64..3 * REPLAY_WINDOW, 1..400),
@@ -193,20 +203,20 @@
 proptest! {
     #![proptest_config(config(32))]
 
-    /// However many members there are and however long their names, nothing exceeds a datagram.
+    /// No message exceeds the size of a datagram, for any number of members and length of names.
     #[test]
     fn every_message_fits_into_one_datagram(
         name_bytes in 4_usize..=MAX_NAME_BYTES,
         members in 0_u64..200,
         seed in any::<u64>(),
-        wide in any::<bool>(),
+        long_addresses in any::<bool>(),
     ) {
         let mut state = seed;
         let mut random = move || {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             state >> 11
         };
-        let large = |number| large_record(number, name_bytes, wide);
+        let large = |number| large_record(number, name_bytes, long_addresses);
         let own = MemberRecord { node: NodeName::new("o".repeat(name_bytes)), ..large(0) };
         let mut sender = codec(own.node.as_str(), &[OLD], "c");
         let mut membership = Membership::new(own, Timing::default(), vec![], NOW, &mut random);
--- a/crates/store/src/apply.rs
+++ b/crates/store/src/apply.rs
@@ -5,9 +5,9 @@
 //! the revision at which the change read it. This prevents two failures:
 //! * Two concurrent changes that are each valid but invalid together: one of them fails its
 //!   conditions and is validated again.
-//! * A change that is written twice after its answer was lost: when the same transaction is delivered
-//!   again, its conditions no longer hold. Reading the entries back shows whether the change was
-//!   written.
+//! * A change that is written twice after its answer was lost: when the same transaction is
+//!   delivered again, its conditions no longer hold. Reading the entries back shows whether the
+//!   change was written.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -24,8 +24,8 @@
     TransactionOutcome,
 };
 
-/// Maximum number of entries in one change. Each entry takes up to three writes, the guard key takes
-/// one.
+/// Maximum number of entries in one change. Each entry takes up to three writes, the guard key
+/// takes one.
 pub const MAX_CHANGES: usize = (MAX_TRANSACTION_OPERATIONS - 1) / 3;
 
 /// Time limits for applying a change.
@@ -113,7 +113,8 @@
             Ok(TransactionOutcome::Written(revision)) => {
                 return Ok(Applied { revision: Revision(revision), changed: true });
             }
-            // Another change was written first. Read again to see whether it conflicts with this one.
+            // Another change was written first. Read again to see whether it conflicts with this
+            // one.
             Ok(TransactionOutcome::Conflict) => attempts.wait(contention())?,
             Err(error) => attempts.wait_after_write(error)?,
         }
@@ -322,8 +323,8 @@
     }
 
     /// The error to report when the change is rejected. The store may still carry out an earlier
-    /// attempt that it has not answered, unless the conditions of that attempt no longer hold. Only a
-    /// conflict proves this; any other error is reported as in doubt.
+    /// attempt that it has not answered, unless the conditions of that attempt no longer hold. Only
+    /// a conflict proves this; any other error is reported as in doubt.
     fn reject(&mut self, error: ApplyError) -> ApplyError {
         match error {
             ApplyError::Conflict { .. } => error,
--- a/crates/store/src/coordination.rs
+++ b/crates/store/src/coordination.rs
@@ -3,8 +3,8 @@
 //! One node at a time holds the coordinator lease. The coordinator counts the lease's validity from
 //! the moment at which it sent the request, on its own monotonic clock, so that the lease expires
 //! for the coordinator before it expires for other nodes. The fencing token is the position in the
-//! store's history at which the lease was acquired. It rises with each lease and never repeats, even
-//! after a store restore. A store restore ends the lease.
+//! store's history at which the lease was acquired. It rises with each lease and never repeats,
+//! even after a store restore. A store restore ends the lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -48,21 +48,21 @@
     fn acquire(&self, node: &NodeName) -> Result<Option<CoordinatorLease>, StoreError>;
 
     /// Renews the lease; `None` if it has expired.
-    fn renew(&self, hold: &CoordinatorLease) -> Result<Option<CoordinatorLease>, StoreError>;
+    fn renew(&self, lease: &CoordinatorLease) -> Result<Option<CoordinatorLease>, StoreError>;
 
     /// Releases the lease before it expires.
-    fn release(&self, hold: &CoordinatorLease) -> Result<(), StoreError>;
+    fn release(&self, lease: &CoordinatorLease) -> Result<(), StoreError>;
 
     /// Records an intent on condition that the lease is valid; false if it has expired.
     fn record_intent(
         &self,
-        hold: &CoordinatorLease,
+        lease: &CoordinatorLease,
         group: &GroupName,
         intent: &Intent,
     ) -> Result<bool, StoreError>;
 
-    /// Asks the store which incarnations `instances` have reported. Instances that have reported none
-    /// are missing from the result.
+    /// Asks the store which incarnations `instances` have reported. Instances that have reported
+    /// none are missing from the result.
     fn reported_incarnations(
         &self,
         instances: &[InstanceName],
@@ -71,7 +71,7 @@
     /// Records `successor` as the primary of a group; false if the lease has expired.
     fn record_primary(
         &self,
-        hold: &CoordinatorLease,
+        lease: &CoordinatorLease,
         group: &GroupName,
         successor: &InstanceName,
     ) -> Result<bool, StoreError>;
@@ -81,11 +81,11 @@
     /// written since the restore are kept.
     fn write_back(&self, group: &GroupName) -> Result<(), StoreError>;
 
-    /// Removes the intent of a replacement and records its successor, on condition that the lease is
-    /// valid; false if it has expired. The intent of another replacement is kept.
+    /// Removes the intent of a replacement and records its successor, on condition that the lease
+    /// is valid; false if it has expired. The intent of another replacement is kept.
     fn finish_replacement(
         &self,
-        hold: &CoordinatorLease,
+        lease: &CoordinatorLease,
         group: &GroupName,
         id: ReplacementId,
         successor: Option<&Successor>,
--- a/crates/store/src/etcd/http.rs
+++ b/crates/store/src/etcd/http.rs
@@ -1,5 +1,5 @@
-//! HTTP calls to the store's endpoints in turn, with timeouts. Each failure is classified by whether
-//! the store may have acted on the call.
+//! HTTP calls to the store's endpoints in turn, with timeouts. Each failure is classified by
+//! whether the store may have acted on the call.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -126,8 +126,8 @@
             TOO_MANY_REQUESTS => {
                 Err(StoreError::RateLimited { retry_after: retry_after(&response) })
             }
-            // Among other errors, the gateway reports a timeout of the store behind it in this way, so
-            // the store may have acted.
+            // Among other errors, the gateway reports a timeout of the store behind it in this way,
+            // so the store may have acted.
             500.. => Err(StoreError::Unanswered(status.to_string())),
             _ => Err(StoreError::Protocol(status.to_string())),
         }
--- a/crates/store/src/etcd/watch.rs
+++ b/crates/store/src/etcd/watch.rs
@@ -1,4 +1,5 @@
-//! A watch whose stream is read by a separate thread, so that its owner can wait with any time limit.
+//! A watch whose stream is read by a separate thread, so that its owner can wait with any time
+//! limit.
 
 use std::io::{BufRead, BufReader};
 use std::thread;
@@ -11,8 +12,8 @@
 use crate::store::{StoreError, Watch, WatchEvent};
 
 const WATCH_PATH: &str = "/v3/watch";
-/// Time after which a stream is replaced. A stream whose server has vanished cannot be distinguished
-/// from one without events.
+/// Time after which a stream is replaced. A stream whose server has vanished cannot be
+/// distinguished from one without events.
 const STREAM_LIFETIME: Duration = Duration::from_secs(5);
 const MAX_PENDING_EVENTS: usize = 64;
 
@@ -56,8 +57,8 @@
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        // A line that the end of the stream has truncated does not parse either. The watch ends, and
-        // the next watch reports the event again.
+        // A line that the end of the stream has truncated does not parse either. The watch ends,
+        // and the next watch reports the event again.
         let Ok(line) = serde_json::from_slice::<WatchLine>(&line) else { return };
         let Some(event) = event_of(&line.result) else { continue };
         let is_last = event.is_err() || matches!(event, Ok(WatchEvent::Compacted));
--- a/crates/store/src/source.rs
+++ b/crates/store/src/source.rs
@@ -24,27 +24,27 @@
     /// Called when the node stops watching the source for now.
     fn pause(&mut self) {}
 
-    /// Whether the source may lack changes that were confirmed to operators as active. Other nodes may
-    /// then have a newer configuration than the source.
+    /// Whether the source may lack changes that were confirmed to operators as active. Other nodes
+    /// may then have a newer configuration than the source.
     fn may_lack_changes(&self) -> bool {
         false
     }
 
-    /// Number of entry revisions that could not be read so far. An unreadable entry is skipped, and the
-    /// other entries stay in effect.
+    /// Number of entry revisions that could not be read so far. An unreadable entry is skipped, and
+    /// the other entries stay in effect.
     fn unreadable_entries(&self) -> u64 {
         0
     }
 
-    /// The version of the catalog that [`Self::next`] returned last, and a moment at which it was the
-    /// newest; `None` if the source knows no such moment.
+    /// The version of the catalog that [`Self::next`] returned last, and a moment at which it was
+    /// the newest; `None` if the source knows no such moment.
     fn confirmed_version(&mut self) -> Option<(CatalogVersion, Instant)> {
         None
     }
 }
 
-/// The catalog in a store with the layout of [`crate::catalog`]. Each change makes it read the whole
-/// catalog again.
+/// The catalog in a store with the layout of [`crate::catalog`]. Each change makes it read the
+/// whole catalog again.
 pub struct WatchedCatalog {
     store: Arc<dyn ConfigStore>,
     /// Store revision up to which all changes have been read.
@@ -101,8 +101,8 @@
             Err(error) => {
                 let ended_early = opened.elapsed() < MIN_WATCH_DURATION;
                 self.watch = None;
-                // A stream normally ends after a while. The next call opens another one, which misses
-                // no change.
+                // A stream normally ends after a while. The next call opens another one, which
+                // misses no change.
                 if ended_early { Err(error.into()) } else { Ok(None) }
             }
         }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -104,7 +104,8 @@
     TimedOut,
     /// A key was written at this revision.
     Changed(u64),
-    /// The store no longer has all writes since the watch's revision; the prefix must be read again.
+    /// The store no longer has all writes since the watch's revision; the prefix must be read
+    /// again.
     Compacted,
 }
 
@@ -126,8 +127,8 @@
     /// Watches keys with the prefix `prefix` for writes at or after revision `from`.
     fn watch(&self, prefix: &str, from: u64) -> Result<Box<dyn Watch>, StoreError>;
 
-    /// Writes `value` to `key` if the key was last written at revision `expected`, or if it does not
-    /// exist and `expected` is zero.
+    /// Writes `value` to `key` if the key was last written at revision `expected`, or if it does
+    /// not exist and `expected` is zero.
     fn compare_and_swap(
         &self,
         key: &str,
--- a/crates/store/tests/apply.rs
+++ b/crates/store/tests/apply.rs
@@ -1,4 +1,5 @@
-//! Changes to the configuration: checked whole, made at most once, and truthfully reported.
+//! Changes to the configuration are validated as a whole, written at most once, and reported with
+//! their real outcome.
 
 mod memory_store;
 
@@ -33,7 +34,7 @@
 template = "school"
 "#;
 
-/// Waits so short that a whole script of faults fits into a moment.
+/// Short delays, so that a long script of faults is played within the time limit.
 const LIMITS: ApplyLimits = ApplyLimits {
     total_timeout: Duration::from_millis(200),
     initial_delay: Duration::from_micros(10),
@@ -45,47 +46,51 @@
     ApplyRequest { request, author: "tester".into(), base: Revision(base), changes }
 }
 
-/// A store that holds [`CATALOG`], and the revision at which it does.
-fn filled() -> (MemoryStore, u64) {
+/// A store that contains [`CATALOG`], and the revision of the catalog.
+fn filled_store() -> (MemoryStore, u64) {
     let store = MemoryStore::default();
-    let catalog: Catalog = toml::from_str(CATALOG).expect("a catalog");
+    let catalog: Catalog = toml::from_str(CATALOG).expect("the catalog is valid");
     let changes = EntryKind::ALL.into_iter().flat_map(|kind| catalog.entries(kind)).collect();
-    let applied = apply(&store, &request("first", 0, changes), &LIMITS).expect("it applies");
+    let applied =
+        apply(&store, &request("first", 0, changes), &LIMITS).expect("the change is applied");
     assert!(applied.changed);
     (store, applied.revision.0)
 }
 
 fn template(capacity: u32) -> Change {
-    let catalog: Catalog = toml::from_str(CATALOG).expect("a catalog");
+    let catalog: Catalog = toml::from_str(CATALOG).expect("the catalog is valid");
     let mut value = catalog.templates["school"].clone();
     value.capacity = capacity;
     Change { name: "school".into(), value: EntryValue::Template(value) }
 }
 
 fn capacity(store: &MemoryStore) -> u32 {
-    read_catalog(store).expect("it reads").catalog.templates["school"].capacity
+    read_catalog(store).expect("the store is readable").catalog.templates["school"].capacity
 }
 
 #[test]
-fn a_change_is_in_the_catalog_at_a_higher_revision() {
-    let (store, base) = filled();
-    let applied = apply(&store, &request("r", base, vec![template(9)]), &LIMITS).expect("applied");
-    let read = read_catalog(&store).expect("it reads").catalog;
+fn an_applied_change_raises_the_catalog_revision() {
+    let (store, base) = filled_store();
+    let applied = apply(&store, &request("r", base, vec![template(9)]), &LIMITS)
+        .expect("the change is applied");
+    let read = read_catalog(&store).expect("the store is readable").catalog;
     assert!(applied.revision.0 > base);
     assert_eq!((read.revision, read.templates["school"].capacity), (applied.revision, 9));
 }
 
 #[test]
-fn the_same_value_again_changes_nothing() {
-    let (store, base) = filled();
-    let applied = apply(&store, &request("r", base, vec![template(4)]), &LIMITS).expect("applied");
+fn applying_an_unchanged_value_writes_nothing() {
+    let (store, base) = filled_store();
+    let applied = apply(&store, &request("r", base, vec![template(4)]), &LIMITS)
+        .expect("the change is applied");
     assert_eq!(applied, Applied { revision: Revision(base), changed: false });
 }
 
 #[test]
-fn of_two_racing_operators_one_is_told_what_stands_there_now() {
-    let (store, base) = filled();
-    apply(&store, &request("one", base, vec![template(8)]), &LIMITS).expect("the first");
+fn a_conflicting_change_returns_the_current_entries() {
+    let (store, base) = filled_store();
+    apply(&store, &request("one", base, vec![template(8)]), &LIMITS)
+        .expect("the first change is applied");
     match apply(&store, &request("two", base, vec![template(9)]), &LIMITS) {
         Err(ApplyError::Conflict { entries, .. }) => {
             assert_eq!(entries[0].value, template(8).value);
@@ -101,16 +106,16 @@
     let text = format!(
         "template = \"school\"\nlogins = {{ shared = \"SCRAM-SHA-256$4096:c2FsdA==${keys}:{keys}\" }}"
     );
-    let value = EntryValue::Tenant(toml::from_str(&text).expect("a tenant"));
+    let value = EntryValue::Tenant(toml::from_str(&text).expect("the tenant is valid"));
     Change { name: name.into(), value }
 }
 
 #[test]
-fn two_changes_that_are_only_together_invalid_do_not_pass_each_other() {
-    let (store, base) = filled();
+fn concurrent_changes_that_are_only_invalid_together_are_not_both_applied() {
+    let (store, base) = filled_store();
     store.before_next_commit(move |store| {
         let other = request("other", base, vec![tenant_with_login("parents")]);
-        apply(store, &other, &LIMITS).expect("it is valid by itself");
+        apply(store, &other, &LIMITS).expect("the change alone is valid");
     });
     let ours = request("ours", base, vec![tenant_with_login("teachers")]);
     match apply(&store, &ours, &LIMITS) {
@@ -119,59 +124,64 @@
         }
         other => panic!("{other:?}"),
     }
-    read_catalog(&store).expect("it reads").catalog.validate().expect("the whole stays valid");
+    read_catalog(&store)
+        .expect("the store is readable")
+        .catalog
+        .validate()
+        .expect("the catalog is still valid");
 }
 
 #[test]
-fn a_change_that_another_one_overtakes_is_a_conflict_or_is_repeated() {
-    // The entry that the other change writes, and whether ours, to the template, goes through.
+fn a_change_that_loses_a_race_is_retried_or_reported_as_a_conflict() {
+    // The entry that the other change writes, and whether our change to the template is applied.
     let table = [(template(8), false), (tenant_with_login("parents"), true)];
-    for (other, goes_through) in table {
-        let (store, base) = filled();
+    for (other, is_applied) in table {
+        let (store, base) = filled_store();
         store.before_next_commit(move |store| {
-            apply(store, &request("other", base, vec![other]), &LIMITS).expect("it is valid");
+            apply(store, &request("other", base, vec![other]), &LIMITS)
+                .expect("the change is valid");
         });
         let outcome = apply(&store, &request("ours", base, vec![template(9)]), &LIMITS);
-        assert_eq!(outcome.is_ok(), goes_through, "{outcome:?}");
+        assert_eq!(outcome.is_ok(), is_applied, "{outcome:?}");
         let conflict = matches!(outcome, Err(ApplyError::Conflict { .. }));
-        assert_eq!(conflict, !goes_through, "{outcome:?}");
-        assert_eq!(capacity(&store), if goes_through { 9 } else { 8 });
+        assert_eq!(conflict, !is_applied, "{outcome:?}");
+        assert_eq!(capacity(&store), if is_applied { 9 } else { 8 });
     }
 }
 
 #[test]
-fn invalid_changes_name_the_field_and_change_nothing() {
-    let (store, base) = filled();
-    let mut homeless = template(4);
-    homeless.name = "Bad Name".into();
+fn invalid_changes_report_the_field_and_write_nothing() {
+    let (store, base) = filled_store();
+    let mut badly_named = template(4);
+    badly_named.name = "Bad Name".into();
     let tenant = |text: &str| Change {
         name: "atlas".into(),
-        value: EntryValue::Tenant(toml::from_str(text).expect("a tenant")),
+        value: EntryValue::Tenant(toml::from_str(text).expect("the tenant is valid")),
     };
     let table = [
         (template(0), "templates.school.capacity"),
-        (homeless, "templates.Bad Name"),
+        (badly_named, "templates.Bad Name"),
         (tenant("template = \"none\""), "tenants.atlas.template"),
         (tenant("template = \"school\"\ngroups = [\"none\"]"), "tenants.atlas.groups[0]"),
     ];
-    let before = read_catalog(&store).expect("it reads");
+    let before = read_catalog(&store).expect("the store is readable");
     for (change, field) in table {
         let mut changes = vec![change];
         if changes[0].name != "school" {
-            // A valid entry beside the invalid one is not written either.
+            // A valid entry in the same change must not be written either.
             changes.push(template(7));
         }
         match apply(&store, &request("r", base, changes), &LIMITS) {
             Err(ApplyError::Invalid(error)) => assert_eq!(error.field, field),
             other => panic!("{field}: {other:?}"),
         }
-        assert_eq!(read_catalog(&store).expect("it reads"), before);
+        assert_eq!(read_catalog(&store).expect("the store is readable"), before);
     }
 }
 
 #[test]
-fn empty_oversized_and_double_changes_are_refused() {
-    let (store, base) = filled();
+fn empty_oversized_and_duplicate_changes_are_rejected() {
+    let (store, base) = filled_store();
     let named = |number: usize| Change { name: format!("t{number}"), ..template(4) };
     let table = [
         (vec![], true),
@@ -187,29 +197,30 @@
 }
 
 #[test]
-fn a_malformed_entry_stops_other_changes_and_can_itself_be_replaced() {
-    let (store, _) = filled();
+fn a_malformed_entry_blocks_other_changes_and_can_be_replaced() {
+    let (store, _) = filled_store();
     let key = format!("{TENANTS_PREFIX}atlas");
-    let modified = store.range(&key).expect("it reads").entries[0].mod_revision;
-    store.compare_and_swap(&key, modified, b"{ not JSON").expect("written past the checks");
-    let base = store.range("/").expect("it reads").revision;
+    let mod_revision = store.range(&key).expect("the store is readable").entries[0].mod_revision;
+    store.compare_and_swap(&key, mod_revision, b"{ not JSON").expect("the value is written");
+    let base = store.range("/").expect("the store is readable").revision;
     let outcome = apply(&store, &request("r", base, vec![template(5)]), &LIMITS);
     assert!(matches!(outcome, Err(ApplyError::Malformed(_))), "{outcome:?}");
-    let value = EntryValue::Tenant(toml::from_str("template = \"school\"").expect("a tenant"));
+    let value =
+        EntryValue::Tenant(toml::from_str("template = \"school\"").expect("the tenant is valid"));
     let repair = Change { name: "atlas".into(), value };
-    apply(&store, &request("s", base, vec![repair]), &LIMITS).expect("it is replaced");
-    read_catalog(&store).expect("all is well formed");
+    apply(&store, &request("s", base, vec![repair]), &LIMITS).expect("the entry is replaced");
+    read_catalog(&store).expect("all entries are well formed");
 }
 
 #[test]
-fn history_is_bounded_newest_first_and_keeps_values_written_by_other_means() {
-    let (store, mut base) = filled();
+fn history_is_bounded_sorted_newest_first_and_keeps_unversioned_values() {
+    let (store, mut base) = filled_store();
     let id = EntryId { kind: EntryKind::Template, name: "school".into() };
     for number in 1..=MAX_HISTORY_VERSIONS as u32 + 5 {
         let change = request(&format!("r{number}"), base, vec![template(100 + number)]);
-        base = apply(&store, &change, &LIMITS).expect("it applies").revision.0;
+        base = apply(&store, &change, &LIMITS).expect("the change is applied").revision.0;
     }
-    let history = read_history(&store, &id).expect("it reads");
+    let history = read_history(&store, &id).expect("the store is readable");
     assert_eq!(history.len() as u64, MAX_HISTORY_VERSIONS);
     assert_eq!(history[0].value, template(125).value);
     let versions: Vec<u64> = history.iter().map(|entry| entry.authorship.version).collect();
@@ -217,46 +228,53 @@
 
     let other = EntryId { kind: EntryKind::Tenant, name: "bare".into() };
     let bare = br#"{"template":"school"}"#;
-    store.compare_and_swap(&format!("{TENANTS_PREFIX}bare"), 0, bare).expect("it is written");
-    let base = store.range("/").expect("it reads").revision;
-    let value =
-        EntryValue::Tenant(toml::from_str("template = \"school\"\ncapacity = 2").expect("valid"));
+    store
+        .compare_and_swap(&format!("{TENANTS_PREFIX}bare"), 0, bare)
+        .expect("the value is written");
+    let base = store.range("/").expect("the store is readable").revision;
+    let value = EntryValue::Tenant(
+        toml::from_str("template = \"school\"\ncapacity = 2").expect("the tenant is valid"),
+    );
     let change = Change { name: "bare".into(), value };
-    apply(&store, &request("b", base, vec![change]), &LIMITS).expect("it applies");
-    let history = read_history(&store, &other).expect("it reads");
+    apply(&store, &request("b", base, vec![change]), &LIMITS).expect("the change is applied");
+    let history = read_history(&store, &other).expect("the store is readable");
     let versions: Vec<u64> = history.iter().map(|entry| entry.authorship.version).collect();
     assert_eq!(versions, [1, 0]);
 }
 
 #[test]
-fn each_fault_of_the_commit_is_settled_or_truthfully_reported() {
-    use Fault::{AnswerLost, Late, None as Fine, RateLimited, RequestLost, Unreachable};
-    // Calls of an apply: read, read history, commit; then again.
+fn each_store_fault_is_retried_or_reported_correctly() {
+    use Fault::{AnswerLost, Late, None as NoFault, RateLimited, RequestLost, Unreachable};
+    // An apply reads the catalog, reads the history and commits; then it repeats these calls.
     let down = vec![Unreachable; 10_000];
     let lost_then_down: Vec<Fault> =
-        [Fine, Fine, AnswerLost].into_iter().chain(down.clone()).collect();
+        [NoFault, NoFault, AnswerLost].into_iter().chain(down.clone()).collect();
     let table = [
-        ("answer lost", vec![Fine, Fine, AnswerLost], "applied"),
-        ("request lost", vec![Fine, Fine, RequestLost], "applied"),
-        ("late", vec![Fine, Fine, Late], "applied"),
-        ("lost twice", vec![Fine, Fine, Late, Fine, Fine, AnswerLost], "applied"),
-        ("rate", vec![RateLimited, Fine, RateLimited, Fine, Fine, RateLimited], "applied"),
-        ("reads lost", vec![RequestLost, Fine, RequestLost, Fine, Fine, Fine], "applied"),
+        ("answer lost", vec![NoFault, NoFault, AnswerLost], "applied"),
+        ("request lost", vec![NoFault, NoFault, RequestLost], "applied"),
+        ("late", vec![NoFault, NoFault, Late], "applied"),
+        ("lost twice", vec![NoFault, NoFault, Late, NoFault, NoFault, AnswerLost], "applied"),
+        ("rate", vec![RateLimited, NoFault, RateLimited, NoFault, NoFault, RateLimited], "applied"),
+        (
+            "reads lost",
+            vec![RequestLost, NoFault, RequestLost, NoFault, NoFault, NoFault],
+            "applied",
+        ),
         ("down", down, "unavailable"),
         ("reads lost for long", vec![RequestLost; 10_000], "unavailable"),
         ("lost, then down", lost_then_down, "in doubt"),
     ];
     for (name, script, expected) in table {
-        let (store, base) = filled();
+        let (store, base) = filled_store();
         store.script(script);
         let outcome = apply(&store, &request("the-one", base, vec![template(6)]), &LIMITS);
-        let found = match &outcome {
+        let reported = match &outcome {
             Ok(Applied { changed: true, .. }) => "applied",
             Err(ApplyError::Unavailable(_)) => "unavailable",
             Err(ApplyError::InDoubt(_)) => "in doubt",
             other => panic!("{name}: {other:?}"),
         };
-        assert_eq!(found, expected, "{name}: {outcome:?}");
+        assert_eq!(reported, expected, "{name}: {outcome:?}");
         store.script([]);
         store.deliver_late();
         let commits = store.commits_of("\"request\":\"the-one\"");
@@ -279,28 +297,28 @@
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn whatever_fails_a_request_is_made_at_most_once_and_never_after_a_refusal(
+    fn under_any_faults_a_request_is_written_at_most_once_and_never_after_a_definite_error(
         faults in prop::collection::vec(fault(), 0..30),
         capacities in prop::collection::vec(0_u32..4, 1..6),
     ) {
-        let (store, base) = filled();
-        let mut seen = base;
+        let (store, base) = filled_store();
+        let mut newest_revision = base;
         store.script(faults);
         for (number, capacity) in capacities.iter().enumerate() {
             let text = format!("request-{number}");
-            let asked = request(&text, seen, vec![template(*capacity)]);
-            let outcome = apply(&store, &asked, &LIMITS);
+            let repeated_request = request(&text, newest_revision, vec![template(*capacity)]);
+            let outcome = apply(&store, &repeated_request, &LIMITS);
             store.deliver_late();
             let commits = store.commits_of(&format!("\"request\":\"{text}\""));
             prop_assert!(commits <= 1);
             match outcome {
                 Ok(applied) => {
                     prop_assert_eq!(commits, usize::from(applied.changed));
-                    seen = applied.revision.0;
+                    newest_revision = applied.revision.0;
                 }
                 Err(ApplyError::InDoubt(_)) => {
                     store.script([]);
-                    let settled = apply(&store, &asked, &LIMITS);
+                    let settled = apply(&store, &repeated_request, &LIMITS);
                     prop_assert!(settled.is_ok() || commits == 0, "{:?}", settled);
                 }
                 Err(_) => prop_assert_eq!(commits, 0),
--- a/crates/store/tests/etcd_faults.rs
+++ b/crates/store/tests/etcd_faults.rs
@@ -1,4 +1,5 @@
-//! The etcd client against a scripted server: what each fault says of the call's effect.
+//! The etcd client against a scripted server: how it classifies each fault by the effect that the
+//! call may have had.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,15 +11,15 @@
 use kestrellock_store::etcd::EtcdStore;
 use kestrellock_store::store::{ConfigStore, Snapshot, StoreError, TransactionOutcome, WatchEvent};
 
-const LIMIT: Duration = Duration::from_secs(30);
-const SHORT_CALL: Duration = Duration::from_millis(200);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the server does with a connection once it has read a request.
+/// What the server does with a connection after it has read a request.
 #[derive(Clone, Copy)]
 enum Script {
-    /// Sends these bytes and closes.
+    /// Sends these bytes and closes the connection.
     Send(&'static str),
-    /// Keeps silent until the client goes.
+    /// Sends nothing until the client closes the connection.
     Silence,
 }
 
@@ -29,15 +30,15 @@
 
 impl Server {
     fn start(script: Script) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
+        let address = listener.local_addr().expect("the listener has an address");
         let requests = Arc::new(AtomicUsize::new(0));
         let counted = requests.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 if read_request(&stream) {
                     counted.fetch_add(1, Ordering::SeqCst);
-                    play(stream, script);
+                    run_script(stream, script);
                 }
             }
         });
@@ -70,13 +71,13 @@
     }
 }
 
-fn play(mut stream: TcpStream, script: Script) {
+fn run_script(mut stream: TcpStream, script: Script) {
     match script {
         Script::Send(bytes) => {
             let _ = stream.write_all(bytes.as_bytes());
         }
         Script::Silence => {
-            let _ = stream.set_read_timeout(Some(LIMIT));
+            let _ = stream.set_read_timeout(Some(TEST_TIMEOUT));
             let _ = stream.read(&mut [0]);
         }
     }
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn each_fault_says_whether_the_store_may_have_acted() {
+fn each_fault_is_classified_by_whether_the_store_may_have_acted() {
     let table = [
         ("closed after the request", Script::Send(""), Kind::Unanswered),
         ("silence", Script::Silence, Kind::Unanswered),
@@ -128,19 +129,19 @@
     ];
     for (name, script, expected) in table {
         let server = Server::start(script);
-        let store = EtcdStore::new(vec![server.url()]).with_call_timeout(SHORT_CALL);
+        let store = EtcdStore::new(vec![server.url()]).with_call_timeout(SHORT_CALL_TIMEOUT);
         let outcome = store.compare_and_swap("/k", 3, b"v");
         assert_eq!(kind(&outcome), expected, "{name}: {outcome:?}");
-        assert_eq!(server.requests(), 1, "{name}: a write is sent once");
+        assert_eq!(server.requests(), 1, "{name}: the write must be sent once");
         let may_have_acted = outcome.is_err_and(|error| error.may_have_acted());
         assert_eq!(may_have_acted, expected == Kind::Unanswered, "{name}");
     }
 }
 
 #[test]
-fn nothing_listening_is_unreachable() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let url = format!("http://{}", listener.local_addr().expect("an address"));
+fn refused_connections_are_reported_as_unreachable() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
+    let url = format!("http://{}", listener.local_addr().expect("the listener has an address"));
     drop(listener);
     for urls in [vec![], vec![url.clone()], vec![url.clone(), url]] {
         let outcome = EtcdStore::new(urls).compare_and_swap("/k", 0, b"v");
@@ -149,14 +150,15 @@
 }
 
 #[test]
-fn a_write_goes_on_to_the_next_endpoint_only_if_it_was_not_sent() {
-    let dead = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let dead_url = format!("http://{}", dead.local_addr().expect("an address"));
+fn a_write_fails_over_to_the_next_endpoint_only_if_it_was_not_sent() {
+    let dead = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
+    let unreachable_url =
+        format!("http://{}", dead.local_addr().expect("the listener has an address"));
     drop(dead);
     let good = Server::start(Script::Send(WRITTEN));
-    let store = EtcdStore::new(vec![dead_url, good.url()]);
+    let store = EtcdStore::new(vec![unreachable_url, good.url()]);
     assert_eq!(
-        store.compare_and_swap("/k", 0, b"v").expect("the second"),
+        store.compare_and_swap("/k", 0, b"v").expect("the second endpoint answers"),
         TransactionOutcome::Written(18)
     );
     for script in [Script::Send(""), Script::Send(UNAVAILABLE), Script::Send(CUT_SHORT)] {
@@ -164,12 +166,12 @@
         let good = Server::start(Script::Send(WRITTEN));
         let store = EtcdStore::new(vec![bad.url(), good.url()]);
         assert_eq!(kind(&store.compare_and_swap("/k", 0, b"v")), Kind::Unanswered);
-        assert_eq!(good.requests(), 0, "the write may have taken effect at the first");
+        assert_eq!(good.requests(), 0, "the write may have taken effect at the first endpoint");
     }
 }
 
 #[test]
-fn a_read_goes_on_to_the_next_endpoint_and_stays_there() {
+fn a_read_fails_over_to_the_next_endpoint_and_prefers_it_afterwards() {
     let bad = Server::start(Script::Send(UNAVAILABLE));
     let good = Server::start(Script::Send(EMPTY_RANGE));
     let store = EtcdStore::new(vec![bad.url(), good.url()]);
@@ -181,7 +183,7 @@
 }
 
 #[test]
-fn after_a_refusal_for_the_rate_nothing_is_sent_until_the_time_named() {
+fn no_request_is_sent_before_the_retry_after_time_of_a_rate_limit() {
     let server = Server::start(Script::Send(TOO_MANY));
     let store = EtcdStore::new(vec![server.url()]);
     for _ in 0..5 {
@@ -204,7 +206,7 @@
 }
 
 #[test]
-fn a_watch_tells_change_compaction_and_its_end_apart() {
+fn a_watch_distinguishes_changes_compaction_and_the_end_of_the_stream() {
     let changed = "{\"result\":{\"events\":[{\"kv\":{\"mod_revision\":\"21\"}}]}}\n";
     let compacted = "{\"result\":{\"canceled\":true,\"compact_revision\":\"40\"}}\n";
     let cancelled = "{\"result\":{\"canceled\":true}}\n";
@@ -221,23 +223,23 @@
     for (name, rest, expected) in table {
         let server = Server::start(watch_script(rest));
         let store = EtcdStore::new(vec![server.url()]);
-        let mut watch = store.watch("/p", 20).expect("it opens");
-        let event = watch.next(LIMIT);
+        let mut watch = store.watch("/p", 20).expect("the watch opens");
+        let event = watch.next(TEST_TIMEOUT);
         match expected {
             Ok(expected) => assert_eq!(event.expect(name), expected, "{name}"),
             Err(expected) => assert_eq!(kind(&event), expected, "{name}: {event:?}"),
         }
-        let after = watch.next(LIMIT);
-        assert_eq!(kind(&after), Kind::Unanswered, "{name}: the stream is over");
+        let after = watch.next(TEST_TIMEOUT);
+        assert_eq!(kind(&after), Kind::Unanswered, "{name}: the stream has ended");
     }
 }
 
 #[test]
-fn a_quiet_watch_lets_its_owner_go_on() {
+fn opening_a_watch_on_a_silent_server_times_out() {
     let server = Server::start(Script::Silence);
     let store = EtcdStore::new(vec![server.url()]);
-    // The head never arrives: opening fails within the stream's lifetime, and nothing hangs.
-    let begun = Instant::now();
+    // The response head never arrives, so opening the watch fails within the stream's lifetime.
+    let started = Instant::now();
     assert!(store.watch("/p", 1).is_err());
-    assert!(begun.elapsed() < LIMIT);
+    assert!(started.elapsed() < TEST_TIMEOUT);
 }
--- a/crates/store/tests/memory_store/mod.rs
+++ b/crates/store/tests/memory_store/mod.rs
@@ -1,4 +1,4 @@
-//! A store in memory that fails as a script says.
+//! An in-memory store with scripted faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
@@ -8,20 +8,21 @@
     ConfigStore, KeyValue, Snapshot, StoreError, Transaction, TransactionOutcome, Watch,
 };
 
-/// What happens to one call.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It is carried out and answered.
+    /// The call is carried out and answered.
     None,
-    /// It is never sent.
+    /// The call is not sent.
     Unreachable,
-    /// It is carried out; the answer is lost.
+    /// The call is carried out, but its answer is lost.
     AnswerLost,
-    /// It is lost on the way; nobody can tell.
+    /// The call is lost before the store carries it out. The client cannot distinguish this from a
+    /// lost answer.
     RequestLost,
-    /// It is carried out after the next call, though nobody waits any more.
+    /// The call is not answered, and is carried out later, after the next call.
     Late,
-    /// It is refused for its rate.
+    /// The call is rejected because of the rate limit.
     RateLimited,
 }
 
@@ -31,18 +32,18 @@
     entries: BTreeMap<String, KeyValue>,
     script: VecDeque<Fault>,
     late: Vec<Transaction>,
-    /// Every transaction carried out.
+    /// All transactions that were carried out.
     committed: Vec<Transaction>,
 }
 
 impl State {
-    fn carry_out(&mut self, transaction: &Transaction) -> TransactionOutcome {
-        let modified =
+    fn execute(&mut self, transaction: &Transaction) -> TransactionOutcome {
+        let mod_revision =
             |key: &str| self.entries.get(key).map_or(0, |entry: &KeyValue| entry.mod_revision);
         if transaction
             .conditions
             .iter()
-            .any(|condition| modified(&condition.key) != condition.mod_revision)
+            .any(|condition| mod_revision(&condition.key) != condition.mod_revision)
         {
             return TransactionOutcome::Conflict;
         }
@@ -58,15 +59,15 @@
 
     fn deliver_late(&mut self) {
         for transaction in std::mem::take(&mut self.late) {
-            self.carry_out(&transaction);
+            self.execute(&transaction);
         }
     }
 }
 
-/// Something that happens at a moment of the test's choice.
+/// Action of a test that runs just before a commit.
 type Interruption = Box<dyn FnOnce(&MemoryStore) + Send>;
 
-/// The store.
+/// An in-memory store whose calls fail as scripted.
 #[derive(Default)]
 pub struct MemoryStore {
     state: Mutex<State>,
@@ -74,27 +75,28 @@
 }
 
 impl MemoryStore {
-    /// Sets what happens to the calls to come; after them nothing fails.
+    /// Sets the outcomes of the next calls; later calls do not fail.
     pub fn script(&self, faults: impl IntoIterator<Item = Fault>) {
-        self.state.lock().expect("the lock").script = faults.into_iter().collect();
+        self.state.lock().expect("the lock is not poisoned").script = faults.into_iter().collect();
     }
 
-    /// Lets something happen between the reads and the commit of the next change.
+    /// Runs `action` between the reads and the commit of the next change.
     pub fn before_next_commit(&self, action: impl FnOnce(&MemoryStore) + Send + 'static) {
-        *self.before_commit.lock().expect("the lock") = Some(Box::new(action));
+        *self.before_commit.lock().expect("the lock is not poisoned") = Some(Box::new(action));
     }
 
-    /// Carries out what is still on its way.
+    /// Carries out all late transactions.
     pub fn deliver_late(&self) {
-        self.state.lock().expect("the lock").deliver_late();
+        self.state.lock().expect("the lock is not poisoned").deliver_late();
     }
 
-    /// How many transactions wrote a value that holds `text`.
+    /// Number of committed transactions that wrote a value containing `text`.
     pub fn commits_of(&self, text: &str) -> usize {
-        let holds = |value: &[u8]| String::from_utf8_lossy(value).contains(text);
-        let state = self.state.lock().expect("the lock");
-        let writes =
-            |transaction: &&Transaction| transaction.puts.iter().any(|put| holds(&put.value));
+        let contains_text = |value: &[u8]| String::from_utf8_lossy(value).contains(text);
+        let state = self.state.lock().expect("the lock is not poisoned");
+        let writes = |transaction: &&Transaction| {
+            transaction.puts.iter().any(|put| contains_text(&put.value))
+        };
         state.committed.iter().filter(writes).count()
     }
 
@@ -103,7 +105,7 @@
         answer: impl FnOnce(&mut State) -> A,
         late: Option<&Transaction>,
     ) -> Result<A, StoreError> {
-        let mut state = self.state.lock().expect("the lock");
+        let mut state = self.state.lock().expect("the lock is not poisoned");
         let lost = || Err(StoreError::Unanswered("lost".into()));
         let fault = state.script.pop_front().unwrap_or(Fault::None);
         let outcome = match fault {
@@ -138,11 +140,11 @@
     }
 
     fn commit(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError> {
-        let interruption = self.before_commit.lock().expect("the lock").take();
+        let interruption = self.before_commit.lock().expect("the lock is not poisoned").take();
         if let Some(action) = interruption {
             action(self);
         }
-        self.call(|state| state.carry_out(transaction), Some(transaction))
+        self.call(|state| state.execute(transaction), Some(transaction))
     }
 
     fn watch(&self, _prefix: &str, _from: u64) -> Result<Box<dyn Watch>, StoreError> {
