--- a/crates/store/src/control.rs
+++ b/crates/store/src/control.rs
@@ -55,8 +55,7 @@
         &self,
         target: &ControlTarget,
         command: InstanceCommand,
-    )
-    -> Result<ReplicationStatus, ControlError>;
+    ) -> Result<ReplicationStatus, ControlError>;
 }
 
 /// The platform's promotion call.
