--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -18,7 +18,7 @@
 const MAX_ATTEMPTS: usize = 3;
 
 /// Applies a file's entries of one kind.
-pub fn of_kind(
+pub fn apply_kind(
     client: &Client,
     kind: EntryKind,
     arguments: &ApplyArguments,
@@ -28,7 +28,11 @@
 }
 
 /// Applies all entries of a file.
-pub fn all(client: &Client, arguments: &ApplyArguments, output: &mut dyn Write) -> Result<()> {
+pub fn apply_all(
+    client: &Client,
+    arguments: &ApplyArguments,
+    output: &mut dyn Write,
+) -> Result<()> {
     apply_file(client, &EntryKind::ALL, arguments, output)
 }
 
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -25,9 +25,9 @@
     let client = || Client::new(node, token_file);
     match command {
         Command::Verifier(verifier) => {
-            verifier::make(&verifier, &mut std::io::stdin().lock(), output)
+            verifier::print_verifier(&verifier, &mut std::io::stdin().lock(), output)
         }
-        Command::Digest(_) => verifier::digest(&mut std::io::stdin().lock(), output),
+        Command::Digest(_) => verifier::print_digest(&mut std::io::stdin().lock(), output),
         Command::Explain(explain) => explain::run(&explain, output),
         Command::Status(_) => {
             let status: NodeStatus = client()?.get("/status")?;
@@ -40,7 +40,7 @@
         }
         Command::Config(config) => match config.command {
             ConfigCommand::Status(_) => nodes::status(&client()?, output),
-            ConfigCommand::Apply(apply) => apply::all(&client()?, &apply, output),
+            ConfigCommand::Apply(apply) => apply::apply_all(&client()?, &apply, output),
         },
         Command::Zone(zone) => entry(&client()?, EntryKind::Zone, zone.command, output),
         Command::Group(group) => entry(&client()?, EntryKind::Group, group.command, output),
@@ -59,7 +59,7 @@
     output: &mut dyn Write,
 ) -> Result<()> {
     match command {
-        EntryCommand::Apply(apply) => apply::of_kind(client, kind, &apply, output),
+        EntryCommand::Apply(apply) => apply::apply_kind(client, kind, &apply, output),
         EntryCommand::Get(get) => entries::get(client, kind, &get.name, output),
         EntryCommand::List(_) => entries::list(client, kind, output),
         EntryCommand::Diff(diff) => entries::diff(client, kind, &diff.file, output),
--- a/crates/ctl/src/verifier.rs
+++ b/crates/ctl/src/verifier.rs
@@ -5,14 +5,14 @@
 
 use kestrellock_core::credential::CredentialDigest;
 use kestrellock_core::scram::Verifier;
-use kestrellock_program::command_line::WrongUse;
+use kestrellock_program::command_line::UsageError;
 use miette::{IntoDiagnostic, Result};
 
 use crate::arguments::VerifierArguments;
 use crate::line;
 
 /// Reads a password's line and prints its verifier.
-pub fn make(
+pub fn print_verifier(
     arguments: &VerifierArguments,
     input: &mut dyn BufRead,
     output: &mut dyn Write,
@@ -20,17 +20,17 @@
     let password = secret(input)?;
     if password.is_empty() || arguments.iterations == 0 {
         let problem = "a password on standard input and at least one iteration are needed";
-        return Err(WrongUse(problem.to_owned()).into());
+        return Err(UsageError(problem.to_owned()).into());
     }
     line(output, Verifier::from_password(&password, rand::random(), arguments.iterations))
 }
 
 /// Reads a key's line and prints its digest.
-pub fn digest(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<()> {
+pub fn print_digest(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<()> {
     let key = secret(input)?;
     if key.is_empty() || key.contains(char::is_whitespace) {
         let problem = "a key without blanks is needed on standard input";
-        return Err(WrongUse(problem.to_owned()).into());
+        return Err(UsageError(problem.to_owned()).into());
     }
     line(output, CredentialDigest::of(&key))
 }
--- a/crates/daemon/src/front/decision_log.rs
+++ b/crates/daemon/src/front/decision_log.rs
@@ -8,7 +8,7 @@
 use kestrellock_core::ids::{AccountName, InstanceName};
 use kestrellock_core::outcome::Refusal;
 use kestrellock_core::routing::Access;
-use kestrellock_program::logging::ORDINARY;
+use kestrellock_program::logging::ROUTINE_TARGET;
 use kestrellock_protocol::login::Login;
 use kestrellock_protocol::request::Request;
 
@@ -102,7 +102,7 @@
         return;
     }
     log::info!(
-        target: ORDINARY,
+        target: ROUTINE_TARGET,
         event = "answered",
         id = id_of(Some(request)),
         tenant = login.parameters.tenant.as_str(),
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -24,8 +24,8 @@
 use kestrellock_core::outcome::{Refusal, ResultCode};
 use kestrellock_core::position::Position;
 use kestrellock_peer::message::{Exchange, HeldLease, ToFront};
-use kestrellock_protocol::caller::{CallerProtocol, Severity};
-use kestrellock_protocol::classes::Classes;
+use kestrellock_protocol::client::{ClientProtocol, Severity};
+use kestrellock_protocol::facts_cache::FactsCache;
 use slab::Slab;
 
 use crate::context::Identity;
@@ -46,7 +46,7 @@
 pub const MAX_PENDING_LOGINS: usize = 1024;
 
 /// Sends a refusal to a client that is not accepted, as far as the socket takes it immediately.
-fn reject_connection(mut stream: TcpStream, caller: &dyn CallerProtocol, detail: &str) {
+fn reject_connection(mut stream: TcpStream, caller: &dyn ClientProtocol, detail: &str) {
     let refusal = Refusal::new(ResultCode::TooManyCallers, detail);
     let mut message = BytesMut::new();
     caller.put_refusal(&refusal, Severity::Session, &mut message);
@@ -62,7 +62,7 @@
     leases: HashMap<LeaseId, usize>,
     next_serial: u64,
     subscriptions: Subscriptions,
-    classes: Classes,
+    classes: FactsCache,
     position_queries: PositionQueries,
     /// Revision of the configuration that the credentials of all sessions were last checked against.
     credentials_checked_revision: Revision,
@@ -78,7 +78,7 @@
             leases: HashMap::new(),
             next_serial: 0,
             subscriptions: Subscriptions::default(),
-            classes: Classes::default(),
+            classes: FactsCache::default(),
             position_queries: PositionQueries::default(),
             credentials_checked_revision: Revision::default(),
         }
@@ -95,14 +95,14 @@
             return;
         }
         if let Some(detail) = self.rejection_reason() {
-            return reject_connection(stream, io.context.protocol.caller().as_ref(), detail);
+            return reject_connection(stream, io.context.protocol.client().as_ref(), detail);
         }
         let entry = self.sessions.vacant_entry();
         let stream = mio::net::TcpStream::from_std(stream);
         let registered =
             Connection::register(stream, token(Part::Caller, entry.key()), io.registry, false);
         if let Ok(connection) = registered {
-            entry.insert(Session::new(connection, io.context.protocol.caller(), io.now));
+            entry.insert(Session::new(connection, io.context.protocol.client(), io.now));
             io.context.metrics.callers.count(ConnectionEvent::Opened);
         }
     }
--- a/crates/daemon/src/front/session.rs
+++ b/crates/daemon/src/front/session.rs
@@ -29,8 +29,8 @@
 use kestrellock_core::retry::RetryBudget;
 use kestrellock_core::session_state::{ExchangeEnd, SessionState};
 use kestrellock_peer::message::TransactionState;
-use kestrellock_protocol::caller::{CallerProtocol, Severity, StartupStep, Surroundings};
-use kestrellock_protocol::classes::Classes;
+use kestrellock_protocol::client::{ClientProtocol, Severity, StartupContext, StartupStep};
+use kestrellock_protocol::facts_cache::FactsCache;
 use kestrellock_protocol::login::Login;
 use kestrellock_protocol::request::Request;
 
@@ -83,7 +83,7 @@
     /// Leases that ended and that the front has not yet removed from its index.
     pub ended_leases: Vec<LeaseId>,
     started: Instant,
-    protocol: Box<dyn CallerProtocol>,
+    protocol: Box<dyn ClientProtocol>,
     login: Option<Login>,
     bound: Option<Position>,
     /// The position query whose answer becomes the session bound; reads and writes wait for it.
@@ -140,7 +140,7 @@
 
 impl Session {
     /// Creates a session that has not logged in.
-    pub fn new(connection: Connection, protocol: Box<dyn CallerProtocol>, now: Instant) -> Self {
+    pub fn new(connection: Connection, protocol: Box<dyn ClientProtocol>, now: Instant) -> Self {
         Self {
             connection,
             more_to_read: false,
@@ -226,7 +226,7 @@
         new_lease: impl FnOnce() -> LeaseId,
         subscriptions: &mut Subscriptions,
         position_queries: &mut PositionQueries,
-        classes: &mut Classes,
+        classes: &mut FactsCache,
         io: &mut Io,
     ) -> SessionFlow {
         if self.closing_since.is_some() {
@@ -285,7 +285,7 @@
             return SessionFlow::Continue;
         }
         let Connection { input, output, .. } = &mut self.connection;
-        let surroundings = Surroundings { node: &io.context.identity.node, catalog: &catalog };
+        let surroundings = StartupContext { node: &io.context.identity.node, catalog: &catalog };
         let refusal = match self.protocol.startup(input, output, &surroundings) {
             StartupStep::LoggedIn(login) => {
                 subscriptions.ensure(&login.group, io);
--- a/crates/daemon/src/front/session/authorization.rs
+++ b/crates/daemon/src/front/session/authorization.rs
@@ -12,7 +12,7 @@
 use kestrellock_core::ids::AccountName;
 use kestrellock_core::outcome::{Refusal, ResultCode};
 use kestrellock_peer::message::TransactionState;
-use kestrellock_protocol::caller::Severity;
+use kestrellock_protocol::client::Severity;
 
 use super::{ROLLED_BACK, Session, SessionFlow, counting, decision_log};
 use crate::event::Io;
--- a/crates/daemon/src/front/session/closing.rs
+++ b/crates/daemon/src/front/session/closing.rs
@@ -9,7 +9,7 @@
 
 use kestrellock_core::outcome::{Refusal, ResultCode};
 use kestrellock_peer::message::TransactionState;
-use kestrellock_protocol::caller::Severity;
+use kestrellock_protocol::client::Severity;
 use kestrellock_protocol::request::Request;
 
 use super::{ROLLED_BACK, Session, SessionFlow};
@@ -31,7 +31,7 @@
     /// Whether a new request is refused because of a planned stop: the protocol can tell the client
     /// to connect to another node, and no transaction is open.
     pub(super) fn rejects_new_requests(&self, io: &Io) -> bool {
-        let sends_farewell = io.context.protocol.traits().tells_farewell;
+        let sends_farewell = io.context.protocol.traits().sends_disconnect_notice;
         sends_farewell && io.context.is_leaving() && self.transaction == TransactionState::Idle
     }
 
@@ -48,7 +48,7 @@
         let has_no_input = self.connection.input.is_empty() && self.protocol.is_between_requests();
         let has_been_idle =
             io.now.saturating_duration_since(self.last_active) >= MIN_IDLE_BEFORE_CLOSE;
-        let sends_farewell = io.context.protocol.traits().tells_farewell;
+        let sends_farewell = io.context.protocol.traits().sends_disconnect_notice;
         // A client that has just logged in is about to send its first request.
         let follows_answer = has_just_answered && self.has_sent_request && !sends_farewell;
         is_between_requests && has_no_input && (has_been_idle || follows_answer)
@@ -67,7 +67,7 @@
                 let refusal = Refusal::new(ResultCode::Stopping, STOPPING_DETAIL);
                 self.protocol.put_refusal(&refusal, Severity::Session, output);
             }
-            None => self.protocol.put_farewell(STOPPING_DETAIL, output),
+            None => self.protocol.put_disconnect_notice(STOPPING_DETAIL, output),
         }
         self.abandon(io);
         self.closing_since = Some(io.now);
@@ -81,7 +81,7 @@
         self.connection.input.clear();
         let flushed = self.connection.flush(io.registry);
         let Some(since) = self.closing_since else { return SessionFlow::Close };
-        let sends_farewell = io.context.protocol.traits().tells_farewell;
+        let sends_farewell = io.context.protocol.traits().sends_disconnect_notice;
         let delay = if sends_farewell { END_OF_STREAM_DELAY } else { Duration::ZERO };
         if self.connection.output.is_empty() && io.now >= since + delay {
             self.connection.shut_down_sending();
--- a/crates/daemon/src/front/session/keys.rs
+++ b/crates/daemon/src/front/session/keys.rs
@@ -44,7 +44,7 @@
     /// Buffers a piece of an answer that the client must not see before its commit. Returns whether
     /// it was buffered.
     pub fn buffer_until_commit(&mut self, part: &[u8]) -> bool {
-        let must_wait = self.keyed.as_ref().is_some_and(KeyedRequest::holds_parts);
+        let must_wait = self.keyed.as_ref().is_some_and(KeyedRequest::must_buffer_answer);
         if must_wait {
             self.buffered_answer.extend_from_slice(part);
         }
@@ -59,7 +59,7 @@
 impl Session {
     /// Handles `SET kestrellock.request_id`. Returns whether the request was this statement.
     pub(super) fn set_request_key(&mut self, request: &Request, io: &mut Io) -> bool {
-        let Some(value) = text_of(request).and_then(request_key::setting) else {
+        let Some(value) = text_of(request).and_then(request_key::request_key_setting) else {
             return false;
         };
         let set = match value.as_str() {
@@ -165,9 +165,9 @@
         match (self.keys.transaction.take(), &self.login) {
             (Some(key), Some(login)) if is_commit && in_doubt && time_left => {
                 let tenant = &login.parameters.tenant;
-                self.keys.keyed = Some(KeyedRequest::settle(tenant, &key, refusal));
+                self.keys.keyed = Some(KeyedRequest::resolve(tenant, &key, refusal));
                 self.transaction = TransactionState::Idle;
-                self.apply_key_step(Step::Again, io);
+                self.apply_key_step(Step::Retry, io);
             }
             _ => self.end_lease(LeaseEvent::Refused(refusal), io),
         }
@@ -175,7 +175,7 @@
 
     fn apply_key_step(&mut self, step: Step, io: &mut Io) {
         match (step, &self.keys.keyed, &mut self.request) {
-            (Step::Again, Some(keyed), Some(request)) => {
+            (Step::Retry, Some(keyed), Some(request)) => {
                 request.messages = keyed.messages();
                 request.sent = false;
                 self.retry_at = Some(io.now);
--- a/crates/daemon/src/front/session/lease.rs
+++ b/crates/daemon/src/front/session/lease.rs
@@ -14,7 +14,7 @@
 use kestrellock_core::outcome::{Execution, Refusal, ResultCode};
 use kestrellock_core::session_state::Effect;
 use kestrellock_peer::message::{GatewayCall, HeldLease, LeaseEvent, ToGateway, TransactionState};
-use kestrellock_protocol::caller::Severity;
+use kestrellock_protocol::client::Severity;
 use kestrellock_protocol::request::Request;
 
 use super::{ROLLED_BACK, Session, counting, decision_log};
--- a/crates/daemon/src/front/session/requests.rs
+++ b/crates/daemon/src/front/session/requests.rs
@@ -12,9 +12,9 @@
 use kestrellock_core::outcome::{Refusal, ResultCode};
 use kestrellock_core::session_state::ExchangeEnd;
 use kestrellock_peer::message::TransactionState;
-use kestrellock_protocol::caller::Severity;
-use kestrellock_protocol::classes::Classes;
-use kestrellock_protocol::request::{Next, Request, Timing};
+use kestrellock_protocol::client::Severity;
+use kestrellock_protocol::facts_cache::FactsCache;
+use kestrellock_protocol::request::{NextRequest, Request, Timing};
 
 use super::{ROLLED_BACK, Session, SessionFlow, counting, decision_log};
 use crate::event::Io;
@@ -31,7 +31,7 @@
     pub(super) fn advance_requests(
         &mut self,
         new_lease: impl FnOnce() -> LeaseId,
-        classes: &mut Classes,
+        classes: &mut FactsCache,
         io: &mut Io,
     ) -> SessionFlow {
         while self.request.is_none() {
@@ -47,15 +47,15 @@
             let timing = Timing { arrived, deadline: arrived + self.time_limit() };
             let rejects_new_requests = self.rejects_new_requests(io);
             let Connection { input, output, .. } = &mut self.connection;
-            match self.protocol.next(input, classes, timing) {
-                Next::Incomplete => return SessionFlow::Continue,
-                Next::Terminate => return SessionFlow::Close,
-                Next::Request(request) if rejects_new_requests => {
+            match self.protocol.next_request(input, classes, timing) {
+                NextRequest::Incomplete => return SessionFlow::Continue,
+                NextRequest::Terminate => return SessionFlow::Close,
+                NextRequest::Request(request) if rejects_new_requests => {
                     return self.close_for_shutdown(Some(request), io);
                 }
-                Next::Request(request) => self.accept_request(request, io),
-                Next::Refused(refusal) => self.refuse_request(&refusal, io),
-                Next::Broken(refusal) => {
+                NextRequest::Request(request) => self.accept_request(request, io),
+                NextRequest::Refused(refusal) => self.refuse_request(&refusal, io),
+                NextRequest::ProtocolError(refusal) => {
                     self.protocol.put_refusal(&refusal, Severity::Session, output);
                     return SessionFlow::Close;
                 }
--- a/crates/daemon/src/front/session/retrying.rs
+++ b/crates/daemon/src/front/session/retrying.rs
@@ -123,7 +123,8 @@
             Some(_)
                 if may_retry && !self.answer_begun && refusal.code == ResultCode::NotPrimary =>
             {
-                let code = failure_code(READ_OUTSIDE_TRANSACTION, Progress::AtFront, Fault::Deadline);
+                let code =
+                    failure_code(READ_OUTSIDE_TRANSACTION, Progress::AtFront, Fault::Deadline);
                 self.settle_or_refuse(Refusal::new(code, refusal.detail), io);
             }
             _ => self.settle_or_refuse(refusal, io),
--- a/crates/daemon/src/front/session/sending.rs
+++ b/crates/daemon/src/front/session/sending.rs
@@ -44,7 +44,7 @@
             return;
         }
         let Some(request) = &self.request else { return };
-        let clients_retry = io.context.protocol.traits().callers_repeat;
+        let clients_retry = io.context.protocol.traits().clients_retry;
         if io.now > placement_deadline(request.arrived, request.deadline, clients_retry) {
             let code = match self.awaited_query {
                 Some(_) => ResultCode::NoFreshInstance,
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -45,7 +45,7 @@
         let now = Instant::now();
         let arrived = now.checked_sub(need.waited).unwrap_or(now);
         let deadline = now + exchange.time_left;
-        let repeats = io.context.protocol.traits().callers_repeat;
+        let repeats = io.context.protocol.traits().clients_retry;
         let until = placement_deadline(arrived, deadline, repeats);
         Self { exchange, need, arrived, deadline, held_until: until, is_logged: false }
     }
--- a/crates/daemon/src/gateway/running_exchange.rs
+++ b/crates/daemon/src/gateway/running_exchange.rs
@@ -10,7 +10,9 @@
 use kestrellock_core::position::{Position, Term};
 use kestrellock_core::routing::{Access, Role};
 use kestrellock_peer::message::{Exchange, LeaseEvent, TransactionState};
-use kestrellock_protocol::backend::{BackendProtocol, Failure, Passage, Reply, ReplyKind, Report};
+use kestrellock_protocol::backend::{
+    BackendProtocol, Failure, Reply, ReplyAction, ReplyKind, Report,
+};
 
 /// What is lost or in doubt if the exchange fails.
 pub fn stake_of(exchange: &Exchange) -> ExchangeImpact {
@@ -149,10 +151,10 @@
             return Next::Await;
         }
         self.track_outcome(&reply.kind);
-        match protocol.passage(reply) {
-            Passage::Pass => self.answer.extend_from_slice(&reply.bytes),
-            Passage::Replace(message) => self.answer.extend_from_slice(&message),
-            Passage::Swallow => {}
+        match protocol.reply_action(reply) {
+            ReplyAction::Forward => self.answer.extend_from_slice(&reply.bytes),
+            ReplyAction::Replace(message) => self.answer.extend_from_slice(&message),
+            ReplyAction::Discard => {}
         }
         match reply.kind {
             ReplyKind::Ready { transaction, position } => self.on_ready(transaction, position),
@@ -189,7 +191,7 @@
                 role: Role::Primary,
                 flushed: position,
                 applied: position,
-                held: Term::default(),
+                min_term: Term::default(),
             };
             self.position_query = PositionQuery::Awaited(Some(report));
             return Next::Finished;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -11,7 +11,7 @@
 use kestrellock_daemon::node::{Listeners, Node};
 use kestrellock_daemon::policy::Policy;
 use kestrellock_daemon::settings::{Backing, Settings};
-use kestrellock_program::command_line::{self, WrongUse};
+use kestrellock_program::command_line::{self, UsageError};
 use kestrellock_program::logging;
 use kestrellock_store::etcd::EtcdStore;
 use miette::IntoDiagnostic;
@@ -33,7 +33,7 @@
         return Ok(());
     }
     let Some(path) = &arguments.settings else {
-        return Err(WrongUse("--settings FILE is needed".to_owned()).into());
+        return Err(UsageError("--settings FILE is needed".to_owned()).into());
     };
     let mut settings = arguments.read_settings(path)?;
     settings.read_secrets().map_err(|error| miette::miette!("{}: {error}", error.code))?;
@@ -101,6 +101,6 @@
     log::info!(event = "stop", node = settings.node.as_str(); "the node stops");
     let failed = node.has_failed();
     node.stop();
-    logging::finish();
+    logging::flush();
     if failed { Err(miette::miette!("a part of the node gave up; see the log")) } else { Ok(()) }
 }
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -275,7 +275,7 @@
         asked: Instant,
     ) {
         let term = report.flushed.term;
-        let following = Following { term, held: report.held };
+        let following = Following { term, held: report.min_term };
         self.with_group(group, |known| {
             let record = known.exchange_records.entry(instance.clone()).or_default();
             record.on_replication_status(report.role, term);
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -4,7 +4,7 @@
 
 use kestrellock_core::catalog::Catalog;
 use kestrellock_daemon::arguments::Arguments;
-use kestrellock_program::command_line::{Invocation, interpret};
+use kestrellock_program::command_line::{Invocation, parse};
 use miette::Diagnostic;
 
 const VALID: &str = r#"node = "a"
@@ -20,7 +20,7 @@
 "#;
 
 fn arguments(words: &[&str]) -> Arguments {
-    match interpret("kestrellockd", words) {
+    match parse("kestrellockd", words) {
         Invocation::Run(arguments) => arguments,
         other => panic!("{words:?} parsed as {other:?}"),
     }
--- a/crates/daemon/tests/statuses.rs
+++ b/crates/daemon/tests/statuses.rs
@@ -32,7 +32,7 @@
 
     fn stands(&self, instance: &str, role: Role, term: u32) {
         let at = position(term, 80);
-        let report = Report { role, flushed: at, applied: at, held: Term(0) };
+        let report = Report { role, flushed: at, applied: at, min_term: Term(0) };
         self.board.on_replication_status(&self.group, &name(instance), &report, Instant::now());
     }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -9,7 +9,7 @@
 use kestrellock_lab::platform;
 use kestrellock_lab::resting::RestingCommand;
 use kestrellock_lab::scenario::command::RunCommand;
-use kestrellock_program::command_line::{self, WrongUse};
+use kestrellock_program::command_line::{self, UsageError};
 use miette::{IntoDiagnostic, miette};
 
 /// stand-ins, demonstration and benches for kestrellock
@@ -61,7 +61,7 @@
 fn run_demo(arguments: &DemoArguments) -> miette::Result<()> {
     if arguments.platform {
         if !arguments.check {
-            return Err(WrongUse("--platform needs --check".to_owned()).into());
+            return Err(UsageError("--platform needs --check".to_owned()).into());
         }
         print!("{}", platform::check::run()?);
         return Ok(());
--- a/crates/postgres/src/answer.rs
+++ b/crates/postgres/src/answer.rs
@@ -4,7 +4,7 @@
 use kestrellock_core::outcome::{Refusal, ResultCode};
 use kestrellock_core::session::{SESSION_PARAMETER, SessionBound};
 use kestrellock_peer::message::TransactionState;
-use kestrellock_protocol::caller::Severity;
+use kestrellock_protocol::client::Severity;
 use pgwire::messages::response::{ErrorResponse, ReadyForQuery, TransactionStatus};
 use pgwire::messages::startup::ParameterStatus;
 use pgwire::messages::{Message, PgWireBackendMessage};
@@ -40,7 +40,7 @@
 }
 
 /// Appends the message that sends an idle caller away. It answers no statement, and says so.
-pub fn put_farewell(detail: &str, output: &mut BytesMut) {
+pub fn put_disconnect_notice(detail: &str, output: &mut BytesMut) {
     let code = ResultCode::Stopping;
     let fields = vec![
         (b'S', "FATAL".to_owned()),
--- a/crates/postgres/src/backend.rs
+++ b/crates/postgres/src/backend.rs
@@ -6,7 +6,7 @@
 use kestrellock_core::cancel::CancelKey;
 use kestrellock_peer::message::{Exchange, TransactionState};
 use kestrellock_protocol::backend::{
-    BackendProtocol, BackendTarget, BadReply, Failure, Passage, Reply, ReplyKind, Report,
+    BackendProtocol, BackendTarget, BadReply, Failure, Reply, ReplyAction, ReplyKind, Report,
 };
 use pgwire::messages::PgWireFrontendMessage;
 use pgwire::messages::cancel::CancelRequest;
@@ -14,8 +14,8 @@
 use pgwire::messages::startup::{SecretKey, Startup};
 
 use crate::backend_login;
+use crate::connection_state::{self, ConnectionState};
 use crate::frames::{self, Frame, HEADER_BYTES};
-use crate::hygiene::{self, Hygiene};
 use crate::position_query::{POSITION_QUERY, parse_row};
 use crate::prepared::{PreparedSet, sqlstate};
 
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub struct PostgresBackend {
     prepared: PreparedSet,
-    hygiene: Hygiene,
+    hygiene: ConnectionState,
 }
 
 impl BackendProtocol for PostgresBackend {
@@ -83,7 +83,7 @@
         self.prepared.send(&exchange.statements, &exchange.frames, output);
     }
 
-    fn passage(&mut self, reply: &Reply) -> Passage {
+    fn reply_action(&mut self, reply: &Reply) -> ReplyAction {
         self.prepared.on_reply(&reply.bytes)
     }
 
@@ -102,7 +102,7 @@
     fn put_reset(&mut self, output: &mut BytesMut) -> bool {
         let tainted = self.hygiene.is_tainted();
         if tainted {
-            put_query(hygiene::RESET, output);
+            put_query(connection_state::RESET, output);
         }
         tainted
     }
--- a/crates/postgres/src/batch.rs
+++ b/crates/postgres/src/batch.rs
@@ -7,7 +7,7 @@
 use kestrellock_core::outcome::{Refusal, ResultCode};
 use kestrellock_peer::message::PreparedStatement;
 
-use kestrellock_protocol::classes::Classes;
+use kestrellock_protocol::facts_cache::FactsCache;
 use kestrellock_protocol::request::{Request, Timing};
 
 use crate::collector::ROLLBACK_REPLY;
@@ -53,7 +53,7 @@
     }
 
     /// Takes in a message other than `Sync`. After an error the rest up to `Sync` is skipped.
-    pub fn add(&mut self, frame: &Frame, statements: &mut Statements, classes: &mut Classes) {
+    pub fn add(&mut self, frame: &Frame, statements: &mut Statements, classes: &mut FactsCache) {
         if self.refusal.is_some() {
             return;
         }
@@ -66,7 +66,7 @@
         &mut self,
         frame: &Frame,
         statements: &mut Statements,
-        classes: &mut Classes,
+        classes: &mut FactsCache,
     ) -> Result<(), Refusal> {
         if self.messages.len() + frame.bytes.len() > MAX_BATCH_BYTES {
             return Err(Refusal::new(ResultCode::MessageTooLarge, "the batch is too large"));
@@ -91,10 +91,10 @@
         &mut self,
         frame: &Frame,
         statements: &mut Statements,
-        classes: &mut Classes,
+        classes: &mut FactsCache,
     ) -> Result<(), Refusal> {
         let fields = ParseFields::read(frame.body()).ok_or_else(malformed)?;
-        let statement = SessionStatement::new(&fields, classes.of(fields.text));
+        let statement = SessionStatement::new(&fields, classes.facts_of(fields.text));
         self.mention(&statement.facts);
         self.needs_back_end = true;
         self.messages.extend_from_slice(&statement.shared.parse);
--- a/crates/postgres/src/caller.rs
+++ b/crates/postgres/src/client.rs
@@ -5,26 +5,26 @@
 use kestrellock_core::session::SessionBound;
 use kestrellock_core::session_state::ExchangeEnd;
 use kestrellock_peer::message::TransactionState;
-use kestrellock_protocol::caller::{
-    CallerProtocol, InputLimits, Severity, StartupStep, Surroundings,
+use kestrellock_protocol::client::{
+    ClientProtocol, InputLimits, Severity, StartupContext, StartupStep,
 };
-use kestrellock_protocol::classes::Classes;
-use kestrellock_protocol::request::{Next, Timing};
+use kestrellock_protocol::facts_cache::FactsCache;
+use kestrellock_protocol::request::{NextRequest, Timing};
 
 use crate::collector::Collector;
 use crate::startup::{MAX_STARTUP_BYTES, Startup};
-use crate::{answer, ending, frames};
+use crate::{answer, exchange_end, frames};
 
 const SET_REPLY: &[u8] = b"C\0\0\0\x08SET\0";
 
 /// A caller's connection: its start-up, then its requests.
 #[derive(Debug, Default)]
-pub struct PostgresCaller {
+pub struct PostgresClient {
     startup: Startup,
     collector: Collector,
 }
 
-impl CallerProtocol for PostgresCaller {
+impl ClientProtocol for PostgresClient {
     fn limits(&self) -> InputLimits {
         InputLimits { startup: MAX_STARTUP_BYTES, message: frames::MAX_MESSAGE_BYTES }
     }
@@ -33,12 +33,17 @@
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &Surroundings,
+        surroundings: &StartupContext,
     ) -> StartupStep {
         self.startup.advance(input, output, surroundings)
     }
 
-    fn next(&mut self, input: &mut BytesMut, classes: &mut Classes, timing: Timing) -> Next {
+    fn next_request(
+        &mut self,
+        input: &mut BytesMut,
+        classes: &mut FactsCache,
+        timing: Timing,
+    ) -> NextRequest {
         self.collector.next(input, classes, timing)
     }
 
@@ -58,8 +63,8 @@
         output.extend_from_slice(SET_REPLY);
     }
 
-    fn put_farewell(&self, detail: &str, output: &mut BytesMut) {
-        answer::put_farewell(detail, output);
+    fn put_disconnect_notice(&self, detail: &str, output: &mut BytesMut) {
+        answer::put_disconnect_notice(detail, output);
     }
 
     fn put_session_bound(&self, bound: &SessionBound, output: &mut BytesMut) {
@@ -67,7 +72,7 @@
     }
 
     fn exchange_end(&self, answer: &Bytes, transaction: TransactionState) -> ExchangeEnd {
-        ending::exchange_end(answer, transaction)
+        exchange_end::exchange_end(answer, transaction)
     }
 
     fn forget_statements(&mut self) {
--- a/crates/postgres/src/collector.rs
+++ b/crates/postgres/src/collector.rs
@@ -2,8 +2,8 @@
 
 use bytes::{Bytes, BytesMut};
 use kestrellock_core::outcome::{Refusal, ResultCode};
-use kestrellock_protocol::classes::Classes;
-use kestrellock_protocol::request::{Next, Request, Timing};
+use kestrellock_protocol::facts_cache::FactsCache;
+use kestrellock_protocol::request::{NextRequest, Request, Timing};
 
 use crate::batch::Batch;
 use crate::extended;
@@ -28,22 +28,27 @@
     }
 
     /// Takes whole messages off `input` until an exchange is complete.
-    pub fn next(&mut self, input: &mut BytesMut, classes: &mut Classes, timing: Timing) -> Next {
+    pub fn next(
+        &mut self,
+        input: &mut BytesMut,
+        classes: &mut FactsCache,
+        timing: Timing,
+    ) -> NextRequest {
         loop {
             let frame = match frames::next_frame(input) {
                 Ok(Some(frame)) => frame,
-                Ok(None) => return Next::Incomplete,
-                Err(error) => return Next::Broken(bad_length(error)),
+                Ok(None) => return NextRequest::Incomplete,
+                Err(error) => return NextRequest::ProtocolError(bad_length(error)),
             };
             match frame.tag {
-                b'Q' => return Next::Request(simple(frame, classes, timing)),
+                b'Q' => return NextRequest::Request(simple(frame, classes, timing)),
                 extended::SYNC => {
                     return match self.batch.finish(&frame, timing) {
-                        Ok(request) => Next::Request(request),
-                        Err(refusal) => Next::Refused(refusal),
+                        Ok(request) => NextRequest::Request(request),
+                        Err(refusal) => NextRequest::Refused(refusal),
                     };
                 }
-                b'X' => return Next::Terminate,
+                b'X' => return NextRequest::Terminate,
                 _ => self.batch.add(&frame, &mut self.statements, classes),
             }
         }
@@ -59,11 +64,11 @@
     Refusal::new(code, error.to_string())
 }
 
-fn simple(frame: Frame, classes: &mut Classes, timing: Timing) -> Request {
+fn simple(frame: Frame, classes: &mut FactsCache, timing: Timing) -> Request {
     let text = query_text(&frame);
     Request {
         id: None,
-        facts: classes.of(&text),
+        facts: classes.facts_of(&text),
         text: Some(text),
         messages: frame.bytes,
         statements: Vec::new(),
--- a/crates/postgres/src/hygiene.rs
+++ b/crates/postgres/src/connection_state.rs
@@ -8,13 +8,13 @@
 
 /// State of one connection beyond its transaction.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Hygiene {
+pub struct ConnectionState {
     /// Settings in force.
     settings: Vec<SessionSetting>,
     tainted: bool,
 }
 
-impl Hygiene {
+impl ConnectionState {
     /// What must run before a caller with these settings may use the connection, if anything.
     pub fn preparation(&self, wanted: &[SessionSetting]) -> Option<String> {
         if self.settings == wanted {
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -4,12 +4,12 @@
 mod backend;
 mod backend_login;
 pub mod batch;
-mod caller;
+mod client;
 pub mod collector;
-mod ending;
+pub mod connection_state;
+mod exchange_end;
 pub mod extended;
 pub mod frames;
-pub mod hygiene;
 pub mod login;
 pub mod position_query;
 pub mod prepared;
@@ -18,19 +18,19 @@
 pub mod statements;
 
 use kestrellock_protocol::backend::BackendProtocol;
-use kestrellock_protocol::caller::CallerProtocol;
+use kestrellock_protocol::client::ClientProtocol;
 use kestrellock_protocol::{Protocol, ProtocolTraits};
 
 pub use backend::PostgresBackend;
-pub use caller::PostgresCaller;
+pub use client::PostgresClient;
 
 /// PostgreSQL's protocol.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Postgres;
 
 impl Protocol for Postgres {
-    fn caller(&self) -> Box<dyn CallerProtocol> {
-        Box::<PostgresCaller>::default()
+    fn client(&self) -> Box<dyn ClientProtocol> {
+        Box::<PostgresClient>::default()
     }
 
     fn backend(&self) -> Box<dyn BackendProtocol> {
@@ -41,8 +41,8 @@
         ProtocolTraits {
             positions_in_answers: false,
             sessions_resume: true,
-            tells_farewell: true,
-            callers_repeat: false,
+            sends_disconnect_notice: true,
+            clients_retry: false,
         }
     }
 }
--- a/crates/postgres/src/login.rs
+++ b/crates/postgres/src/login.rs
@@ -20,7 +20,7 @@
 
 /// A login that has not been proved.
 #[derive(Debug)]
-pub struct Claim {
+pub struct PendingLogin {
     /// What its proof is checked against.
     pub verifier: Verifier,
     /// What becomes of a proved login. It is told only then, so that a stranger learns nothing.
@@ -45,7 +45,7 @@
 /// Prefixes of the proxy's own parameters and of protocol options.
 const CONSUMED_PREFIXES: &[&str] = &["kestrellock.", "_pq_."];
 
-impl Claim {
+impl PendingLogin {
     /// A claim from the parameters of a start-up message.
     pub fn new(parameters: &Parameters, catalog: &IndexedCatalog) -> Result<Self, Refusal> {
         if catalog.tenants.is_empty() {
--- a/crates/postgres/src/position_query.rs
+++ b/crates/postgres/src/position_query.rs
@@ -35,7 +35,7 @@
     let term = Term::from_log_file_name(timeline)?;
     let flushed = Position { term, offset: flushed.parse::<LogOffset>()? };
     let applied = Position { term, offset: applied.parse::<LogOffset>()? };
-    Ok(Report { role, flushed, applied, held: Term::default() })
+    Ok(Report { role, flushed, applied, min_term: Term::default() })
 }
 
 /// The columns of a `DataRow` body in text format; `None` if one is null or cut short.
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -11,7 +11,7 @@
 use bytes::{Bytes, BytesMut};
 use kestrellock_peer::message::PreparedStatement;
 
-use kestrellock_protocol::backend::Passage;
+use kestrellock_protocol::backend::ReplyAction;
 
 use crate::extended::{self, ParseFields};
 use crate::frames::{self, HEADER_BYTES};
@@ -39,7 +39,7 @@
     order: VecDeque<Bytes>,
     doomed: Vec<Bytes>,
     parses: VecDeque<AwaitedParse>,
-    closes: VecDeque<Passage>,
+    closes: VecDeque<ReplyAction>,
 }
 
 impl PreparedSet {
@@ -81,11 +81,11 @@
             }
         }
         for name in std::mem::take(&mut self.doomed) {
-            self.put_close(&name, Passage::Swallow, output);
+            self.put_close(&name, ReplyAction::Discard, output);
         }
     }
 
-    fn put_close(&mut self, name: &[u8], reply: Passage, output: &mut BytesMut) {
+    fn put_close(&mut self, name: &[u8], reply: ReplyAction, output: &mut BytesMut) {
         extended::put_for_statement(extended::CLOSE, name, output);
         self.closes.push_back(reply);
     }
@@ -108,7 +108,7 @@
         }
         match self.known.get(name) {
             Some(existing) if existing == parse => return false,
-            Some(_) => self.put_close(name, Passage::Swallow, output),
+            Some(_) => self.put_close(name, ReplyAction::Discard, output),
             None => self.order.push_back(name.clone()),
         }
         self.known.insert(name.clone(), parse.clone());
@@ -126,7 +126,7 @@
                 extended::PARSE => self.copy_parse(&message, output),
                 extended::CLOSE => {
                     output.extend_from_slice(&message);
-                    self.closes.push_back(Passage::Pass);
+                    self.closes.push_back(ReplyAction::Forward);
                 }
                 _ => output.extend_from_slice(&message),
             }
@@ -142,24 +142,24 @@
             output.extend_from_slice(message);
             self.parses.push_back(AwaitedParse { name, pass: true });
         } else {
-            let reply = Passage::Replace(Bytes::from_static(PARSE_COMPLETE));
+            let reply = ReplyAction::Replace(Bytes::from_static(PARSE_COMPLETE));
             self.put_close(NO_STATEMENT, reply, output);
         }
     }
 
     /// Says what to do with a message of the answer.
-    pub fn on_reply(&mut self, message: &Bytes) -> Passage {
+    pub fn on_reply(&mut self, message: &Bytes) -> ReplyAction {
         match message[0] {
             b'1' => match self.parses.pop_front() {
-                Some(AwaitedParse { pass: false, .. }) => Passage::Swallow,
-                _ => Passage::Pass,
+                Some(AwaitedParse { pass: false, .. }) => ReplyAction::Discard,
+                _ => ReplyAction::Forward,
             },
-            b'3' => self.closes.pop_front().unwrap_or(Passage::Pass),
+            b'3' => self.closes.pop_front().unwrap_or(ReplyAction::Forward),
             b'E' => {
                 self.on_error(&message[HEADER_BYTES..]);
-                Passage::Pass
+                ReplyAction::Forward
             }
-            _ => Passage::Pass,
+            _ => ReplyAction::Forward,
         }
     }
 
--- a/crates/postgres/src/request_key.rs
+++ b/crates/postgres/src/request_key.rs
@@ -41,7 +41,7 @@
 
 /// The value that `sql` sets the request key to, if it is `SET kestrellock.request_id`; empty to
 /// take it back.
-pub fn setting(sql: &str) -> Option<String> {
+pub fn request_key_setting(sql: &str) -> Option<String> {
     let text = sql.trim().trim_end_matches(';').trim_end();
     let rest = strip_word(text, "SET")?;
     let rest = strip_word(rest, "SESSION").unwrap_or(rest);
@@ -99,7 +99,7 @@
     /// Tell the caller this.
     Refuse(Refusal),
     /// Send [`KeyedRequest::messages`] on a new lease.
-    Again,
+    Retry,
 }
 
 /// One request under a key, from its first attempt to its outcome.
@@ -136,7 +136,7 @@
     }
 
     /// Settles a transaction whose commit is in doubt.
-    pub fn settle(tenant: &TenantName, key: &RequestKey, doubt: Refusal) -> Self {
+    pub fn resolve(tenant: &TenantName, key: &RequestKey, doubt: Refusal) -> Self {
         let phase = Phase::Abandon;
         let doubt = Some(doubt);
         Self { phase, doubt, ..Self::new(tenant, key, "", Scope::Begin) }
@@ -165,7 +165,7 @@
     }
 
     /// Whether parts of the answer must wait for its end.
-    pub fn holds_parts(&self) -> bool {
+    pub fn must_buffer_answer(&self) -> bool {
         self.scope == Scope::Statement
     }
 
@@ -270,7 +270,7 @@
 
     fn go_on(&mut self, phase: Phase) -> Step {
         self.phase = phase;
-        Step::Again
+        Step::Retry
     }
 
     fn on_record(&mut self, answer: &Bytes) -> Step {
@@ -335,7 +335,7 @@
         }
         if (in_doubt || (lost && runs)) && time_left {
             // The unique key makes every step repeatable.
-            return Step::Again;
+            return Step::Retry;
         }
         match &self.doubt {
             Some(doubt) => Step::Refuse(doubt.clone()),
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -13,12 +13,12 @@
     SslNegotiationMetaMessage,
 };
 
-use kestrellock_protocol::caller::{StartupStep, Surroundings};
+use kestrellock_protocol::client::{StartupContext, StartupStep};
 
 use crate::answer;
 use crate::extended::split_string;
 use crate::frames;
-use crate::login::Claim;
+use crate::login::PendingLogin;
 
 /// Largest message before the login is over, in bytes.
 pub const MAX_STARTUP_BYTES: usize = 10_000;
@@ -34,8 +34,8 @@
 #[derive(Debug)]
 enum Phase {
     Negotiating { encryption_requests: u8 },
-    Offered(Box<Claim>),
-    Challenged(Box<Claim>, Box<ServerExchange>),
+    Offered(Box<PendingLogin>),
+    Challenged(Box<PendingLogin>, Box<ServerExchange>),
 }
 
 /// The start-up of one connection.
@@ -56,7 +56,7 @@
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &Surroundings,
+        surroundings: &StartupContext,
     ) -> StartupStep {
         loop {
             let step = match &self.phase {
@@ -76,7 +76,7 @@
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &Surroundings,
+        surroundings: &StartupContext,
     ) -> Result<Option<StartupStep>, Refusal> {
         check_length(input.first_chunk::<LENGTH_BYTES>())?;
         let mut decoding = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
@@ -123,12 +123,12 @@
         &mut self,
         startup: &StartupMessage,
         output: &mut BytesMut,
-        surroundings: &Surroundings,
-    ) -> Result<Claim, Refusal> {
+        surroundings: &StartupContext,
+    ) -> Result<PendingLogin, Refusal> {
         if startup.protocol_number_major != PROTOCOL_MAJOR {
             return Err(violation("protocol version is not 3"));
         }
-        let claim = Claim::new(&startup.parameters, surroundings.catalog)?;
+        let claim = PendingLogin::new(&startup.parameters, surroundings.catalog)?;
         if startup.protocol_number_minor > 0 {
             let newest = i32::from(PROTOCOL_MAJOR) << 16;
             let message = NegotiateProtocolVersion::new(newest, Vec::new());
@@ -143,7 +143,7 @@
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &Surroundings,
+        surroundings: &StartupContext,
     ) -> Result<Option<StartupStep>, Refusal> {
         check_length(input.get(1..).and_then(|rest| rest.first_chunk::<LENGTH_BYTES>()))?;
         let Some(frame) = frames::next_frame(input).map_err(violation)? else {
--- a/crates/postgres/tests/hygiene.rs
+++ b/crates/postgres/tests/connection_state.rs
@@ -1,7 +1,7 @@
 //! What is sent on a shared connection between two callers.
 
 use kestrellock_core::session_state::SessionSetting;
-use kestrellock_postgres::hygiene::Hygiene;
+use kestrellock_postgres::connection_state::ConnectionState;
 
 const A: &str = "SET a.x = '1'";
 const B: &str = "SET a.x = '2'";
@@ -23,7 +23,7 @@
         (A, B, Some(format!("RESET ALL; {B}"))),
     ];
     for (current, wanted, sent) in table {
-        let mut hygiene = Hygiene::default();
+        let mut hygiene = ConnectionState::default();
         hygiene.on_prepared(&settings(current));
         assert_eq!(hygiene.preparation(&settings(wanted)), sent, "from {current:?} to {wanted:?}");
     }
@@ -31,11 +31,11 @@
 
 #[test]
 fn a_reset_connection_has_nothing_left() {
-    let mut hygiene = Hygiene::default();
+    let mut hygiene = ConnectionState::default();
     hygiene.on_prepared(&settings(A));
     hygiene.taint();
     assert!(hygiene.is_tainted());
     hygiene.on_reset();
-    assert_eq!(hygiene, Hygiene::default());
+    assert_eq!(hygiene, ConnectionState::default());
     assert_eq!(hygiene.preparation(&settings(A)), Some(A.to_owned()));
 }
--- a/crates/postgres/tests/prepared.rs
+++ b/crates/postgres/tests/prepared.rs
@@ -9,9 +9,9 @@
 use kestrellock_postgres::extended;
 use kestrellock_postgres::frames;
 use kestrellock_postgres::prepared::{MAX_STATEMENTS, PreparedSet};
-use kestrellock_protocol::backend::Passage;
-use kestrellock_protocol::classes::Classes;
-use kestrellock_protocol::request::{Next, Request, Timing};
+use kestrellock_protocol::backend::ReplyAction;
+use kestrellock_protocol::facts_cache::FactsCache;
+use kestrellock_protocol::request::{NextRequest, Request, Timing};
 
 fn message(tag: u8, parts: &[&[u8]]) -> Vec<u8> {
     let mut output = BytesMut::new();
@@ -43,16 +43,16 @@
     message(b'S', &[])
 }
 
-fn next(collector: &mut Collector, messages: &[Vec<u8>]) -> Next {
+fn next(collector: &mut Collector, messages: &[Vec<u8>]) -> NextRequest {
     let mut input = BytesMut::from(messages.concat().as_slice());
     let now = Instant::now();
     let timing = Timing { arrived: now, deadline: now };
-    collector.next(&mut input, &mut Classes::default(), timing)
+    collector.next(&mut input, &mut FactsCache::default(), timing)
 }
 
 fn request(collector: &mut Collector, messages: &[Vec<u8>]) -> Request {
     match next(collector, messages) {
-        Next::Request(request) => request,
+        NextRequest::Request(request) => request,
         other => panic!("not a request: {other:?}"),
     }
 }
@@ -79,9 +79,9 @@
     for tag in tags.bytes() {
         let bytes = Bytes::from(message(tag, &[]));
         match set.on_reply(&bytes) {
-            Passage::Pass => seen.push(char::from(tag)),
-            Passage::Replace(bytes) => seen.push(char::from(bytes[0])),
-            Passage::Swallow => {}
+            ReplyAction::Forward => seen.push(char::from(tag)),
+            ReplyAction::Replace(bytes) => seen.push(char::from(bytes[0])),
+            ReplyAction::Discard => {}
         }
     }
     seen
@@ -125,7 +125,9 @@
     assert_eq!(set.len(), 1);
 
     let gone = next(&mut caller, &[bind("s0"), execute(), sync()]);
-    assert!(matches!(gone, Next::Refused(refusal) if refusal.code == ResultCode::UnknownStatement));
+    assert!(
+        matches!(gone, NextRequest::Refused(refusal) if refusal.code == ResultCode::UnknownStatement)
+    );
 }
 
 #[test]
@@ -137,7 +139,7 @@
     send(&mut set, &prepare);
     answer(&mut set, "1Z");
     let stolen = next(&mut stranger, &[bind(""), execute(), sync()]);
-    assert!(matches!(stolen, Next::Refused(_)));
+    assert!(matches!(stolen, NextRequest::Refused(_)));
     // The owner's own is made again, whoever used the connection in between.
     let run = request(&mut owner, &[bind(""), execute(), sync()]);
     assert_eq!(send(&mut set, &run), "PBES");
@@ -221,7 +223,10 @@
         messages.push(sync());
         let mut caller = Collector::default();
         let refused = next(&mut caller, &messages);
-        assert!(matches!(&refused, Next::Refused(refusal) if refusal.code == code), "{refused:?}");
+        assert!(
+            matches!(&refused, NextRequest::Refused(refusal) if refusal.code == code),
+            "{refused:?}"
+        );
         let good = request(&mut caller, &[parse("", "SELECT 1"), bind(""), execute(), sync()]);
         assert_eq!(tags(&good.messages), "PBES");
     }
--- a/crates/postgres/tests/request_key.rs
+++ b/crates/postgres/tests/request_key.rs
@@ -5,7 +5,7 @@
 use kestrellock_core::outcome::{Refusal, ResultCode};
 use kestrellock_peer::message::TransactionState::{self, Failed, Idle, Open};
 use kestrellock_postgres::extended;
-use kestrellock_postgres::request_key::{KeyedRequest, Scope, Step, setting};
+use kestrellock_postgres::request_key::{KeyedRequest, Scope, Step, request_key_setting};
 use kestrellock_protocol::request_key::{MAX_KEY_BYTES, RequestKey};
 
 fn message(tag: u8, body: &[u8]) -> Vec<u8> {
@@ -63,7 +63,7 @@
 
 /// Plays an answer to which the request goes on, and returns what it sends next.
 fn go_on(request: &mut KeyedRequest, messages: &[Vec<u8>], state: TransactionState) -> String {
-    assert_eq!(request.on_answer(&answer(messages), state), Step::Again);
+    assert_eq!(request.on_answer(&answer(messages), state), Step::Retry);
     sent(request)
 }
 
@@ -99,7 +99,7 @@
     for refusal in [&lost, &doubt] {
         let mut statement = request(Scope::Statement);
         run_statement(&mut statement, "UPDATE 1");
-        assert_eq!(statement.on_refused(refusal.clone(), true), Step::Again);
+        assert_eq!(statement.on_refused(refusal.clone(), true), Step::Retry);
         assert_eq!(sent(&statement), first);
         assert!(!statement.may_commit());
         let mut late = request(Scope::Statement);
@@ -109,7 +109,7 @@
     // The second attempt is lost too: the first is still in doubt.
     let mut statement = request(Scope::Statement);
     run_statement(&mut statement, "UPDATE 1");
-    assert_eq!(statement.on_refused(doubt.clone(), true), Step::Again);
+    assert_eq!(statement.on_refused(doubt.clone(), true), Step::Retry);
     assert_eq!(statement.on_refused(lost, false), Step::Refuse(doubt));
 }
 
@@ -135,7 +135,7 @@
     let doubt = Refusal::new(ResultCode::SupersededInDoubt, "replaced");
     let mut statement = request(Scope::Statement);
     run_statement(&mut statement, "UPDATE 1");
-    assert_eq!(statement.on_refused(doubt.clone(), true), Step::Again);
+    assert_eq!(statement.on_refused(doubt.clone(), true), Step::Retry);
     assert_eq!(statement.on_answer(&failed, Failed), Step::Refuse(doubt));
     assert_eq!(
         code(request(Scope::Begin).on_answer(&failed, Failed)),
@@ -214,7 +214,7 @@
 fn doubt_is_settled_while_there_is_time() {
     let doubt = Refusal::new(ResultCode::SupersededInDoubt, "replaced");
     let mut statement = request(Scope::Statement);
-    assert_eq!(statement.on_refused(doubt.clone(), true), Step::Again);
+    assert_eq!(statement.on_refused(doubt.clone(), true), Step::Retry);
     let none = Refusal::new(ResultCode::NoPrimary, "none");
     assert_eq!(statement.on_refused(none.clone(), false), Step::Refuse(doubt.clone()));
     // A failure of the second attempt says nothing of the first: the key is closed before.
@@ -230,7 +230,7 @@
 fn a_transaction_in_doubt_is_abandoned_or_found_to_have_run() {
     let key = RequestKey::new("k").expect("a valid key");
     let doubt = Refusal::new(ResultCode::ConnectionLostInDoubt, "lost");
-    let settle = || KeyedRequest::settle(&TenantName::new("fan"), &key, doubt.clone());
+    let settle = || KeyedRequest::resolve(&TenantName::new("fan"), &key, doubt.clone());
     assert!(sent(&settle()).contains("'abandoned'"));
     assert_eq!(
         code(settle().on_answer(&answer(&[done("INSERT 0 1")]), Idle)),
@@ -241,7 +241,7 @@
     go_on(&mut ran, &[error("23505")], Idle);
     let record = answer(&[row(&[&own, "ran"])]);
     assert_eq!(code(ran.on_answer(&record, Idle)), ResultCode::AlreadyRan);
-    assert_eq!(settle().on_refused(doubt.clone(), true), Step::Again);
+    assert_eq!(settle().on_refused(doubt.clone(), true), Step::Retry);
     assert_eq!(settle().on_refused(doubt.clone(), false), Step::Refuse(doubt.clone()));
 }
 
@@ -256,7 +256,7 @@
         ("SET", None),
     ];
     for (sql, expected) in table {
-        assert_eq!(setting(sql).as_deref(), expected, "{sql}");
+        assert_eq!(request_key_setting(sql).as_deref(), expected, "{sql}");
     }
     let longest = "x".repeat(MAX_KEY_BYTES);
     assert!(RequestKey::new(&longest).is_ok());
--- a/crates/program/src/logging.rs
+++ b/crates/program/src/logging.rs
@@ -19,7 +19,7 @@
 use logforth::{Diagnostic, Error, starter_log};
 
 /// Target of lines that tell the ordinary success of a request.
-pub const ORDINARY: &str = "kestrellock::ordinary";
+pub const ROUTINE_TARGET: &str = "kestrellock::ordinary";
 /// Lines that may wait for the writer.
 pub const QUEUE_LINES: usize = 4096;
 /// Longest wait for the writer when the process ends.
@@ -61,13 +61,13 @@
 
 /// An appender that never blocks: it hands lines to a thread.
 #[derive(Debug)]
-pub struct QueuedLines {
+pub struct QueuedAppender {
     layout: Box<dyn Layout>,
     lines: Sender<Vec<u8>>,
     counters: Arc<Counters>,
 }
 
-impl QueuedLines {
+impl QueuedAppender {
     /// Lines in `layout`, written to `output` by a thread of their own.
     pub fn new(
         layout: impl Into<Box<dyn Layout>>,
@@ -118,13 +118,13 @@
     }
 }
 
-impl Append for QueuedLines {
+impl Append for QueuedAppender {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         if let Some(report) = self.report_of_dropped() {
             self.put(report, false);
         }
         let line = self.layout.format(record, diagnostics)?;
-        self.put(line, record.target() == ORDINARY);
+        self.put(line, record.target() == ROUTINE_TARGET);
         Ok(())
     }
 
@@ -153,8 +153,8 @@
 pub fn start(level: LevelFilter, format: LogFormat) {
     let output = std::io::BufWriter::new(std::io::stdout());
     let queued = match format {
-        LogFormat::Text => QueuedLines::new(TextLayout::default(), output),
-        LogFormat::Json => QueuedLines::new(JsonLayout::default(), output),
+        LogFormat::Text => QueuedAppender::new(TextLayout::default(), output),
+        LogFormat::Json => QueuedAppender::new(JsonLayout::default(), output),
     };
     let Ok(queued) = queued else { return };
     let builder = starter_log::builder().dispatch(|dispatch| dispatch.append(queued));
@@ -164,6 +164,6 @@
 }
 
 /// Waits a moment for the lines that are still to be written.
-pub fn finish() {
+pub fn flush() {
     log::logger().flush();
 }
--- a/crates/protocol/src/backend.rs
+++ b/crates/protocol/src/backend.rs
@@ -38,7 +38,7 @@
     /// Term and offset its readers see.
     pub applied: Position,
     /// Term below which it receives nothing, if it has been stopped; zero otherwise.
-    pub held: Term,
+    pub min_term: Term,
 }
 
 /// Why a back end did not do what it was asked, as far as the proxy must tell.
@@ -99,11 +99,11 @@
 
 /// What to do with a message of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Passage {
+pub enum ReplyAction {
     /// Pass it on.
-    Pass,
+    Forward,
     /// It answers something the caller did not send.
-    Swallow,
+    Discard,
     /// Pass this on instead.
     Replace(Bytes),
 }
@@ -140,7 +140,7 @@
     fn put_exchange(&mut self, exchange: &Exchange, output: &mut BytesMut);
 
     /// What becomes of a message of the exchange's answer.
-    fn passage(&mut self, reply: &Reply) -> Passage;
+    fn reply_action(&mut self, reply: &Reply) -> ReplyAction;
 
     /// Appends a question for role and position.
     fn put_position_query(&mut self, output: &mut BytesMut);
--- a/crates/protocol/src/caller.rs
+++ b/crates/protocol/src/client.rs
@@ -11,13 +11,13 @@
 use kestrellock_core::session_state::ExchangeEnd;
 use kestrellock_peer::message::TransactionState;
 
-use crate::classes::Classes;
+use crate::facts_cache::FactsCache;
 use crate::login::Login;
-use crate::request::{Next, Timing};
+use crate::request::{NextRequest, Timing};
 
 /// What a start-up is judged by.
 #[derive(Clone, Copy, Debug)]
-pub struct Surroundings<'a> {
+pub struct StartupContext<'a> {
     /// The node that the caller connected to.
     pub node: &'a NodeName,
     /// The configuration in force.
@@ -56,7 +56,7 @@
 }
 
 /// The translator of one caller's connection.
-pub trait CallerProtocol: Debug + Send {
+pub trait ClientProtocol: Debug + Send {
     /// Bytes to buffer.
     fn limits(&self) -> InputLimits;
 
@@ -65,11 +65,16 @@
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &Surroundings,
+        surroundings: &StartupContext,
     ) -> StartupStep;
 
     /// Takes whole messages off `input` until a request is complete.
-    fn next(&mut self, input: &mut BytesMut, classes: &mut Classes, timing: Timing) -> Next;
+    fn next_request(
+        &mut self,
+        input: &mut BytesMut,
+        classes: &mut FactsCache,
+        timing: Timing,
+    ) -> NextRequest;
 
     /// Whether no part of a request has been taken in.
     fn is_between_requests(&self) -> bool;
@@ -84,7 +89,7 @@
     fn put_setting_done(&self, output: &mut BytesMut);
 
     /// Appends the message that sends an idle caller away, if the protocol has one.
-    fn put_farewell(&self, detail: &str, output: &mut BytesMut);
+    fn put_disconnect_notice(&self, detail: &str, output: &mut BytesMut);
 
     /// Tells the caller the bound that its later sessions may bring along, if the protocol can.
     fn put_session_bound(&self, bound: &SessionBound, output: &mut BytesMut);
--- a/crates/protocol/src/classes.rs
+++ b/crates/protocol/src/facts_cache.rs
@@ -15,14 +15,14 @@
 /// When the newer generation is full it becomes the older one, and what nobody has asked for since
 /// then is forgotten.
 #[derive(Debug, Default)]
-pub struct Classes {
+pub struct FactsCache {
     newer: HashMap<Arc<[u8]>, Arc<TextFacts>>,
     older: HashMap<Arc<[u8]>, Arc<TextFacts>>,
 }
 
-impl Classes {
+impl FactsCache {
     /// The facts of a text, which may not even be UTF-8.
-    pub fn of(&mut self, text: &[u8]) -> Arc<TextFacts> {
+    pub fn facts_of(&mut self, text: &[u8]) -> Arc<TextFacts> {
         if let Some(facts) = self.newer.get(text) {
             return facts.clone();
         }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,14 +1,14 @@
 //! The seam between the proxy and the protocols that callers and back ends speak.
 //!
 //! The proxy works on typed requests ([`request::Request`]) and typed replies
-//! ([`backend::Reply`]). A protocol is two translators: [`caller::CallerProtocol`], one for each
+//! ([`backend::Reply`]). A protocol is two translators: [`client::ClientProtocol`], one for each
 //! caller's connection, turns bytes into requests and the proxy's own answers into bytes;
 //! [`backend::BackendProtocol`], one for each back-end connection, turns exchanges into bytes and
 //! bytes into replies. Neither decides where or whether a request runs.
 
 pub mod backend;
-pub mod caller;
-pub mod classes;
+pub mod client;
+pub mod facts_cache;
 pub mod login;
 pub mod request;
 pub mod request_key;
@@ -16,12 +16,12 @@
 use std::fmt::Debug;
 
 use backend::BackendProtocol;
-use caller::CallerProtocol;
+use client::ClientProtocol;
 
 /// A protocol: makes the translators of new connections.
 pub trait Protocol: Debug + Send + Sync {
     /// The translator of a caller's new connection.
-    fn caller(&self) -> Box<dyn CallerProtocol>;
+    fn client(&self) -> Box<dyn ClientProtocol>;
 
     /// The translator of a new connection to a back end.
     fn backend(&self) -> Box<dyn BackendProtocol>;
@@ -40,7 +40,7 @@
     /// group's position as of its login, since it may have written through another session.
     pub sessions_resume: bool,
     /// A caller that is sent away is told so by a message; otherwise its connection just closes.
-    pub tells_farewell: bool,
+    pub sends_disconnect_notice: bool,
     /// Callers repeat what was refused without having run, as long as their own deadline allows.
-    pub callers_repeat: bool,
+    pub clients_retry: bool,
 }
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -54,7 +54,7 @@
 
 /// What the next messages of a caller are.
 #[derive(Debug)]
-pub enum Next {
+pub enum NextRequest {
     /// Not whole yet.
     Incomplete,
     /// An exchange.
@@ -64,5 +64,5 @@
     /// The caller says goodbye.
     Terminate,
     /// The caller breaks the protocol; it cannot go on.
-    Broken(Refusal),
+    ProtocolError(Refusal),
 }
