--- a/crates/postgres/src/answer.rs
+++ b/crates/postgres/src/answer.rs
@@ -1,4 +1,4 @@
-//! Messages that the proxy itself writes to a caller.
+//! Messages that the proxy itself sends to a client.
 
 use bytes::BytesMut;
 use kestrellock_core::outcome::{Refusal, ResultCode};
@@ -10,10 +10,10 @@
 use pgwire::messages::{Message, PgWireBackendMessage};
 
 /// Appends a message. Encoding into memory fails only for a message larger than the protocol
-/// allows, which none of ours is.
+/// allows; the proxy's own messages are all smaller.
 pub fn put(message: PgWireBackendMessage, output: &mut BytesMut) {
     if let Err(error) = message.encode(output) {
-        log::error!("a message of our own could not be encoded: {error}");
+        log::error!("failed to encode a backend message: {error}");
     }
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Appends an error of the proxy's own.
+/// Appends an error response of the proxy itself.
 pub fn put_refusal(refusal: &Refusal, severity: Severity, output: &mut BytesMut) {
     let severity = severity_text(severity);
     let mut fields = vec![
@@ -39,7 +39,8 @@
     put(PgWireBackendMessage::ErrorResponse(ErrorResponse::new(fields)), output);
 }
 
-/// Appends the message that sends an idle caller away. It answers no statement, and says so.
+/// Appends the error response that announces to an idle client that its connection is closed. It
+/// answers no statement, so its text says `between requests`.
 pub fn put_disconnect_notice(detail: &str, output: &mut BytesMut) {
     let code = ResultCode::Stopping;
     let fields = vec![
@@ -65,11 +66,11 @@
 pub fn put_parameter(name: &str, value: &str, output: &mut BytesMut) {
     let status = ParameterStatus::new(name.to_owned(), value.to_owned());
     if let Err(error) = status.encode(output) {
-        log::error!("parameter {name} could not be encoded: {error}");
+        log::error!("failed to encode parameter {name}: {error}");
     }
 }
 
-/// Appends the session token.
+/// Appends the session token as a parameter status.
 pub fn put_session_token(bound: &SessionBound, output: &mut BytesMut) {
     put_parameter(SESSION_PARAMETER, &bound.to_token(), output);
 }
--- a/crates/postgres/src/backend.rs
+++ b/crates/postgres/src/backend.rs
@@ -1,4 +1,4 @@
-//! A connection to a back end.
+//! The PostgreSQL codec of a connection to an instance.
 
 use std::collections::BTreeMap;
 
@@ -21,16 +21,17 @@
 
 const ROLLBACK: &str = "ROLLBACK";
 const COMMIT_TAG: &[u8] = b"COMMIT";
-/// SQLSTATE with which a back end refuses a connection because it has too many.
+/// SQLSTATE of a connection that an instance refuses because it has too many.
 const TOO_MANY_CONNECTIONS: &[u8] = b"53300";
 /// SQLSTATE of a write that a read-only server refuses.
 const READ_ONLY_TRANSACTION: &[u8] = b"25006";
 
-/// A connection to a back end: what it has prepared and which settings are in force.
+/// Codec of a connection to an instance. Tracks the connection's prepared statements and session
+/// settings.
 #[derive(Debug, Default)]
 pub struct PostgresBackend {
     prepared: PreparedSet,
-    hygiene: ConnectionState,
+    connection_state: ConnectionState,
 }
 
 impl BackendProtocol for PostgresBackend {
@@ -62,7 +63,7 @@
 
     fn put_preparation(&mut self, exchange: &Exchange, output: &mut BytesMut) -> bool {
         let preparation = match exchange.number {
-            0 => self.hygiene.preparation(&exchange.settings),
+            0 => self.connection_state.preparation(&exchange.settings),
             _ => None,
         };
         match preparation {
@@ -73,12 +74,12 @@
     }
 
     fn on_prepared(&mut self, exchange: &Exchange) {
-        self.hygiene.on_prepared(&exchange.settings);
+        self.connection_state.on_prepared(&exchange.settings);
     }
 
     fn put_exchange(&mut self, exchange: &Exchange, output: &mut BytesMut) {
         if exchange.taints {
-            self.hygiene.taint();
+            self.connection_state.taint();
         }
         self.prepared.send(&exchange.statements, &exchange.frames, output);
     }
@@ -100,7 +101,7 @@
     }
 
     fn put_reset(&mut self, output: &mut BytesMut) -> bool {
-        let tainted = self.hygiene.is_tainted();
+        let tainted = self.connection_state.is_tainted();
         if tainted {
             put_query(connection_state::RESET, output);
         }
@@ -108,7 +109,7 @@
     }
 
     fn on_reset(&mut self) {
-        self.hygiene.on_reset();
+        self.connection_state.on_reset();
         self.prepared.clear();
     }
 
@@ -147,7 +148,7 @@
     }
 }
 
-/// The key in the body of a `BackendKeyData`.
+/// Reads the key in the body of a `BackendKeyData`.
 fn cancel_key(body: &[u8]) -> Option<CancelKey> {
     let (process, rest) = body.split_first_chunk::<4>()?;
     let secret = rest.first_chunk::<4>()?;
@@ -156,7 +157,7 @@
 
 fn put(message: &PgWireFrontendMessage, output: &mut BytesMut) {
     if let Err(error) = message.encode(output) {
-        log::error!("a message of our own could not be encoded: {error}");
+        log::error!("failed to encode a frontend message: {error}");
     }
 }
 
--- a/crates/postgres/src/backend_login.rs
+++ b/crates/postgres/src/backend_login.rs
@@ -1,7 +1,7 @@
-//! Logging a gateway in to a back end: without a password, or with one in clear text.
+//! Login of a gateway to an instance: without a password, or with a cleartext password.
 //!
-//! Salted challenges cost a key derivation, which must not run on a shard's loop; a back end that
-//! insists on one is not usable.
+//! Salted challenges such as SCRAM are not supported: they require a key derivation, which must not
+//! run on a shard's event loop. The gateway cannot use an instance that requires one.
 
 use bytes::BytesMut;
 use kestrellock_protocol::backend::BackendTarget;
@@ -12,8 +12,8 @@
 const AUTHENTICATION_OK: u32 = 0;
 const AUTHENTICATION_CLEARTEXT: u32 = 3;
 
-/// The bytes that answer an `Authentication` message's body: none if the login has succeeded.
-/// `None` if the back end asks for something unknown, or for a password that no secret holds.
+/// The answer to the body of an `Authentication` message: empty if the login has succeeded, `None`
+/// if the instance requests an unsupported method, or a password where none is configured.
 pub fn answer(request: &[u8], target: &BackendTarget) -> Option<BytesMut> {
     let code = u32::from_be_bytes(*request.first_chunk::<4>()?);
     match code {
--- a/crates/postgres/src/batch.rs
+++ b/crates/postgres/src/batch.rs
@@ -1,4 +1,10 @@
-//! A caller's extended-query messages up to its `Sync`, rewritten for shared connections.
+//! A batch of a client's extended-query messages up to `Sync`, rewritten for shared server
+//! connections.
+//!
+//! Clients share server connections, so each client statement name is replaced by a name that is
+//! derived from the statement's text and parameter types. The batch also records which statements
+//! must exist on the connection beforehand, what its statements do, and what the proxy would answer
+//! without an instance.
 
 use std::sync::Arc;
 
@@ -15,10 +21,11 @@
 use crate::frames::Frame;
 use crate::statements::{SessionStatement, Statements};
 
-/// Bytes of one batch that a node keeps before it refuses the batch.
+/// Size of the largest batch that a node buffers. A larger batch is refused.
 pub const MAX_BATCH_BYTES: usize = 32 * 1024 * 1024;
-/// Sent in place of a caller's `Close` of a statement: the statement itself is shared.
-const NO_STATEMENT: &[u8] = b"kl_none";
+/// Name of no existing statement. A client's `Close` of a statement is sent with this name, because
+/// other clients may still use the shared statement.
+const UNUSED_STATEMENT: &[u8] = b"kl_none";
 
 const PARSE_COMPLETE: &[u8] = b"1\0\0\0\x04";
 const BIND_COMPLETE: &[u8] = b"2\0\0\0\x04";
@@ -32,32 +39,42 @@
     facts: Arc<TextFacts>,
 }
 
-/// Messages of a batch that has not ended.
+/// A batch whose `Sync` has not arrived yet.
 #[derive(Debug, Default)]
 pub struct Batch {
     messages: BytesMut,
-    needed: Vec<PreparedStatement>,
+    /// Statements that must exist on the connection before the batch is sent.
+    required: Vec<PreparedStatement>,
+    /// Shared names of statements that the batch itself creates.
     created: Vec<String>,
     portals: Vec<Portal>,
+    /// Combined facts of the executed statements.
     executed: Option<Arc<TextFacts>>,
-    mentioned: Option<Arc<TextFacts>>,
+    /// Combined facts of the statements that are prepared, bound or described.
+    referenced: Option<Arc<TextFacts>>,
+    /// Replies as if every executed statement only rolled back.
     replies: BytesMut,
-    needs_back_end: bool,
+    needs_instance: bool,
     refusal: Option<Refusal>,
 }
 
 impl Batch {
-    /// Whether it holds nothing yet.
+    /// Whether no message has been added.
     pub fn is_empty(&self) -> bool {
         self.refusal.is_none() && self.messages.is_empty() && self.replies.is_empty()
     }
 
-    /// Takes in a message other than `Sync`. After an error the rest up to `Sync` is skipped.
-    pub fn add(&mut self, frame: &Frame, statements: &mut Statements, classes: &mut FactsCache) {
+    /// Adds a message other than `Sync`. After an error, messages up to `Sync` are skipped.
+    pub fn add(
+        &mut self,
+        frame: &Frame,
+        statements: &mut Statements,
+        facts_cache: &mut FactsCache,
+    ) {
         if self.refusal.is_some() {
             return;
         }
-        if let Err(refusal) = self.try_add(frame, statements, classes) {
+        if let Err(refusal) = self.try_add(frame, statements, facts_cache) {
             *self = Self { refusal: Some(refusal), ..Self::default() };
         }
     }
@@ -66,13 +83,13 @@
         &mut self,
         frame: &Frame,
         statements: &mut Statements,
-        classes: &mut FactsCache,
+        facts_cache: &mut FactsCache,
     ) -> Result<(), Refusal> {
         if self.messages.len() + frame.bytes.len() > MAX_BATCH_BYTES {
             return Err(Refusal::new(ResultCode::MessageTooLarge, "the batch is too large"));
         }
         match frame.tag {
-            extended::PARSE => self.add_parse(frame, statements, classes),
+            extended::PARSE => self.add_parse(frame, statements, facts_cache),
             extended::BIND => self.add_bind(frame, statements),
             extended::DESCRIBE => self.add_describe(frame, statements),
             extended::EXECUTE => self.add_execute(frame),
@@ -91,12 +108,12 @@
         &mut self,
         frame: &Frame,
         statements: &mut Statements,
-        classes: &mut FactsCache,
+        facts_cache: &mut FactsCache,
     ) -> Result<(), Refusal> {
         let fields = ParseFields::read(frame.body()).ok_or_else(malformed)?;
-        let statement = SessionStatement::new(&fields, classes.facts_of(fields.text));
-        self.mention(&statement.facts);
-        self.needs_back_end = true;
+        let statement = SessionStatement::new(&fields, facts_cache.facts_of(fields.text));
+        self.add_referenced(&statement.facts);
+        self.needs_instance = true;
         self.messages.extend_from_slice(&statement.shared.parse);
         self.created.push(statement.shared.name.clone());
         self.replies.extend_from_slice(PARSE_COMPLETE);
@@ -111,8 +128,8 @@
         let fields = BindFields::read(frame.body()).ok_or_else(malformed)?;
         let statement = find(statements, fields.statement)?;
         self.require(&statement.shared);
-        self.mention(&statement.facts);
-        self.needs_back_end = true;
+        self.add_referenced(&statement.facts);
+        self.needs_instance = true;
         let name = statement.shared.name.as_bytes();
         extended::put_bind(fields.portal, name, fields.values, &mut self.messages);
         self.portals.retain(|portal| portal.name != fields.portal);
@@ -124,7 +141,7 @@
 
     fn add_describe(&mut self, frame: &Frame, statements: &Statements) -> Result<(), Refusal> {
         let object = NamedObject::read(frame.body()).ok_or_else(malformed)?;
-        self.needs_back_end = true;
+        self.needs_instance = true;
         if object.kind != STATEMENT_KIND {
             self.messages.extend_from_slice(&frame.bytes);
             self.replies.extend_from_slice(NO_DATA);
@@ -132,7 +149,7 @@
         }
         let statement = find(statements, object.name)?;
         self.require(&statement.shared);
-        self.mention(&statement.facts);
+        self.add_referenced(&statement.facts);
         let name = statement.shared.name.as_bytes();
         extended::put_for_statement(extended::DESCRIBE, name, &mut self.messages);
         self.replies.extend_from_slice(NO_PARAMETERS);
@@ -142,11 +159,12 @@
 
     fn add_execute(&mut self, frame: &Frame) -> Result<(), Refusal> {
         let (name, _) = extended::split_string(frame.body()).ok_or_else(malformed)?;
-        // A portal of an earlier batch lives on in its transaction; what it does is not known here.
+        // A portal from an earlier batch exists until its transaction ends. Its facts are not
+        // known here.
         let portal = self.portals.iter().find(|portal| portal.name == name);
         let facts = portal.map_or_else(earlier_portal, |portal| portal.facts.clone());
         self.executed = Some(combine(self.executed.take(), &facts));
-        self.needs_back_end = true;
+        self.needs_instance = true;
         self.messages.extend_from_slice(&frame.bytes);
         self.replies.extend_from_slice(ROLLBACK_REPLY);
         Ok(())
@@ -157,27 +175,27 @@
         self.replies.extend_from_slice(CLOSE_COMPLETE);
         if object.kind == STATEMENT_KIND {
             statements.remove(object.name);
-            extended::put_for_statement(extended::CLOSE, NO_STATEMENT, &mut self.messages);
+            extended::put_for_statement(extended::CLOSE, UNUSED_STATEMENT, &mut self.messages);
             return Ok(());
         }
-        self.needs_back_end = true;
+        self.needs_instance = true;
         self.messages.extend_from_slice(&frame.bytes);
         Ok(())
     }
 
-    fn mention(&mut self, facts: &Arc<TextFacts>) {
-        self.mentioned = Some(combine(self.mentioned.take(), facts));
+    fn add_referenced(&mut self, facts: &Arc<TextFacts>) {
+        self.referenced = Some(combine(self.referenced.take(), facts));
     }
 
     fn require(&mut self, statement: &PreparedStatement) {
         let present = self.created.contains(&statement.name)
-            || self.needed.iter().any(|needed| needed.name == statement.name);
+            || self.required.iter().any(|required| required.name == statement.name);
         if !present {
-            self.needed.push(statement.clone());
+            self.required.push(statement.clone());
         }
     }
 
-    /// Ends the batch with the caller's `Sync`: the request to answer by `deadline`.
+    /// Ends the batch with the client's `Sync` and returns it as a request.
     pub fn finish(&mut self, sync: &Frame, timing: Timing) -> Result<Request, Refusal> {
         let mut batch = std::mem::take(self);
         if let Some(refusal) = batch.refusal {
@@ -188,14 +206,14 @@
             id: None,
             text: None,
             messages: batch.messages.freeze(),
-            statements: batch.needed,
+            statements: batch.required,
             executes: batch.executed.is_some(),
             facts: batch
                 .executed
-                .or(batch.mentioned)
+                .or(batch.referenced)
                 .unwrap_or_else(|| Arc::new(TextFacts::nothing())),
             rollback_replies: batch.replies.freeze(),
-            is_local: !batch.needs_back_end,
+            is_local: !batch.needs_instance,
             arrived: timing.arrived,
             deadline: timing.deadline,
             sent: false,
@@ -209,8 +227,9 @@
     earlier
 }
 
-/// Facts of a portal whose statement is not known here. It was bound in the transaction that is
-/// still open, whose connection has been marked for a reset then if need be.
+/// Facts of a portal whose statement is not known here. The portal was bound in the transaction
+/// that is still open. If its statement taints the connection, the connection was marked for a
+/// reset at that time.
 fn earlier_portal() -> Arc<TextFacts> {
     Arc::new(TextFacts::earlier_portal())
 }
--- a/crates/postgres/src/client.rs
+++ b/crates/postgres/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller's connection.
+//! The PostgreSQL codec of a client connection.
 
 use bytes::{Bytes, BytesMut};
 use kestrellock_core::outcome::Refusal;
@@ -17,7 +17,7 @@
 
 const SET_REPLY: &[u8] = b"C\0\0\0\x08SET\0";
 
-/// A caller's connection: its start-up, then its requests.
+/// Codec of a client connection: parses its start-up, then its requests.
 #[derive(Debug, Default)]
 pub struct PostgresClient {
     startup: Startup,
@@ -33,18 +33,18 @@
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &StartupContext,
+        context: &StartupContext,
     ) -> StartupStep {
-        self.startup.advance(input, output, surroundings)
+        self.startup.advance(input, output, context)
     }
 
     fn next_request(
         &mut self,
         input: &mut BytesMut,
-        classes: &mut FactsCache,
+        facts_cache: &mut FactsCache,
         timing: Timing,
     ) -> NextRequest {
-        self.collector.next(input, classes, timing)
+        self.collector.next(input, facts_cache, timing)
     }
 
     fn is_between_requests(&self) -> bool {
--- a/crates/postgres/src/collector.rs
+++ b/crates/postgres/src/collector.rs
@@ -1,4 +1,4 @@
-//! Collects a caller's messages into requests: a simple query, or a batch up to its `Sync`.
+//! Collects a client's messages into requests: a simple query, or a batch up to its `Sync`.
 
 use bytes::{Bytes, BytesMut};
 use kestrellock_core::outcome::{Refusal, ResultCode};
@@ -13,25 +13,25 @@
 /// Answer to a `ROLLBACK`, without `ReadyForQuery`.
 pub(super) const ROLLBACK_REPLY: &[u8] = b"C\0\0\0\x0dROLLBACK\0";
 
-/// Collects caller messages up to one that ends an exchange.
+/// Collects a client's messages up to the one that completes a request.
 #[derive(Debug, Default)]
 pub struct Collector {
     batch: Batch,
-    /// The caller's prepared statements.
+    /// The client's prepared statements.
     pub statements: Statements,
 }
 
 impl Collector {
-    /// Whether no part of an exchange has been collected.
+    /// Whether no part of a request has been collected.
     pub fn is_empty(&self) -> bool {
         self.batch.is_empty()
     }
 
-    /// Takes whole messages off `input` until an exchange is complete.
+    /// Consumes complete messages from `input` until a request is complete.
     pub fn next(
         &mut self,
         input: &mut BytesMut,
-        classes: &mut FactsCache,
+        facts_cache: &mut FactsCache,
         timing: Timing,
     ) -> NextRequest {
         loop {
@@ -41,7 +41,7 @@
                 Err(error) => return NextRequest::ProtocolError(bad_length(error)),
             };
             match frame.tag {
-                b'Q' => return NextRequest::Request(simple(frame, classes, timing)),
+                b'Q' => return NextRequest::Request(simple(frame, facts_cache, timing)),
                 extended::SYNC => {
                     return match self.batch.finish(&frame, timing) {
                         Ok(request) => NextRequest::Request(request),
@@ -49,7 +49,7 @@
                     };
                 }
                 b'X' => return NextRequest::Terminate,
-                _ => self.batch.add(&frame, &mut self.statements, classes),
+                _ => self.batch.add(&frame, &mut self.statements, facts_cache),
             }
         }
     }
@@ -64,11 +64,11 @@
     Refusal::new(code, error.to_string())
 }
 
-fn simple(frame: Frame, classes: &mut FactsCache, timing: Timing) -> Request {
+fn simple(frame: Frame, facts_cache: &mut FactsCache, timing: Timing) -> Request {
     let text = query_text(&frame);
     Request {
         id: None,
-        facts: classes.facts_of(&text),
+        facts: facts_cache.facts_of(&text),
         text: Some(text),
         messages: frame.bytes,
         statements: Vec::new(),
--- a/crates/postgres/src/connection_state.rs
+++ b/crates/postgres/src/connection_state.rs
@@ -1,21 +1,22 @@
-//! What callers have left on a back-end connection, and how it is put right between them.
+//! Session state that clients leave on a shared server connection, and the statements that adjust
+//! or reset it before another client uses the connection.
 
 use kestrellock_core::session_state::SessionSetting;
 
-/// Drops everything that a caller may have left behind, prepared statements among it.
+/// Discards all session state that a client may have left, including prepared statements.
 pub const RESET: &str = "DISCARD ALL";
 const RESET_SETTINGS: &str = "RESET ALL";
 
-/// State of one connection beyond its transaction.
+/// Session state of one server connection that outlives a transaction.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ConnectionState {
-    /// Settings in force.
+    /// Settings that are set on the connection.
     settings: Vec<SessionSetting>,
     tainted: bool,
 }
 
 impl ConnectionState {
-    /// What must run before a caller with these settings may use the connection, if anything.
+    /// SQL that must run before a client with these settings may use the connection, if any.
     pub fn preparation(&self, wanted: &[SessionSetting]) -> Option<String> {
         if self.settings == wanted {
             return None;
@@ -26,22 +27,22 @@
         Some(all.join("; "))
     }
 
-    /// The preparation succeeded.
+    /// Records that the preparation succeeded.
     pub fn on_prepared(&mut self, settings: &[SessionSetting]) {
         self.settings = settings.to_vec();
     }
 
-    /// The caller runs something after which nothing is certain.
+    /// Records that a client runs a statement that may change session state in unknown ways.
     pub fn taint(&mut self) {
         self.tainted = true;
     }
 
-    /// Whether the connection must be reset before another caller uses it.
+    /// Whether the connection must be reset before another client uses it.
     pub fn is_tainted(&self) -> bool {
         self.tainted
     }
 
-    /// [`RESET`] succeeded.
+    /// Records that [`RESET`] succeeded.
     pub fn on_reset(&mut self) {
         *self = Self::default();
     }
--- a/crates/postgres/src/exchange_end.rs
+++ b/crates/postgres/src/exchange_end.rs
@@ -1,4 +1,4 @@
-//! Reads from a back end's answer how an exchange ended.
+//! Determines from an instance's answer how an exchange ended.
 
 use bytes::Bytes;
 use kestrellock_core::session_state::ExchangeEnd;
@@ -10,7 +10,7 @@
 const COMMAND_COMPLETE: u8 = b'C';
 const ROLLBACK_TAG: &[u8] = b"ROLLBACK\0";
 
-/// How the exchange ended whose answer ends with `messages`.
+/// How an exchange ended, read from `messages`, the last part of its answer.
 pub fn exchange_end(messages: &Bytes, transaction: TransactionState) -> ExchangeEnd {
     let in_transaction = transaction != TransactionState::Idle;
     let mut end = ExchangeEnd { failed: false, in_transaction, rolled_back: false };
--- a/crates/postgres/src/extended.rs
+++ b/crates/postgres/src/extended.rs
@@ -23,7 +23,7 @@
 
 const LENGTH_BYTES: usize = 4;
 
-/// Splits a zero-terminated string off the head of `body`; `None` if there is no terminator.
+/// Splits a zero-terminated string off the start of `body`; `None` if there is no terminator.
 pub fn split_string(body: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = body.iter().position(|byte| *byte == 0)?;
     Some((&body[..end], &body[end + 1..]))
@@ -36,7 +36,7 @@
     pub name: &'a [u8],
     /// SQL text.
     pub text: &'a [u8],
-    /// Parameter types as they stand in the message.
+    /// Parameter types in their encoded form.
     pub types: &'a [u8],
 }
 
@@ -49,14 +49,14 @@
     }
 }
 
-/// A `Bind` message's names, and what follows them.
+/// A `Bind` message's names and its remaining fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BindFields<'a> {
     /// Portal to create.
     pub portal: &'a [u8],
-    /// Statement it is made of.
+    /// Statement that the portal executes.
     pub statement: &'a [u8],
-    /// Parameters and formats as they stand in the message.
+    /// Parameters and formats in their encoded form.
     pub values: &'a [u8],
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// What a `Describe` or `Close` message names.
+/// The statement or portal that a `Describe` or `Close` message names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NamedObject<'a> {
     /// `S` for a statement, `P` for a portal.
@@ -113,7 +113,7 @@
     put_message(tag, &[&[STATEMENT_KIND], name, &[0]], output);
 }
 
-/// A `Parse` message of its own allocation, so that it keeps no larger buffer alive.
+/// A `Parse` message in its own allocation, so that it does not keep a larger buffer alive.
 pub fn parse_message(name: &[u8], text: &[u8], types: &[u8]) -> Bytes {
     let mut message = BytesMut::new();
     put_parse(name, text, types, &mut message);
--- a/crates/postgres/src/frames.rs
+++ b/crates/postgres/src/frames.rs
@@ -1,21 +1,21 @@
-//! Finding PostgreSQL messages in a buffer without decoding their bodies.
+//! Splits a buffer into PostgreSQL messages without decoding their bodies.
 
 use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 
-/// Largest message accepted from a caller or back end, in bytes.
+/// Largest message accepted from a client or an instance, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
 const TAG_BYTES: usize = 1;
 const LENGTH_BYTES: usize = 4;
 /// Bytes before the body of a tagged message.
 pub const HEADER_BYTES: usize = TAG_BYTES + LENGTH_BYTES;
 
-/// A length field that cannot be right.
+/// A length field that is out of range.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("message length {0} is out of range")]
 pub struct BadLength(pub i64);
 
-/// One whole tagged message.
+/// One complete tagged message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     /// Type byte.
@@ -31,7 +31,8 @@
     }
 }
 
-/// Tag and whole length of the message at the head of `buffer`, if its header is there.
+/// Tag and total length of the message at the start of `buffer`; `None` while its header is
+/// incomplete.
 pub fn peek(buffer: &[u8]) -> Result<Option<(u8, usize)>, BadLength> {
     let [tag, a, b, c, d, ..] = *buffer else { return Ok(None) };
     let length = i64::from(i32::from_be_bytes([a, b, c, d]));
@@ -41,7 +42,7 @@
     Ok(Some((tag, TAG_BYTES + length as usize)))
 }
 
-/// Takes one whole message off the head of `buffer`; `None` while it is incomplete.
+/// Removes one complete message from the start of `buffer`; `None` while it is incomplete.
 pub fn next_frame(buffer: &mut BytesMut) -> Result<Option<Frame>, BadLength> {
     match peek(buffer)? {
         Some((tag, length)) if buffer.len() >= length => {
--- a/crates/postgres/src/lib.rs
+++ b/crates/postgres/src/lib.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's protocol, version 3, towards callers and back ends.
+//! The PostgreSQL frontend/backend protocol, version 3, for clients and instances.
 
 pub mod answer;
 mod backend;
@@ -24,7 +24,7 @@
 pub use backend::PostgresBackend;
 pub use client::PostgresClient;
 
-/// PostgreSQL's protocol.
+/// The PostgreSQL protocol.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Postgres;
 
--- a/crates/postgres/src/login.rs
+++ b/crates/postgres/src/login.rs
@@ -1,4 +1,5 @@
-//! Who a caller says it is, what it would reach, and what would prove it.
+//! Evaluates a client's start-up parameters: the verifier that its password is checked against, and
+//! the login or refusal that follows a successful proof.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -18,19 +19,21 @@
 
 use crate::request_key::REQUEST_KEY_PARAMETER;
 
-/// A login that has not been proved.
+/// A login whose password has not been verified yet.
 #[derive(Debug)]
 pub struct PendingLogin {
-    /// What its proof is checked against.
+    /// The verifier that the client's proof is checked against.
     pub verifier: Verifier,
-    /// What becomes of a proved login. It is told only then, so that a stranger learns nothing.
+    /// The result once the password is verified. The client learns it only then, so that an
+    /// unauthenticated client learns nothing about tenants and databases.
     pub outcome: Result<Login, Refusal>,
 }
 
 type Parameters = BTreeMap<String, String>;
 
-/// Settings that a caller may bring along and that its later connections must have.
-const REPLAYED: &[&str] = &[
+/// Session settings that a client may set at start-up. Every server connection that runs its
+/// exchanges must have them.
+const SESSION_SETTINGS: &[&str] = &[
     "datestyle",
     "extra_float_digits",
     "idle_in_transaction_session_timeout",
@@ -40,13 +43,15 @@
     "statement_timeout",
     "timezone",
 ];
-/// Parameters that concern the proxy, or only describe the caller.
-const CONSUMED: &[&str] = &["user", "database", "application_name", "fallback_application_name"];
+/// Parameters that only the proxy uses, or that only describe the client.
+const PROXY_PARAMETERS: &[&str] =
+    &["user", "database", "application_name", "fallback_application_name"];
 /// Prefixes of the proxy's own parameters and of protocol options.
-const CONSUMED_PREFIXES: &[&str] = &["kestrellock.", "_pq_."];
+const PROXY_PARAMETER_PREFIXES: &[&str] = &["kestrellock.", "_pq_."];
 
 impl PendingLogin {
-    /// A claim from the parameters of a start-up message.
+    /// Evaluates the parameters of a start-up message. An unknown login gets a mock verifier, so
+    /// that it goes through the same exchange as a known one.
     pub fn new(parameters: &Parameters, catalog: &IndexedCatalog) -> Result<Self, Refusal> {
         if catalog.tenants.is_empty() {
             let detail = "no configuration has arrived yet";
@@ -58,7 +63,7 @@
             .and_then(|(tenant, text)| Some((tenant, text, Verifier::from_str(text).ok()?)));
         let Some((tenant, text, verifier)) = known else {
             let refusal = Refusal::new(ResultCode::LoginRefused, "login or password is wrong");
-            let verifier = Verifier::mock(user, &model(catalog));
+            let verifier = Verifier::mock(user, &mock_template(catalog));
             return Ok(Self { verifier, outcome: Err(refusal) });
         };
         let database = parameters.get("database").map_or(user, String::as_str);
@@ -66,7 +71,7 @@
             Some(tenant) => {
                 let verifier = CredentialDigest::of(text);
                 let credential = Credential::Login { name: user.to_owned(), verifier };
-                admit(tenant, credential, database, parameters, catalog)
+                create_login(tenant, credential, database, parameters, catalog)
             }
             None => Err(Refusal::new(ResultCode::NoConfiguration, "tenant without template")),
         };
@@ -74,16 +79,16 @@
     }
 }
 
-/// A verifier for the mock exchanges of unknown logins to resemble: the first one configured, so
-/// that every node has the same.
-fn model(catalog: &Catalog) -> Verifier {
+/// The verifier whose parameters the mock exchanges of unknown logins imitate: the first configured
+/// one, so that all nodes use the same.
+fn mock_template(catalog: &Catalog) -> Verifier {
     let mut verifiers = catalog.tenants.values().flat_map(|tenant| tenant.logins.values());
-    // Where nobody can log in, nobody needs to be hidden: the cheapest will do.
+    // Without any login there is none to conceal, so the cheapest verifier suffices.
     let cheapest = || Verifier::from_password("", [0; SALT_BYTES], 1);
     verifiers.find_map(|text| text.parse().ok()).unwrap_or_else(cheapest)
 }
 
-fn admit(
+fn create_login(
     tenant: TenantParameters,
     credential: Credential,
     database: &str,
@@ -96,8 +101,8 @@
             Refusal::new(ResultCode::DatabaseNotAllowed, "no such database for this tenant")
         })?
         .clone();
-    let bound = carried_bound(parameters, &group)?;
-    let state = SessionState::with_settings(carried_settings(parameters)?);
+    let bound = session_bound(parameters, &group)?;
+    let state = SessionState::with_settings(startup_settings(parameters)?);
     let key = parameters.get(REQUEST_KEY_PARAMETER).map(|key| RequestKey::new(key));
     let request_key = key.transpose()?;
     let cancel_key = CancelKey { process: 0, secret: 0 };
@@ -114,7 +119,7 @@
     })
 }
 
-fn carried_bound(parameters: &Parameters, group: &GroupName) -> Result<Option<Position>, Refusal> {
+fn session_bound(parameters: &Parameters, group: &GroupName) -> Result<Option<Position>, Refusal> {
     let Some(token) = parameters.get(SESSION_PARAMETER) else { return Ok(None) };
     let refused = |detail: String| Refusal::new(ResultCode::SessionTokenRefused, detail);
     let bound = SessionBound::from_token(token).map_err(|error| refused(error.to_string()))?;
@@ -124,21 +129,21 @@
     Ok(Some(bound.position))
 }
 
-/// Settings among the start-up parameters, with the statements that make them.
-fn carried_settings(parameters: &Parameters) -> Result<Vec<(String, String)>, Refusal> {
+/// Settings among the start-up parameters, with the SQL statements that set them.
+fn startup_settings(parameters: &Parameters) -> Result<Vec<(String, String)>, Refusal> {
     let mut settings = Vec::new();
     for (name, value) in parameters {
         let lower = name.to_lowercase();
         let name = lower.as_str();
-        let consumed = CONSUMED.contains(&name)
-            || CONSUMED_PREFIXES.iter().any(|prefix| name.starts_with(prefix))
+        let consumed = PROXY_PARAMETERS.contains(&name)
+            || PROXY_PARAMETER_PREFIXES.iter().any(|prefix| name.starts_with(prefix))
             || (name == "client_encoding" && is_utf8(value))
             || (name == "options" && value.trim().is_empty())
             || (name == "replication" && matches!(value.as_str(), "false" | "off" | "0"));
         if consumed {
             continue;
         }
-        if !REPLAYED.contains(&name) {
+        if !SESSION_SETTINGS.contains(&name) {
             let detail = format!("start-up parameter {name} is not supported");
             return Err(Refusal::new(ResultCode::NotSupported, detail));
         }
--- a/crates/postgres/src/position_query.rs
+++ b/crates/postgres/src/position_query.rs
@@ -1,11 +1,12 @@
-//! The published PostgreSQL functions that tell an instance's role, term and offsets.
+//! Queries an instance's role, term and log offsets with PostgreSQL's built-in functions.
 
 use kestrellock_core::position::{LogOffset, Position, PositionError, Term};
 use kestrellock_core::routing::Role;
 use kestrellock_protocol::backend::Report;
 use thiserror::Error;
 
-/// Asks role, flushed offset, applied offset and timeline in one row, on a primary or a replica.
+/// Returns role, flushed offset, applied offset and timeline in one row, on a primary or a
+/// replica.
 pub const POSITION_QUERY: &str = "SELECT pg_is_in_recovery(), \
      CASE WHEN pg_is_in_recovery() THEN pg_last_wal_receive_lsn() ELSE pg_current_wal_flush_lsn() END, \
      CASE WHEN pg_is_in_recovery() THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_lsn() END, \
@@ -17,7 +18,7 @@
 /// Why an answer to [`POSITION_QUERY`] is unusable.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ReportError {
-    /// Not one row of four columns, or a null where a value is needed.
+    /// Not a row of four non-null columns.
     #[error("position row is malformed")]
     Row,
     /// A column's text is not a position.
@@ -38,7 +39,7 @@
     Ok(Report { role, flushed, applied, min_term: Term::default() })
 }
 
-/// The columns of a `DataRow` body in text format; `None` if one is null or cut short.
+/// The columns of a `DataRow` body in text format; `None` if one is null or truncated.
 fn text_columns(body: &[u8]) -> Option<Vec<&str>> {
     let (count, mut rest) = body.split_first_chunk::<2>()?;
     if usize::from(u16::from_be_bytes(*count)) != COLUMNS {
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -1,10 +1,12 @@
-//! Prepared statements of one back-end connection.
+//! Prepared statements of one server connection.
 //!
-//! Callers share connections, so a statement that a caller has prepared may be missing on the
-//! connection that runs its next exchange, and one that it prepares anew may exist already.
-//! Before an exchange goes out, missing statements are created in front of it, and a `Parse` of an
-//! existing one is replaced by a `Close` of a name that nobody uses, which changes nothing and is
-//! answered at the same place. The answers are put right on their way back.
+//! Clients share server connections. A statement that a client has prepared may be missing on the
+//! connection that runs its next exchange, and a statement that it prepares may already exist
+//! there. Before an exchange is sent, a `Parse` for each missing statement is put in front of it. A
+//! `Parse` of an existing statement is replaced by a `Close` of an unused name, which has no effect
+//! and is answered at the same position in the answer. The answers are rewritten accordingly:
+//! replies to added messages are dropped, and the reply to a substituted `Close` becomes a
+//! `ParseComplete`.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -16,10 +18,11 @@
 use crate::extended::{self, ParseFields};
 use crate::frames::{self, HEADER_BYTES};
 
-/// Statements kept on one connection; beyond it the one created first is closed.
+/// Maximum number of statements on one connection. Beyond it, the oldest statements are closed
+/// before the next exchange.
 pub const MAX_STATEMENTS: usize = 512;
-/// A name that no statement has: names made by fronts are longer.
-const NO_STATEMENT: &[u8] = b"kl_none";
+/// A name that no statement has, since the statement names that fronts generate are longer.
+const UNUSED_STATEMENT: &[u8] = b"kl_none";
 const PARSE_COMPLETE: &[u8] = b"1\0\0\0\x04";
 /// SQLSTATEs after which the statements of a connection can no longer be trusted:
 /// `feature_not_supported` ("cached plan must not change result type"),
@@ -27,91 +30,101 @@
 const STALE_STATES: [&[u8]; 3] = [b"0A000", b"26000", b"42P05"];
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct AwaitedParse {
+struct PendingParse {
     name: Bytes,
-    pass: bool,
+    forward_reply: bool,
 }
 
-/// Statements that exist on a connection, and the answers awaited for the exchange under way.
+/// Statements that exist on a connection, and the replies expected for the current exchange.
 #[derive(Debug, Default)]
 pub struct PreparedSet {
-    known: HashMap<Bytes, Bytes>,
-    order: VecDeque<Bytes>,
-    doomed: Vec<Bytes>,
-    parses: VecDeque<AwaitedParse>,
-    closes: VecDeque<ReplyAction>,
+    /// `Parse` messages of the existing statements by name.
+    statements: HashMap<Bytes, Bytes>,
+    /// Names of the statements in order of creation.
+    creation_order: VecDeque<Bytes>,
+    /// Names of the statements to close in front of the next exchange.
+    to_close: Vec<Bytes>,
+    pending_parses: VecDeque<PendingParse>,
+    pending_closes: VecDeque<ReplyAction>,
 }
 
 impl PreparedSet {
-    /// Number of statements believed to exist.
+    /// Number of statements that are assumed to exist.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.statements.len()
     }
 
-    /// Whether no statement exists.
+    /// Whether no statement is assumed to exist.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.statements.is_empty()
     }
 
-    /// Forgets everything, because the back end has dropped all its statements.
+    /// Removes all statements, because the instance has dropped them.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 
-    /// Appends an exchange's messages to `output`, adjusted to what the connection has.
-    pub fn send(&mut self, needed: &[PreparedStatement], messages: &Bytes, output: &mut BytesMut) {
-        self.parses.clear();
-        self.closes.clear();
+    /// Appends an exchange's messages to `output`, adjusted to the statements that exist on the
+    /// connection. `required` are the statements that the exchange uses without creating them.
+    pub fn send(
+        &mut self,
+        required: &[PreparedStatement],
+        messages: &Bytes,
+        output: &mut BytesMut,
+    ) {
+        self.pending_parses.clear();
+        self.pending_closes.clear();
         if messages.first() == Some(&b'Q') {
             output.extend_from_slice(messages);
             return;
         }
-        self.close_doomed(output);
-        for statement in needed {
+        self.close_surplus_and_stale(output);
+        for statement in required {
             self.create(statement, output);
         }
         self.copy_messages(messages, output);
     }
 
-    fn close_doomed(&mut self, output: &mut BytesMut) {
-        while self.known.len() > MAX_STATEMENTS {
-            let Some(oldest) = self.order.pop_front() else { break };
-            if self.known.remove(&oldest).is_some() {
-                self.doomed.push(oldest);
+    fn close_surplus_and_stale(&mut self, output: &mut BytesMut) {
+        while self.statements.len() > MAX_STATEMENTS {
+            let Some(oldest) = self.creation_order.pop_front() else { break };
+            if self.statements.remove(&oldest).is_some() {
+                self.to_close.push(oldest);
             }
         }
-        for name in std::mem::take(&mut self.doomed) {
+        for name in std::mem::take(&mut self.to_close) {
             self.put_close(&name, ReplyAction::Discard, output);
         }
     }
 
-    fn put_close(&mut self, name: &[u8], reply: ReplyAction, output: &mut BytesMut) {
+    fn put_close(&mut self, name: &[u8], reply_action: ReplyAction, output: &mut BytesMut) {
         extended::put_for_statement(extended::CLOSE, name, output);
-        self.closes.push_back(reply);
+        self.pending_closes.push_back(reply_action);
     }
 
     /// Creates a statement in front of the exchange unless it exists. The unnamed statement is
-    /// always created: another caller may have replaced it.
+    /// always created, because another client may have replaced it.
     fn create(&mut self, statement: &PreparedStatement, output: &mut BytesMut) {
         let name = Bytes::copy_from_slice(statement.name.as_bytes());
-        if !self.admit(&name, &statement.parse, output) {
+        if !self.record_if_missing(&name, &statement.parse, output) {
             return;
         }
         output.extend_from_slice(&statement.parse);
-        self.parses.push_back(AwaitedParse { name, pass: false });
+        self.pending_parses.push_back(PendingParse { name, forward_reply: false });
     }
 
-    /// Whether `parse` must be sent; records the statement if so.
-    fn admit(&mut self, name: &Bytes, parse: &Bytes, output: &mut BytesMut) -> bool {
+    /// Whether `parse` must be sent. If so, records the statement, and closes an existing statement
+    /// that has the same name but another `Parse`.
+    fn record_if_missing(&mut self, name: &Bytes, parse: &Bytes, output: &mut BytesMut) -> bool {
         if name.is_empty() {
             return true;
         }
-        match self.known.get(name) {
+        match self.statements.get(name) {
             Some(existing) if existing == parse => return false,
             Some(_) => self.put_close(name, ReplyAction::Discard, output),
-            None => self.order.push_back(name.clone()),
+            None => self.creation_order.push_back(name.clone()),
         }
-        self.known.insert(name.clone(), parse.clone());
+        self.statements.insert(name.clone(), parse.clone());
         true
     }
 
@@ -126,7 +139,7 @@
                 extended::PARSE => self.copy_parse(&message, output),
                 extended::CLOSE => {
                     output.extend_from_slice(&message);
-                    self.closes.push_back(ReplyAction::Forward);
+                    self.pending_closes.push_back(ReplyAction::Forward);
                 }
                 _ => output.extend_from_slice(&message),
             }
@@ -137,24 +150,24 @@
     fn copy_parse(&mut self, message: &Bytes, output: &mut BytesMut) {
         let name = ParseFields::read(&message[HEADER_BYTES..])
             .map_or_else(Bytes::new, |fields| Bytes::copy_from_slice(fields.name));
-        // A copy of its own, so that the set keeps no larger buffer alive.
-        if self.admit(&name, &Bytes::copy_from_slice(message), output) {
+        // Copied into its own allocation, so that the set does not keep a larger buffer alive.
+        if self.record_if_missing(&name, &Bytes::copy_from_slice(message), output) {
             output.extend_from_slice(message);
-            self.parses.push_back(AwaitedParse { name, pass: true });
+            self.pending_parses.push_back(PendingParse { name, forward_reply: true });
         } else {
-            let reply = ReplyAction::Replace(Bytes::from_static(PARSE_COMPLETE));
-            self.put_close(NO_STATEMENT, reply, output);
+            let reply_action = ReplyAction::Replace(Bytes::from_static(PARSE_COMPLETE));
+            self.put_close(UNUSED_STATEMENT, reply_action, output);
         }
     }
 
-    /// Says what to do with a message of the answer.
+    /// Returns what to do with a message of the answer.
     pub fn on_reply(&mut self, message: &Bytes) -> ReplyAction {
         match message[0] {
-            b'1' => match self.parses.pop_front() {
-                Some(AwaitedParse { pass: false, .. }) => ReplyAction::Discard,
+            b'1' => match self.pending_parses.pop_front() {
+                Some(PendingParse { forward_reply: false, .. }) => ReplyAction::Discard,
                 _ => ReplyAction::Forward,
             },
-            b'3' => self.closes.pop_front().unwrap_or(ReplyAction::Forward),
+            b'3' => self.pending_closes.pop_front().unwrap_or(ReplyAction::Forward),
             b'E' => {
                 self.on_error(&message[HEADER_BYTES..]);
                 ReplyAction::Forward
@@ -163,17 +176,18 @@
         }
     }
 
-    /// The back end skips the rest of the exchange: what it has not created does not exist.
+    /// Removes the statements whose `Parse` was not answered: after an error the instance skips the
+    /// rest of the exchange. Closes all statements later if the error shows that they are stale.
     fn on_error(&mut self, body: &[u8]) {
-        for AwaitedParse { name, .. } in self.parses.drain(..) {
-            self.known.remove(&name);
-            self.order.retain(|known| *known != name);
+        for PendingParse { name, .. } in self.pending_parses.drain(..) {
+            self.statements.remove(&name);
+            self.creation_order.retain(|existing| *existing != name);
         }
-        self.closes.clear();
+        self.pending_closes.clear();
         let stale = sqlstate(body).is_some_and(|state| STALE_STATES.contains(&state));
         if stale {
-            self.order.clear();
-            self.doomed.extend(self.known.drain().map(|(name, _)| name));
+            self.creation_order.clear();
+            self.to_close.extend(self.statements.drain().map(|(name, _)| name));
         }
     }
 }
--- a/crates/postgres/src/startup.rs
+++ b/crates/postgres/src/startup.rs
@@ -1,4 +1,5 @@
-//! A caller's start-up: negotiation, proof of its login, and the first messages it gets.
+//! A client's start-up: encryption negotiation, SCRAM authentication, and the first messages that
+//! the proxy sends.
 
 use bytes::BytesMut;
 use kestrellock_core::cancel::CancelKey;
@@ -20,11 +21,11 @@
 use crate::frames;
 use crate::login::PendingLogin;
 
-/// Largest message before the login is over, in bytes.
+/// Largest message before the login is complete, in bytes.
 pub const MAX_STARTUP_BYTES: usize = 10_000;
-/// Answer to a request for TLS or GSS encryption: none on this connection.
+/// Answer to a request for TLS or GSS encryption: not supported on this connection.
 const ENCRYPTION_REFUSED: &[u8] = b"N";
-/// A caller may ask for TLS and for GSS encryption, once each.
+/// A client may request TLS and GSS encryption, once each.
 const MAX_ENCRYPTION_REQUESTS: u8 = 2;
 const SERVER_VERSION: &str = "16.0 (kestrellock)";
 const PROTOCOL_MAJOR: u16 = 3;
@@ -33,8 +34,12 @@
 
 #[derive(Debug)]
 enum Phase {
-    Negotiating { encryption_requests: u8 },
+    Negotiating {
+        encryption_requests: u8,
+    },
+    /// The SASL mechanism is offered; the client's first message is expected.
     Offered(Box<PendingLogin>),
+    /// The challenge is sent; the client's proof is expected.
     Challenged(Box<PendingLogin>, Box<ServerExchange>),
 }
 
@@ -51,17 +56,17 @@
 }
 
 impl Startup {
-    /// Handles start-up messages in `input`, writing answers to `output`.
+    /// Processes start-up messages from `input` and writes answers to `output`.
     pub fn advance(
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &StartupContext,
+        context: &StartupContext,
     ) -> StartupStep {
         loop {
             let step = match &self.phase {
-                Phase::Negotiating { .. } => self.negotiate(input, output, surroundings),
-                _ => self.authenticate(input, output, surroundings),
+                Phase::Negotiating { .. } => self.negotiate(input, output, context),
+                _ => self.authenticate(input, output, context),
             };
             match step {
                 Ok(Some(step)) => return step,
@@ -71,12 +76,12 @@
         }
     }
 
-    /// One step; `None` to go on with the next message.
+    /// Processes one message; `None` to continue with the next one.
     fn negotiate(
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &StartupContext,
+        context: &StartupContext,
     ) -> Result<Option<StartupStep>, Refusal> {
         check_length(input.first_chunk::<LENGTH_BYTES>())?;
         let mut decoding = DecodeContext::new(ProtocolVersion::PROTOCOL3_0);
@@ -101,8 +106,7 @@
                 Ok(Some(StartupStep::Cancel(key)))
             }
             Some(PgWireFrontendMessage::Startup(startup)) => {
-                self.phase =
-                    Phase::Offered(Box::new(self.offer(&startup, output, surroundings)?));
+                self.phase = Phase::Offered(Box::new(self.offer(&startup, output, context)?));
                 Ok(None)
             }
             Some(_) => Err(violation("unexpected start-up message")),
@@ -123,12 +127,12 @@
         &mut self,
         startup: &StartupMessage,
         output: &mut BytesMut,
-        surroundings: &StartupContext,
+        context: &StartupContext,
     ) -> Result<PendingLogin, Refusal> {
         if startup.protocol_number_major != PROTOCOL_MAJOR {
             return Err(violation("protocol version is not 3"));
         }
-        let claim = PendingLogin::new(&startup.parameters, surroundings.catalog)?;
+        let pending = PendingLogin::new(&startup.parameters, context.catalog)?;
         if startup.protocol_number_minor > 0 {
             let newest = i32::from(PROTOCOL_MAJOR) << 16;
             let message = NegotiateProtocolVersion::new(newest, Vec::new());
@@ -136,14 +140,14 @@
         }
         let offer = Authentication::SASL(vec![MECHANISM.to_owned()]);
         answer::put(PgWireBackendMessage::Authentication(offer), output);
-        Ok(claim)
+        Ok(pending)
     }
 
     fn authenticate(
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &StartupContext,
+        context: &StartupContext,
     ) -> Result<Option<StartupStep>, Refusal> {
         check_length(input.get(1..).and_then(|rest| rest.first_chunk::<LENGTH_BYTES>()))?;
         let Some(frame) = frames::next_frame(input).map_err(violation)? else {
@@ -156,23 +160,24 @@
             std::mem::replace(&mut self.phase, Phase::Negotiating { encryption_requests: 0 });
         match phase {
             Phase::Negotiating { .. } => Err(violation("no login is under way")),
-            Phase::Offered(claim) => {
+            Phase::Offered(pending) => {
                 let first = initial_response(frame.body())?;
-                let exchange = ServerExchange::begin(first, claim.verifier.clone(), rand::random())
-                    .map_err(violation)?;
+                let exchange =
+                    ServerExchange::begin(first, pending.verifier.clone(), rand::random())
+                        .map_err(violation)?;
                 let challenge = exchange.server_first.clone().into_bytes().into();
                 let message = Authentication::SASLContinue(challenge);
                 answer::put(PgWireBackendMessage::Authentication(message), output);
-                self.phase = Phase::Challenged(claim, Box::new(exchange));
+                self.phase = Phase::Challenged(pending, Box::new(exchange));
                 Ok(None)
             }
-            Phase::Challenged(claim, exchange) => {
+            Phase::Challenged(pending, exchange) => {
                 let last = std::str::from_utf8(frame.body()).map_err(violation)?;
                 let proof = exchange.finish(last).map_err(|_| wrong_proof())?;
-                let mut login = claim.outcome?;
+                let mut login = pending.outcome?;
                 let message = Authentication::SASLFinal(proof.into_bytes().into());
                 answer::put(PgWireBackendMessage::Authentication(message), output);
-                login.cancel_key = CancelKey::new(surroundings.node, rand::random());
+                login.cancel_key = CancelKey::new(context.node, rand::random());
                 welcome(login.cancel_key, output);
                 Ok(Some(StartupStep::LoggedIn(Box::new(login))))
             }
@@ -184,7 +189,8 @@
     Refusal::new(ResultCode::ProtocolViolation, detail.to_string())
 }
 
-/// The same for an unknown login and for a wrong password.
+/// The refusal of a wrong password. It equals that of an unknown login, so that the two cannot be
+/// distinguished.
 fn wrong_proof() -> Refusal {
     Refusal::new(ResultCode::LoginRefused, "login or password is wrong")
 }
--- a/crates/postgres/src/statements.rs
+++ b/crates/postgres/src/statements.rs
@@ -1,4 +1,4 @@
-//! Prepared statements as one caller names them.
+//! A client's prepared statements under the names that the client gave them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,21 +10,21 @@
 
 use crate::extended::{self, ParseFields};
 
-/// Statements one caller may keep prepared at once.
+/// Maximum number of prepared statements of one client.
 pub const MAX_STATEMENTS: usize = 2048;
 
-/// A statement that a caller has prepared.
+/// A statement that a client has prepared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionStatement {
-    /// Name and `Parse` message under which back ends know it.
+    /// Name and `Parse` message that server connections use for it.
     pub shared: PreparedStatement,
-    /// What its text does.
+    /// Facts of its text.
     pub facts: Arc<TextFacts>,
 }
 
 impl SessionStatement {
-    /// A statement from a caller's `Parse`. The unnamed statement stays unnamed; another one gets a
-    /// name that follows from text and parameter types, so that callers share it.
+    /// Creates a statement from a client's `Parse`. The unnamed statement stays unnamed. Any other
+    /// statement gets a name derived from its text and parameter types, so that clients share it.
     pub fn new(fields: &ParseFields, facts: Arc<TextFacts>) -> Self {
         let name = if fields.name.is_empty() { String::new() } else { shared_name(fields) };
         let parse = extended::parse_message(name.as_bytes(), fields.text, fields.types);
@@ -40,19 +40,19 @@
     format!("kl_{:032x}", hasher.digest128())
 }
 
-/// One caller's prepared statements by the names it gave them.
+/// One client's prepared statements by the client's names.
 #[derive(Debug, Default)]
 pub struct Statements {
     by_name: HashMap<Bytes, SessionStatement>,
 }
 
 impl Statements {
-    /// The statement of that name.
+    /// The statement with that name.
     pub fn get(&self, name: &[u8]) -> Option<&SessionStatement> {
         self.by_name.get(name)
     }
 
-    /// Records a statement; false if the caller keeps too many.
+    /// Adds or replaces a statement; false if the client already has [`MAX_STATEMENTS`].
     pub fn insert(&mut self, name: &[u8], statement: SessionStatement) -> bool {
         if let Some(existing) = self.by_name.get_mut(name) {
             *existing = statement;
@@ -65,12 +65,12 @@
         true
     }
 
-    /// Forgets a statement.
+    /// Removes the statement with that name, if any.
     pub fn remove(&mut self, name: &[u8]) {
         self.by_name.remove(name);
     }
 
-    /// Forgets every statement.
+    /// Removes all statements and frees their memory.
     pub fn clear(&mut self) {
         self.by_name = HashMap::new();
     }
--- a/crates/protocol/src/backend.rs
+++ b/crates/protocol/src/backend.rs
@@ -1,4 +1,4 @@
-//! The translator of one connection to a back end.
+//! The codec of one connection to an instance.
 
 use std::fmt::Debug;
 
@@ -11,7 +11,7 @@
 use kestrellock_program::secret::Secret;
 use thiserror::Error;
 
-/// What a connection is opened to.
+/// The instance, database and role that a connection is opened for.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendTarget<'a> {
     /// Group of the instance.
@@ -20,105 +20,106 @@
     pub instance: &'a InstanceName,
     /// Database name on the instance.
     pub database: &'a str,
-    /// Account whose exchanges the connection carries; `None`: those of nobody in particular.
+    /// Account whose exchanges the connection carries; `None` if it belongs to no account.
     pub account: Option<&'a AccountName>,
     /// Role to log in as.
     pub user: &'a str,
-    /// The role's password, if a secret holds one.
+    /// The role's password, if one is configured.
     pub password: Option<&'a Secret>,
 }
 
-/// What an instance said of itself.
+/// Role and positions that an instance reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     /// Its role.
     pub role: Role,
-    /// Term and offset flushed to its log.
+    /// Term and log offset up to which it has flushed.
     pub flushed: Position,
-    /// Term and offset its readers see.
+    /// Term and log offset up to which its data is visible to reads.
     pub applied: Position,
-    /// Term below which it receives nothing, if it has been stopped; zero otherwise.
+    /// Lowest term from which it accepts replication, if it has been stopped; zero otherwise.
     pub min_term: Term,
 }
 
-/// Why a back end did not do what it was asked, as far as the proxy must tell.
+/// Why an instance failed a request, as far as the proxy must distinguish the reasons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Failure {
-    /// It only reads, and was asked to write. It has not run.
+    /// The instance is read-only and the request writes. The request has not run.
     ReadOnly,
-    /// It accepts no further connection now.
+    /// The instance accepts no further connection now.
     TooManyConnections,
-    /// It has no room for another statement now. It has not run.
+    /// The instance has no capacity for another statement now. The request has not run.
     Busy,
-    /// Its data has not reached the position that was asked for. It has not run.
+    /// The instance's data has not reached the required position. The request has not run.
     Behind,
-    /// It is not the instance that was asked for. It has not run.
+    /// The connection leads to another instance than intended. The request has not run.
     WrongInstance,
-    /// It does not have a prepared statement that the connection was believed to have. It has not
-    /// run.
+    /// The connection lacks a prepared statement that the proxy expected on it. The request has
+    /// not run.
     UnknownStatement,
-    /// Anything else: the caller's own affair.
+    /// Any other error. Only the client acts on it.
     Other,
 }
 
-/// What a message of a back end means.
+/// The meaning of a message from an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplyKind {
     /// Part of an answer.
     Row,
-    /// A statement has run; `commits`: it was an explicit commit.
+    /// A statement has run.
     Completed {
         /// Whether it was an explicit commit.
         commits: bool,
     },
     /// A statement has failed.
     Failed(Failure),
-    /// The answer, or the start-up, is over.
+    /// The answer, or the start-up, is complete.
     Ready {
         /// State of the transaction.
         transaction: TransactionState,
-        /// Position of the instance's log, where answers tell it.
+        /// Position of the instance's log, if the protocol includes it in answers.
         position: Option<Position>,
     },
-    /// The back end asks for proof of the login, or grants it.
+    /// The instance requests authentication, or reports that it succeeded.
     Challenge,
-    /// Key that cancels what runs on the connection.
+    /// Key that cancels the statement that runs on the connection.
     CancelKey(CancelKey),
-    /// Nothing that the proxy acts on.
+    /// A message that the proxy does not act on.
     Other,
 }
 
-/// One whole message of a back end.
+/// One whole message from an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// What it means.
+    /// Its meaning.
     pub kind: ReplyKind,
-    /// The message as it came.
+    /// The message as received.
     pub bytes: Bytes,
 }
 
 /// What to do with a message of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplyAction {
-    /// Pass it on.
+    /// Forward it to the client.
     Forward,
-    /// It answers something the caller did not send.
+    /// Drop it: it answers a message that the client did not send.
     Discard,
-    /// Pass this on instead.
+    /// Forward this message instead.
     Replace(Bytes),
 }
 
-/// Bytes of a back end that follow no protocol.
+/// Bytes from an instance that violate the protocol.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("the back end broke the protocol: {0}")]
 pub struct BadReply(pub String);
 
-/// The translator of one connection to a back end.
+/// The codec of one connection to an instance.
 pub trait BackendProtocol: Debug + Send {
-    /// Appends what opens a session.
+    /// Appends the messages that open a session.
     fn put_startup(&mut self, target: &BackendTarget, output: &mut BytesMut);
 
-    /// Answers a [`ReplyKind::Challenge`]; false where no answer is known.
+    /// Answers a [`ReplyKind::Challenge`]; false if the requested authentication is not supported
+    /// or cannot be answered.
     fn answer_challenge(
         &mut self,
         challenge: &Reply,
@@ -126,38 +127,38 @@
         output: &mut BytesMut,
     ) -> bool;
 
-    /// Takes one whole message off `input`; `None` while it is incomplete.
+    /// Consumes one whole message from `input`; `None` while it is incomplete.
     fn next_reply(&mut self, input: &mut BytesMut) -> Result<Option<Reply>, BadReply>;
 
-    /// Appends what must be answered before a lease's first exchange may go out, such as the
-    /// caller's settings; false if nothing must.
+    /// Appends statements that must succeed before the first exchange of a server lease is sent,
+    /// such as the client's settings; false if there are none.
     fn put_preparation(&mut self, exchange: &Exchange, output: &mut BytesMut) -> bool;
 
-    /// The preparation for `exchange` succeeded.
+    /// Records that the preparation for `exchange` succeeded.
     fn on_prepared(&mut self, exchange: &Exchange);
 
-    /// Appends an exchange, adjusted to what the connection has.
+    /// Appends an exchange, adjusted to the statements that exist on the connection.
     fn put_exchange(&mut self, exchange: &Exchange, output: &mut BytesMut);
 
-    /// What becomes of a message of the exchange's answer.
+    /// What to do with a message of the exchange's answer.
     fn reply_action(&mut self, reply: &Reply) -> ReplyAction;
 
-    /// Appends a question for role and position.
+    /// Appends a query for the instance's role and position.
     fn put_position_query(&mut self, output: &mut BytesMut);
 
-    /// What a row that answers the question says.
+    /// Parses a row that answers the position query; `None` if it is malformed.
     fn report(&self, row: &Reply) -> Option<Report>;
 
-    /// Appends what rolls an open transaction back.
+    /// Appends a statement that rolls an open transaction back.
     fn put_rollback(&mut self, output: &mut BytesMut);
 
-    /// Appends what removes everything that the last caller may have left behind; false if nothing
-    /// has to be removed before another caller uses the connection.
+    /// Appends a statement that removes all session state that the last client may have left on
+    /// the connection; false if no reset is needed before another client uses it.
     fn put_reset(&mut self, output: &mut BytesMut) -> bool;
 
-    /// The reset succeeded.
+    /// Records that the reset succeeded.
     fn on_reset(&mut self);
 
-    /// Appends a request to cancel what runs on the connection with this key.
+    /// Appends a request to cancel the statement that runs on the connection with this key.
     fn put_cancel(&mut self, key: CancelKey, output: &mut BytesMut);
 }
--- a/crates/protocol/src/client.rs
+++ b/crates/protocol/src/client.rs
@@ -1,4 +1,4 @@
-//! The translator of one caller's connection.
+//! The codec of one client connection.
 
 use std::fmt::Debug;
 
@@ -15,25 +15,25 @@
 use crate::login::Login;
 use crate::request::{NextRequest, Timing};
 
-/// What a start-up is judged by.
+/// What a client's start-up is checked against.
 #[derive(Clone, Copy, Debug)]
 pub struct StartupContext<'a> {
-    /// The node that the caller connected to.
+    /// The node that the client connected to.
     pub node: &'a NodeName,
-    /// The configuration in force.
+    /// The active configuration.
     pub catalog: &'a IndexedCatalog,
 }
 
-/// What the next start-up bytes led to.
+/// The result of processing start-up bytes.
 #[derive(Debug)]
 pub enum StartupStep {
     /// More bytes are needed.
     Incomplete,
-    /// The caller is in.
+    /// The client is logged in.
     LoggedIn(Box<Login>),
-    /// The caller wants another session's statement cancelled, and nothing else.
+    /// The connection only carries a request to cancel another session's statement.
     Cancel(CancelKey),
-    /// The caller is refused and the connection to be closed.
+    /// The client is refused, and the connection must be closed.
     Refused(Refusal),
 }
 
@@ -46,57 +46,60 @@
     Session,
 }
 
-/// Bytes that a connection may hold unread.
+/// Limits on the unread bytes that a connection may buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InputLimits {
-    /// Before the start-up is over.
+    /// Bytes to buffer until the start-up is complete.
     pub startup: usize,
-    /// Largest message afterwards.
+    /// Size of the largest message after the start-up, in bytes.
     pub message: usize,
 }
 
-/// The translator of one caller's connection.
+/// The codec of one client connection.
 pub trait ClientProtocol: Debug + Send {
-    /// Bytes to buffer.
+    /// Limits on the input to buffer.
     fn limits(&self) -> InputLimits;
 
-    /// Handles start-up messages in `input`, writing answers to `output`.
+    /// Processes start-up messages from `input` and writes answers to `output`.
     fn startup(
         &mut self,
         input: &mut BytesMut,
         output: &mut BytesMut,
-        surroundings: &StartupContext,
+        context: &StartupContext,
     ) -> StartupStep;
 
-    /// Takes whole messages off `input` until a request is complete.
+    /// Consumes whole messages from `input` until a request is complete.
     fn next_request(
         &mut self,
         input: &mut BytesMut,
-        classes: &mut FactsCache,
+        facts_cache: &mut FactsCache,
         timing: Timing,
     ) -> NextRequest;
 
-    /// Whether no part of a request has been taken in.
+    /// Whether no part of a request has been consumed.
     fn is_between_requests(&self) -> bool;
 
-    /// Appends an error of the proxy's own.
+    /// Appends an error response of the proxy itself.
     fn put_refusal(&self, refusal: &Refusal, severity: Severity, output: &mut BytesMut);
 
-    /// Appends the message that ends an answer and tells the transaction's state.
+    /// Appends the message that ends an answer and carries the transaction's state.
     fn put_ready(&self, state: TransactionState, output: &mut BytesMut);
 
-    /// Appends the answer to a setting that concerns the proxy alone, without the end.
+    /// Appends the answer to a setting that only the proxy handles, without the message that ends
+    /// the answer.
     fn put_setting_done(&self, output: &mut BytesMut);
 
-    /// Appends the message that sends an idle caller away, if the protocol has one.
+    /// Appends the message that announces to an idle client that its connection is closed, if the
+    /// protocol has one.
     fn put_disconnect_notice(&self, detail: &str, output: &mut BytesMut);
 
-    /// Tells the caller the bound that its later sessions may bring along, if the protocol can.
+    /// Appends the session bound that the client may present in later sessions, if the protocol
+    /// can carry it.
     fn put_session_bound(&self, bound: &SessionBound, output: &mut BytesMut);
 
-    /// How an exchange ended whose answer ends with `answer`.
+    /// How an exchange ended, read from `answer`, the last part of its answer.
     fn exchange_end(&self, answer: &Bytes, transaction: TransactionState) -> ExchangeEnd;
 
-    /// The session has discarded its prepared statements.
+    /// Removes all prepared statements, because the session has discarded them.
     fn forget_statements(&mut self);
 }
--- a/crates/protocol/src/facts_cache.rs
+++ b/crates/protocol/src/facts_cache.rs
@@ -1,19 +1,20 @@
-//! What is known of SQL texts, so that a text that comes again is not parsed again.
+//! A cache of classified SQL texts, so that a repeated text is not parsed again.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use kestrellock_core::classify::{TextFacts, classify};
 
-/// Texts kept in one generation; at most two generations are kept.
+/// Maximum number of texts in one generation. The cache keeps at most two generations.
 const GENERATION_TEXTS: usize = 2048;
-/// Longer texts are classified each time, so that the cache's memory is bounded.
-const MAX_TEXT_BYTES: usize = 2048;
+/// Longest cached text. Longer texts are classified each time, which bounds the cache's memory.
+const MAX_CACHED_TEXT_BYTES: usize = 2048;
 
-/// Facts of the texts that one shard has seen lately.
+/// Facts of the SQL texts that one shard has seen recently.
 ///
-/// When the newer generation is full it becomes the older one, and what nobody has asked for since
-/// then is forgotten.
+/// The cache evicts by generation: when the newer generation is full, it becomes the older one,
+/// and the texts that were still in the older one are dropped. A lookup moves a text from the
+/// older generation to the newer one.
 #[derive(Debug, Default)]
 pub struct FactsCache {
     newer: HashMap<Arc<[u8]>, Arc<TextFacts>>,
@@ -21,7 +22,8 @@
 }
 
 impl FactsCache {
-    /// The facts of a text, which may not even be UTF-8.
+    /// The facts of a text, from the cache or by classifying it. A text that is not UTF-8 has
+    /// unknown facts.
     pub fn facts_of(&mut self, text: &[u8]) -> Arc<TextFacts> {
         if let Some(facts) = self.newer.get(text) {
             return facts.clone();
@@ -32,7 +34,7 @@
                 let facts =
                     std::str::from_utf8(text).map_or_else(|_| TextFacts::unknown(), classify);
                 let facts = Arc::new(facts);
-                if text.len() > MAX_TEXT_BYTES {
+                if text.len() > MAX_CACHED_TEXT_BYTES {
                     return facts;
                 }
                 (Arc::from(text), facts)
@@ -45,12 +47,12 @@
         facts
     }
 
-    /// Number of texts kept.
+    /// Number of cached texts.
     pub fn len(&self) -> usize {
         self.newer.len() + self.older.len()
     }
 
-    /// Whether no text is kept.
+    /// Whether no text is cached.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/protocol/src/login.rs
+++ b/crates/protocol/src/login.rs
@@ -1,4 +1,4 @@
-//! Who a caller is and what it reaches.
+//! The identity of a logged-in client and the database group that it is connected to.
 
 use kestrellock_core::cancel::CancelKey;
 use kestrellock_core::catalog::TenantParameters;
@@ -9,23 +9,23 @@
 
 use crate::request_key::RequestKey;
 
-/// Who a caller is and what it reaches.
+/// A client's identity, its database group and the session state that it presented at login.
 #[derive(Clone, Debug)]
 pub struct Login {
-    /// The tenant and its parameters when the caller logged in, or when its last transaction began.
+    /// The tenant and its parameters, as of the login or the start of the last transaction.
     pub parameters: TenantParameters,
-    /// What it showed.
+    /// The credential that the client presented.
     pub credential: Credential,
-    /// Database that it named.
+    /// The database that the client named.
     pub database: String,
-    /// Group it reaches.
+    /// The group that holds this database.
     pub group: GroupName,
-    /// Bound it brought with it.
+    /// Session bound that the client presented.
     pub bound: Option<Position>,
-    /// Key that it brought for its first write or transaction.
+    /// Request key that the client presented for its first write or transaction.
     pub request_key: Option<RequestKey>,
-    /// Settings it brought with it.
+    /// Settings that the client presented.
     pub state: SessionState,
-    /// Key that cancels what it runs.
+    /// Key that cancels the session's statements.
     pub cancel_key: CancelKey,
 }
--- a/crates/protocol/src/request.rs
+++ b/crates/protocol/src/request.rs
@@ -1,4 +1,4 @@
-//! What a caller has asked for: one exchange, ready to go out or on its way.
+//! A client's request: one exchange, waiting to be sent or in progress.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -8,61 +8,63 @@
 use kestrellock_core::outcome::Refusal;
 use kestrellock_peer::message::PreparedStatement;
 
-/// When a request arrived and when it must have been answered.
+/// Arrival time and deadline of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// When it was taken up: no earlier than its first byte arrived.
+    /// When the front started to read it: no earlier than its first byte arrived.
     pub arrived: Instant,
-    /// Latest time to answer it.
+    /// Time by which it must be answered.
     pub deadline: Instant,
 }
 
-/// An exchange.
+/// One exchange that a client has requested.
 #[derive(Debug)]
 pub struct Request {
-    /// The caller's own name for the request, where the protocol has one; for logs.
+    /// The client's identifier of the request, if the protocol has one; used in logs.
     pub id: Option<String>,
-    /// Messages as a back end is to see them.
+    /// Messages to send to the instance.
     pub messages: Bytes,
-    /// Statements that must exist on the connection beforehand.
+    /// Statements that must already exist on the server connection.
     pub statements: Vec<PreparedStatement>,
-    /// What executing it does; where nothing is executed, what its statements would do.
+    /// Effects of the executed statements, or, if none is executed, of the statements that are
+    /// prepared or described.
     pub facts: Arc<TextFacts>,
-    /// Whether anything is executed, rather than only prepared or described.
+    /// Whether any statement is executed, rather than only prepared or described.
     pub executes: bool,
-    /// The text of a request that is a single simple query: one that a request key can record.
+    /// The text, if the request is a single simple query. Only such a request can be recorded
+    /// under a request key.
     pub text: Option<Bytes>,
-    /// What a back end would answer if every statement only rolled back, without the message that
-    /// tells the transaction's state.
+    /// What an instance would answer if every statement only rolled back, without the message
+    /// that carries the transaction's state.
     pub rollback_replies: Bytes,
-    /// Whether the proxy answers alone, with `rollback_replies`.
+    /// Whether the proxy answers the request itself, with `rollback_replies`.
     pub is_local: bool,
-    /// When it was taken up: no earlier than its first byte arrived.
+    /// When the front started to read it: no earlier than its first byte arrived.
     pub arrived: Instant,
-    /// Latest time to answer it.
+    /// Time by which it must be answered.
     pub deadline: Instant,
-    /// Whether it has been handed to a gateway.
+    /// Whether it has been sent to a gateway.
     pub sent: bool,
 }
 
 impl Request {
-    /// What it does as a whole.
+    /// Class of the request as a whole.
     pub fn class(&self) -> StatementClass {
         self.facts.class
     }
 }
 
-/// What the next messages of a caller are.
+/// What the next messages of a client amount to.
 #[derive(Debug)]
 pub enum NextRequest {
-    /// Not whole yet.
+    /// The request is not complete yet.
     Incomplete,
-    /// An exchange.
+    /// A complete request.
     Request(Request),
-    /// A refused exchange; the caller goes on.
+    /// A refused request; the session continues.
     Refused(Refusal),
-    /// The caller says goodbye.
+    /// The client ends its session.
     Terminate,
-    /// The caller breaks the protocol; it cannot go on.
+    /// The client violated the protocol; the session must end.
     ProtocolError(Refusal),
 }
--- a/crates/protocol/src/request_key.rs
+++ b/crates/protocol/src/request_key.rs
@@ -1,16 +1,16 @@
-//! A caller's name for a request that may run at most once.
+//! A client-chosen key that identifies a request, so that the request runs at most once.
 
 use kestrellock_core::outcome::{Refusal, ResultCode};
 
 /// Longest key, in bytes.
 pub const MAX_KEY_BYTES: usize = 200;
 
-/// A caller's name for one request.
+/// A client-chosen key of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestKey(String);
 
 impl RequestKey {
-    /// Checks a key.
+    /// Creates a key, or refuses it if it is empty, too long or contains a zero byte.
     pub fn new(text: &str) -> Result<Self, Refusal> {
         if text.is_empty() || text.len() > MAX_KEY_BYTES || text.contains('\0') {
             let detail = format!("a request key has 1 to {MAX_KEY_BYTES} bytes and no zero byte");
