--- a/crates/postgres/src/request_key.rs
+++ b/crates/postgres/src/request_key.rs
@@ -1,11 +1,14 @@
-//! At most once: a caller's request key, recorded in the transaction that it protects.
+//! At-most-once execution: a client's request key is recorded in the transaction that it protects.
 //!
-//! The key is a row with a unique key in the tenant's own database. Whichever commits first under
-//! a key wins for good: the statement, or the row that says it was abandoned. So a keyed statement
-//! may go out again after doubt, on any node and across a failover, and runs at most once.
+//! Without a key, a request whose outcome is unknown cannot be retried, because it might run twice.
+//! The record of a key is a row with a unique key in a table of the tenant's own database. The first
+//! row that commits under a key decides the outcome permanently: either the statement ran, or the
+//! request was abandoned. The proxy can therefore send a keyed statement again when its outcome is
+//! in doubt, on any node and across a failover, and the statement still runs at most once.
 //!
-//! A single statement goes out behind `BEGIN` and its record. A second exchange adds the command
-//! tag to the record and commits, so a repeat is told what the statement did.
+//! A single statement is sent after `BEGIN` and the insert of its record. A second exchange adds the
+//! command tag to the record and commits, so that a repeated request is answered with what the
+//! statement did.
 
 use bytes::{Bytes, BytesMut};
 use kestrellock_core::ids::TenantName;
@@ -25,22 +28,25 @@
 const UNDEFINED_TABLE: &[u8] = b"42P01";
 const UNIQUE_VIOLATION: &[u8] = b"23505";
 const READ_ONLY_TRANSACTION: &[u8] = b"25006";
-const RAN: &str = "ran";
-/// What stands in front of the command tag in the record of a statement.
-const RAN_WITH_TAG: &str = "ran: ";
-/// What a record of a transaction answers: it can only be seen once that has committed.
+const OUTCOME_RAN: &str = "ran";
+/// Prefix of the command tag in the record of a statement.
+const OUTCOME_RAN_PREFIX: &str = "ran: ";
+/// Command tag that a repeated transaction is answered with. Its record is only visible after the
+/// transaction has committed.
 const COMMIT_TAG: &str = "COMMIT";
-/// Replies in front of a single statement's own: `BEGIN` and the record.
-const REPLIES_IN_FRONT: usize = 2;
+/// Number of replies before those of a single statement: `BEGIN` and the insert of the record.
+const PRECEDING_REPLIES: usize = 2;
 const READY_AND_IDLE: &[u8] = b"Z\0\0\0\x05I";
-const ABANDONED: &str = "abandoned";
-/// What stands for the text of a transaction, which is not known at its beginning.
-const TRANSACTION: &str = "transaction";
-/// Attempts at creating the table, and at running after a record that vanished.
+const OUTCOME_ABANDONED: &str = "abandoned";
+/// Text that the digest of a transaction is computed from, since the statements of the transaction
+/// are not known when it begins.
+const TRANSACTION_TEXT: &str = "transaction";
+/// Maximum number of attempts to create the table, or to run again after the record that caused
+/// the conflict has disappeared.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// The value that `sql` sets the request key to, if it is `SET kestrellock.request_id`; empty to
-/// take it back.
+/// The value that `sql` sets the request key to, if it is `SET kestrellock.request_id`. An empty
+/// value clears the key.
 pub fn request_key_setting(sql: &str) -> Option<String> {
     let text = sql.trim().trim_end_matches(';').trim_end();
     let rest = strip_word(text, "SET")?;
@@ -62,12 +68,12 @@
     (head.eq_ignore_ascii_case(word) && ends).then(|| rest.trim_start())
 }
 
-/// What a keyed request is about.
+/// What a request key protects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// One statement, a transaction of its own.
     Statement,
-    /// The beginning of a transaction that will hold the key.
+    /// A transaction of several statements; the request is its `BEGIN`.
     Begin,
 }
 
@@ -78,31 +84,31 @@
     /// Adds the command tag to the record, and commits.
     Commit,
     /// Creates the table of records.
-    Create,
-    /// Reads the record that was there first.
-    LookUp,
+    CreateTable,
+    /// Reads the existing record of the key.
+    ReadRecord,
     /// Records that the request is abandoned, unless it has run.
     Abandon,
 }
 
-/// What to do after an answer or a refusal.
+/// The next step after an answer or a refusal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Pass this answer on.
+    /// Forward this answer to the client.
     Answer(Bytes),
-    /// Roll the open transaction back and pass this answer on.
+    /// Roll back the open transaction and forward this answer to the client.
     RollBack(Bytes),
-    /// The instance is read-only: look for the primary.
+    /// The instance is read-only: retry on the primary.
     FindPrimary,
-    /// Send [`KeyedRequest::messages`] on the same lease.
+    /// Send [`KeyedRequest::messages`] on the same server lease.
     Continue,
-    /// Tell the caller this.
+    /// Refuse the request with this.
     Refuse(Refusal),
-    /// Send [`KeyedRequest::messages`] on a new lease.
+    /// Send [`KeyedRequest::messages`] on a new server lease.
     Retry,
 }
 
-/// One request under a key, from its first attempt to its outcome.
+/// A request with a key, from its first attempt to its outcome.
 #[derive(Clone, Debug)]
 pub struct KeyedRequest {
     stored_key: String,
@@ -110,18 +116,19 @@
     sql: String,
     scope: Scope,
     phase: Phase,
-    /// Phase to go on with once the table exists.
+    /// Phase to continue with once the table exists.
     after_create: Phase,
     attempts: u32,
+    /// Refusal of the first attempt whose outcome is in doubt.
     doubt: Option<Refusal>,
-    /// The statement's answer, held until its commit.
-    held: Bytes,
+    /// The statement's answer, kept until its commit succeeds.
+    buffered_answer: Bytes,
 }
 
 impl KeyedRequest {
-    /// A request about to run.
+    /// Creates a request that has not been sent yet.
     pub fn new(tenant: &TenantName, key: &RequestKey, sql: &str, scope: Scope) -> Self {
-        let text = if scope == Scope::Begin { TRANSACTION } else { sql.trim() };
+        let text = if scope == Scope::Begin { TRANSACTION_TEXT } else { sql.trim() };
         Self {
             stored_key: format!("{tenant}:{}", key.as_str()),
             digest: format!("{:032x}", xxhash_rust::xxh3::xxh3_128(text.as_bytes())),
@@ -131,18 +138,19 @@
             after_create: Phase::Run,
             attempts: 0,
             doubt: None,
-            held: Bytes::new(),
+            buffered_answer: Bytes::new(),
         }
     }
 
-    /// Settles a transaction whose commit is in doubt.
+    /// Creates the request that determines whether a transaction committed, after its commit was
+    /// refused with `doubt`. The transaction is abandoned unless it has committed.
     pub fn resolve(tenant: &TenantName, key: &RequestKey, doubt: Refusal) -> Self {
         let phase = Phase::Abandon;
         let doubt = Some(doubt);
         Self { phase, doubt, ..Self::new(tenant, key, "", Scope::Begin) }
     }
 
-    fn record(&self, outcome: &str) -> String {
+    fn insert_record_sql(&self, outcome: &str) -> String {
         let key = self.stored_key.replace('\'', "''");
         let digest = &self.digest;
         format!(
@@ -151,11 +159,11 @@
         )
     }
 
-    fn commit(&self) -> String {
+    fn commit_sql(&self) -> String {
         let key = self.stored_key.replace('\'', "''");
-        let tag = last_tag(&self.held).replace('\'', "''");
+        let tag = last_tag(&self.buffered_answer).replace('\'', "''");
         format!(
-            "UPDATE kestrellock_requests SET outcome = '{RAN_WITH_TAG}{tag}' WHERE key = '{key}'; COMMIT"
+            "UPDATE kestrellock_requests SET outcome = '{OUTCOME_RAN_PREFIX}{tag}' WHERE key = '{key}'; COMMIT"
         )
     }
 
@@ -164,41 +172,42 @@
         self.phase != Phase::Run
     }
 
-    /// Whether parts of the answer must wait for its end.
+    /// Whether the answer must be buffered until it is complete, because it starts with replies
+    /// that the client must not see.
     pub fn must_buffer_answer(&self) -> bool {
         self.scope == Scope::Statement
     }
 
-    /// The messages to send now.
+    /// The messages to send in the current phase.
     pub fn messages(&self) -> Bytes {
         let text = match (self.phase, self.scope) {
             (Phase::Run, Scope::Statement) => {
-                format!("BEGIN; {}; {}", self.record(RAN), self.sql)
+                format!("BEGIN; {}; {}", self.insert_record_sql(OUTCOME_RAN), self.sql)
             }
-            (Phase::Commit, _) => self.commit(),
+            (Phase::Commit, _) => self.commit_sql(),
             (Phase::Run, Scope::Begin) => {
                 let begin = self.sql.trim().trim_end_matches(';');
-                format!("{begin}; {}", self.record(RAN))
+                format!("{begin}; {}", self.insert_record_sql(OUTCOME_RAN))
             }
-            (Phase::Create, _) => CREATE_TABLE.to_owned(),
-            (Phase::LookUp, _) => {
+            (Phase::CreateTable, _) => CREATE_TABLE.to_owned(),
+            (Phase::ReadRecord, _) => {
                 let key = self.stored_key.replace('\'', "''");
                 format!("SELECT digest, outcome FROM kestrellock_requests WHERE key = '{key}'")
             }
-            (Phase::Abandon, _) => self.record(ABANDONED),
+            (Phase::Abandon, _) => self.insert_record_sql(OUTCOME_ABANDONED),
         };
         let mut output = BytesMut::new();
         extended::put_message(b'Q', &[text.as_bytes(), &[0]], &mut output);
         output.freeze()
     }
 
-    /// Takes in the confirmed answer to [`KeyedRequest::messages`].
+    /// Processes the confirmed answer to [`KeyedRequest::messages`].
     pub fn on_answer(&mut self, answer: &Bytes, transaction: TransactionState) -> Step {
         match self.phase {
             Phase::Run => self.on_run(answer, transaction),
             Phase::Commit => self.on_commit(answer),
-            Phase::Create => self.go_on(self.after_create),
-            Phase::LookUp => self.on_record(answer),
+            Phase::CreateTable => self.retry_in(self.after_create),
+            Phase::ReadRecord => self.on_record(answer),
             Phase::Abandon => self.on_abandoned(answer),
         }
     }
@@ -209,14 +218,14 @@
             return self.on_recorded(answer, &record, transaction);
         }
         match record.sqlstate(answer) {
-            Some(UNDEFINED_TABLE) => self.create(Phase::Run, answer),
-            Some(UNIQUE_VIOLATION) => self.go_on(Phase::LookUp),
+            Some(UNDEFINED_TABLE) => self.create_table(Phase::Run, answer),
+            Some(UNIQUE_VIOLATION) => self.retry_in(Phase::ReadRecord),
             Some(READ_ONLY_TRANSACTION) if transaction != TransactionState::Idle => {
                 Step::FindPrimary
             }
-            _ if self.doubt.is_some() => self.unsettled(),
+            _ if self.doubt.is_some() => self.unresolved(),
             _ if transaction == TransactionState::Idle => Step::Answer(answer.clone()),
-            _ if self.scope == Scope::Statement => Step::RollBack(own_answer(answer)),
+            _ if self.scope == Scope::Statement => Step::RollBack(statement_answer(answer)),
             _ => Step::Refuse(Refusal::new(
                 ResultCode::RequestKeyUnsupported,
                 "the request key could not be recorded",
@@ -224,107 +233,109 @@
         }
     }
 
-    /// The record stands in the open transaction; the rest is the statement's own answer.
+    /// Processes an answer in which the record was inserted: the replies after it are the
+    /// statement's own.
     fn on_recorded(&mut self, answer: &Bytes, record: &Reply, state: TransactionState) -> Step {
         if self.scope == Scope::Begin {
-            return Step::Answer(without(answer, record));
+            return Step::Answer(without_reply(answer, record));
         }
-        let own = own_answer(answer);
+        let statement_part = statement_answer(answer);
         if nth_reply(answer, usize::MAX).is_some() {
-            return self.on_failed(own);
+            return self.on_failed(statement_part);
         }
         if state == TransactionState::Idle {
-            // The statement ended the transaction itself.
-            return Step::Answer(own);
+            // The statement itself ended the transaction.
+            return Step::Answer(statement_part);
         }
-        self.held = own;
+        self.buffered_answer = statement_part;
         self.phase = Phase::Commit;
         Step::Continue
     }
 
     fn on_commit(&mut self, answer: &Bytes) -> Step {
         if nth_reply(answer, usize::MAX).is_some() {
-            return self.on_failed(own_answer(answer));
+            return self.on_failed(statement_answer(answer));
         }
-        Step::Answer(self.held.clone())
+        Step::Answer(self.buffered_answer.clone())
     }
 
-    /// The statement failed. If an earlier attempt may still be on its way, nothing may run under
-    /// the key after the caller has been told of the failure.
+    /// Processes a failed statement. If the outcome of an earlier attempt is in doubt, that attempt
+    /// may still commit. The key is then recorded as abandoned first, so that nothing runs under it
+    /// after the client has received the failure.
     fn on_failed(&mut self, answer: Bytes) -> Step {
         match self.doubt {
-            Some(_) => self.go_on(Phase::Abandon),
+            Some(_) => self.retry_in(Phase::Abandon),
             None => Step::RollBack(answer),
         }
     }
 
-    fn create(&mut self, then: Phase, answer: &Bytes) -> Step {
+    fn create_table(&mut self, next_phase: Phase, answer: &Bytes) -> Step {
         self.attempts += 1;
         if self.attempts > MAX_ATTEMPTS {
-            let refused = Step::RollBack(own_answer(answer));
+            let refused = Step::RollBack(statement_answer(answer));
             return self.doubt.clone().map_or(refused, Step::Refuse);
         }
-        self.after_create = then;
-        self.go_on(Phase::Create)
+        self.after_create = next_phase;
+        self.retry_in(Phase::CreateTable)
     }
 
-    fn go_on(&mut self, phase: Phase) -> Step {
+    fn retry_in(&mut self, phase: Phase) -> Step {
         self.phase = phase;
         Step::Retry
     }
 
     fn on_record(&mut self, answer: &Bytes) -> Step {
         let Some(columns) = first_row(answer) else {
-            // The one that was there first has rolled back, or its record has expired.
+            // The transaction that held the key has rolled back, or its record has expired.
             self.attempts += 1;
             let again = self.attempts <= MAX_ATTEMPTS;
-            let unsettled =
+            let unresolved =
                 || Refusal::new(ResultCode::RequestKeyUnsupported, "the record cannot be read");
             return match (again, self.doubt.clone()) {
-                (true, Some(_)) if self.scope == Scope::Begin => self.go_on(Phase::Abandon),
-                (true, _) => self.go_on(Phase::Run),
-                (false, doubt) => Step::Refuse(doubt.unwrap_or_else(unsettled)),
+                (true, Some(_)) if self.scope == Scope::Begin => self.retry_in(Phase::Abandon),
+                (true, _) => self.retry_in(Phase::Run),
+                (false, doubt) => Step::Refuse(doubt.unwrap_or_else(unresolved)),
             };
         };
         let is_own = columns.first().is_some_and(|digest| *digest == self.digest);
         let outcome = columns.get(1).map(String::as_str);
         Step::Refuse(match outcome {
-            Some(ABANDONED) => {
+            Some(OUTCOME_ABANDONED) => {
                 Refusal::new(ResultCode::Abandoned, "the request was abandoned and never ran")
             }
             _ if !is_own => {
                 Refusal::new(ResultCode::RequestKeyReused, "the key belongs to another request")
             }
-            Some(RAN) if self.scope == Scope::Begin => {
+            Some(OUTCOME_RAN) if self.scope == Scope::Begin => {
                 Refusal::new(ResultCode::AlreadyRan, COMMIT_TAG)
             }
-            outcome => Refusal::new(ResultCode::AlreadyRan, tag_of_record(outcome)),
+            outcome => Refusal::new(ResultCode::AlreadyRan, recorded_tag(outcome)),
         })
     }
 
     fn on_abandoned(&mut self, answer: &Bytes) -> Step {
-        let Some(reply) = nth_reply(answer, 0) else { return self.unsettled() };
+        let Some(reply) = nth_reply(answer, 0) else { return self.unresolved() };
         match reply.sqlstate(answer) {
             None => Step::Refuse(Refusal::new(
                 ResultCode::Abandoned,
                 "the transaction did not commit and never will",
             )),
-            Some(UNIQUE_VIOLATION) => self.go_on(Phase::LookUp),
-            Some(UNDEFINED_TABLE) => self.create(Phase::Abandon, answer),
-            Some(_) => self.unsettled(),
+            Some(UNIQUE_VIOLATION) => self.retry_in(Phase::ReadRecord),
+            Some(UNDEFINED_TABLE) => self.create_table(Phase::Abandon, answer),
+            Some(_) => self.unresolved(),
         }
     }
 
-    fn unsettled(&self) -> Step {
+    fn unresolved(&self) -> Step {
         let fallback = Refusal::new(ResultCode::UnconfirmedInDoubt, "the outcome is not known");
         Step::Refuse(self.doubt.clone().unwrap_or(fallback))
     }
 
-    /// Takes in a refusal; `time_left` says whether anything may still be sent.
+    /// Processes a refusal. `time_left` says whether there is time to send another attempt.
     pub fn on_refused(&mut self, refusal: Refusal, time_left: bool) -> Step {
         let in_doubt = refusal.code.execution() == Execution::InDoubt;
         let runs = matches!(self.phase, Phase::Run | Phase::Commit);
-        // Only what may hold the key can leave it in doubt.
+        // Only an exchange that may insert or commit the record leaves the request in doubt.
         if in_doubt && runs && self.doubt.is_none() {
             self.doubt = Some(refusal.clone());
         }
@@ -334,12 +345,12 @@
             self.phase = Phase::Run;
         }
         if (in_doubt || (lost && runs)) && time_left {
-            // The unique key makes every step repeatable.
+            // The unique key makes it safe to repeat any phase.
             return Step::Retry;
         }
         match &self.doubt {
             Some(doubt) => Step::Refuse(doubt.clone()),
-            // Reading a record or creating the table leaves nothing in doubt.
+            // Reading the record or creating the table runs no part of the request.
             None if in_doubt => Step::Refuse(Refusal::new(
                 ResultCode::DeadlineBeforeSend,
                 "the request's record could not be read in time",
@@ -368,7 +379,8 @@
     }
 }
 
-/// The `index`th reply of an answer, or the error that ended it before.
+/// The reply of an answer at `index`, counted from zero, or the error that ended the answer before
+/// it.
 fn nth_reply(answer: &Bytes, index: usize) -> Option<Reply> {
     let mut start = 0;
     let mut completed = 0;
@@ -386,20 +398,20 @@
     None
 }
 
-fn without(answer: &Bytes, reply: &Reply) -> Bytes {
+fn without_reply(answer: &Bytes, reply: &Reply) -> Bytes {
     let mut rest = BytesMut::with_capacity(answer.len());
     rest.extend_from_slice(&answer[..reply.start]);
     rest.extend_from_slice(&answer[reply.end..]);
     rest.freeze()
 }
 
-/// An answer without the command tags in front of the statement's own, at whose end no transaction
-/// is open.
-fn own_answer(answer: &Bytes) -> Bytes {
+/// The statement's part of an answer: drops the command tags of `BEGIN` and the record, and reports
+/// at the end that no transaction is open.
+fn statement_answer(answer: &Bytes) -> Bytes {
     let mut rest = BytesMut::with_capacity(answer.len());
     let (mut start, mut completed) = (0, 0);
     while let Some((tag, message)) = message_at(answer, start) {
-        let is_hidden = tag == b'C' && completed < REPLIES_IN_FRONT;
+        let is_hidden = tag == b'C' && completed < PRECEDING_REPLIES;
         completed += usize::from(tag == b'C');
         match tag {
             _ if is_hidden => {}
@@ -411,9 +423,9 @@
     rest.freeze()
 }
 
-/// The command tag in a record. One that was written before tags were recorded has none.
-fn tag_of_record(outcome: Option<&str>) -> &str {
-    let tag = outcome.and_then(|outcome| outcome.strip_prefix(RAN_WITH_TAG));
+/// The command tag in a record. Records that older versions wrote have none.
+fn recorded_tag(outcome: Option<&str>) -> &str {
+    let tag = outcome.and_then(|outcome| outcome.strip_prefix(OUTCOME_RAN_PREFIX));
     tag.filter(|tag| !tag.is_empty()).unwrap_or("the request has run before")
 }
 
--- a/crates/postgres/tests/connection_state.rs
+++ b/crates/postgres/tests/connection_state.rs
@@ -1,4 +1,4 @@
-//! What is sent on a shared connection between two callers.
+//! Statements sent on a shared server connection before the next client uses it.
 
 use kestrellock_core::session_state::SessionSetting;
 use kestrellock_postgres::connection_state::ConnectionState;
@@ -6,15 +6,15 @@
 const A: &str = "SET a.x = '1'";
 const B: &str = "SET a.x = '2'";
 
-/// No setting for an empty statement, else the one that it makes.
+/// The setting that `statement` makes; none if it is empty.
 fn settings(statement: &str) -> Vec<SessionSetting> {
     let setting = SessionSetting { name: "a.x".to_owned(), statement: statement.to_owned() };
     if statement.is_empty() { Vec::new() } else { vec![setting] }
 }
 
 #[test]
-fn a_connection_has_exactly_the_settings_of_its_caller() {
-    // (settings in force, settings of the next caller, what is sent)
+fn preparation_replaces_the_settings_of_the_previous_client() {
+    // (settings on the connection, settings of the next client, SQL to send)
     let table = [
         ("", "", None),
         ("", A, Some(A.to_owned())),
@@ -23,19 +23,19 @@
         (A, B, Some(format!("RESET ALL; {B}"))),
     ];
     for (current, wanted, sent) in table {
-        let mut hygiene = ConnectionState::default();
-        hygiene.on_prepared(&settings(current));
-        assert_eq!(hygiene.preparation(&settings(wanted)), sent, "from {current:?} to {wanted:?}");
+        let mut state = ConnectionState::default();
+        state.on_prepared(&settings(current));
+        assert_eq!(state.preparation(&settings(wanted)), sent, "from {current:?} to {wanted:?}");
     }
 }
 
 #[test]
-fn a_reset_connection_has_nothing_left() {
-    let mut hygiene = ConnectionState::default();
-    hygiene.on_prepared(&settings(A));
-    hygiene.taint();
-    assert!(hygiene.is_tainted());
-    hygiene.on_reset();
-    assert_eq!(hygiene, ConnectionState::default());
-    assert_eq!(hygiene.preparation(&settings(A)), Some(A.to_owned()));
+fn reset_clears_settings_and_taint() {
+    let mut state = ConnectionState::default();
+    state.on_prepared(&settings(A));
+    state.taint();
+    assert!(state.is_tainted());
+    state.on_reset();
+    assert_eq!(state, ConnectionState::default());
+    assert_eq!(state.preparation(&settings(A)), Some(A.to_owned()));
 }
--- a/crates/postgres/tests/prepared.rs
+++ b/crates/postgres/tests/prepared.rs
@@ -1,4 +1,4 @@
-//! Prepared statements between a caller's names and the back-end connections it shares.
+//! Mapping of clients' prepared statements to shared server connections.
 
 use std::time::Instant;
 
@@ -63,7 +63,7 @@
     while let Some(frame) = frames::next_frame(&mut buffer).expect("message length") {
         tags.push(char::from(frame.tag));
     }
-    assert!(buffer.is_empty(), "a message is cut short");
+    assert!(buffer.is_empty(), "a message is truncated");
     tags
 }
 
@@ -73,86 +73,88 @@
     tags(&output)
 }
 
-/// Plays a back end's answer; returns what the caller sees of it.
+/// Simulates an instance's answer and returns the tags of the messages that the client receives.
 fn answer(set: &mut PreparedSet, tags: &str) -> String {
-    let mut seen = String::new();
+    let mut received = String::new();
     for tag in tags.bytes() {
         let bytes = Bytes::from(message(tag, &[]));
         match set.on_reply(&bytes) {
-            ReplyAction::Forward => seen.push(char::from(tag)),
-            ReplyAction::Replace(bytes) => seen.push(char::from(bytes[0])),
+            ReplyAction::Forward => received.push(char::from(tag)),
+            ReplyAction::Replace(bytes) => received.push(char::from(bytes[0])),
             ReplyAction::Discard => {}
         }
     }
-    seen
+    received
 }
 
 #[test]
-fn a_statement_is_created_where_it_is_missing_and_reused_where_it_exists() {
-    let mut first = Collector::default();
-    let mut second = Collector::default();
-    let (mut one, mut other) = (PreparedSet::default(), PreparedSet::default());
+fn missing_statement_is_created_and_existing_statement_is_reused() {
+    let mut first_client = Collector::default();
+    let mut second_client = Collector::default();
+    let (mut first_set, mut second_set) = (PreparedSet::default(), PreparedSet::default());
 
-    let prepare = request(&mut first, &[parse("s0", "SELECT 1"), describe("s0"), sync()]);
+    let prepare = request(&mut first_client, &[parse("s0", "SELECT 1"), describe("s0"), sync()]);
     assert!(!prepare.executes);
-    assert_eq!(send(&mut one, &prepare), "PDS");
-    assert_eq!(answer(&mut one, "1tTZ"), "1tTZ");
+    assert_eq!(send(&mut first_set, &prepare), "PDS");
+    assert_eq!(answer(&mut first_set, "1tTZ"), "1tTZ");
 
-    let run = request(&mut first, &[bind("s0"), execute(), sync()]);
-    assert_eq!(send(&mut one, &run), "BES");
-    assert_eq!(answer(&mut one, "2DCZ"), "2DCZ");
-    assert_eq!(send(&mut other, &run), "PBES", "missing on the other connection");
-    assert_eq!(answer(&mut other, "12DCZ"), "2DCZ", "the caller did not ask for that Parse");
+    let run = request(&mut first_client, &[bind("s0"), execute(), sync()]);
+    assert_eq!(send(&mut first_set, &run), "BES");
+    assert_eq!(answer(&mut first_set, "2DCZ"), "2DCZ");
+    assert_eq!(send(&mut second_set, &run), "PBES", "missing on the second connection");
+    assert_eq!(answer(&mut second_set, "12DCZ"), "2DCZ", "the client did not send this Parse");
 
-    // Another caller prepares the same text under another name on a connection that has it.
-    let same = request(&mut second, &[parse("mine", "SELECT 1"), bind("mine"), execute(), sync()]);
-    assert_eq!(send(&mut one, &same), "CBES");
-    assert_eq!(answer(&mut one, "32DCZ"), "12DCZ");
-    assert_eq!(one.len(), 1);
+    // Another client prepares the same text under another name on a connection that has it.
+    let same =
+        request(&mut second_client, &[parse("mine", "SELECT 1"), bind("mine"), execute(), sync()]);
+    assert_eq!(send(&mut first_set, &same), "CBES");
+    assert_eq!(answer(&mut first_set, "32DCZ"), "12DCZ");
+    assert_eq!(first_set.len(), 1);
 }
 
 #[test]
-fn a_callers_close_leaves_the_shared_statement_alone() {
-    let mut caller = Collector::default();
+fn client_close_keeps_the_shared_statement() {
+    let mut client = Collector::default();
     let mut set = PreparedSet::default();
-    let prepare = request(&mut caller, &[parse("s0", "SELECT 1"), sync()]);
+    let prepare = request(&mut client, &[parse("s0", "SELECT 1"), sync()]);
     send(&mut set, &prepare);
     answer(&mut set, "1Z");
 
-    let only_close = request(&mut caller, &[close("s0"), sync()]);
+    let only_close = request(&mut client, &[close("s0"), sync()]);
     assert!(only_close.is_local);
     assert_eq!(tags(&only_close.rollback_replies), "3");
     assert_eq!(set.len(), 1);
 
-    let gone = next(&mut caller, &[bind("s0"), execute(), sync()]);
+    let unknown = next(&mut client, &[bind("s0"), execute(), sync()]);
     assert!(
-        matches!(gone, NextRequest::Refused(refusal) if refusal.code == ResultCode::UnknownStatement)
+        matches!(unknown, NextRequest::Refused(refusal) if refusal.code == ResultCode::UnknownStatement)
     );
 }
 
 #[test]
-fn the_unnamed_statement_is_never_another_callers() {
+fn unnamed_statement_is_not_shared_between_clients() {
     let mut owner = Collector::default();
-    let mut stranger = Collector::default();
+    let mut other_client = Collector::default();
     let mut set = PreparedSet::default();
     let prepare = request(&mut owner, &[parse("", "SELECT secret"), sync()]);
     send(&mut set, &prepare);
     answer(&mut set, "1Z");
-    let stolen = next(&mut stranger, &[bind(""), execute(), sync()]);
-    assert!(matches!(stolen, NextRequest::Refused(_)));
-    // The owner's own is made again, whoever used the connection in between.
+    let refused = next(&mut other_client, &[bind(""), execute(), sync()]);
+    assert!(matches!(refused, NextRequest::Refused(_)));
+    // The owner's unnamed statement is created again, because another client may have used the
+    // connection in between.
     let run = request(&mut owner, &[bind(""), execute(), sync()]);
     assert_eq!(send(&mut set, &run), "PBES");
     assert_eq!(answer(&mut set, "12DCZ"), "2DCZ");
 }
 
 #[test]
-fn after_an_error_only_what_was_created_counts() {
-    // (answer to a batch of two Parse messages, statements that exist afterwards)
+fn statements_not_created_because_of_an_error_are_removed() {
+    // (answer to a batch of two Parse messages, number of statements afterwards)
     for (replies, exist) in [("11Z", 2), ("1EZ", 1), ("EZ", 0)] {
-        let mut caller = Collector::default();
+        let mut client = Collector::default();
         let mut set = PreparedSet::default();
-        let both = request(&mut caller, &[parse("a", "SELECT 1"), parse("b", "SELECT 2"), sync()]);
+        let both = request(&mut client, &[parse("a", "SELECT 1"), parse("b", "SELECT 2"), sync()]);
         send(&mut set, &both);
         assert_eq!(answer(&mut set, replies), replies);
         assert_eq!(set.len(), exist, "after {replies}");
@@ -160,10 +162,10 @@
 }
 
 #[test]
-fn statements_that_the_back_end_calls_stale_are_created_again() {
-    let mut caller = Collector::default();
+fn stale_statements_are_closed_and_created_again() {
+    let mut client = Collector::default();
     let mut set = PreparedSet::default();
-    let run = request(&mut caller, &[parse("a", "SELECT 1"), bind("a"), execute(), sync()]);
+    let run = request(&mut client, &[parse("a", "SELECT 1"), bind("a"), execute(), sync()]);
     send(&mut set, &run);
     answer(&mut set, "12DCZ");
     let bytes = Bytes::from(message(b'E', &[b"SERROR\0C0A000\0Mcached plan\0\0"]));
@@ -174,12 +176,12 @@
 }
 
 #[test]
-fn the_number_of_statements_on_a_connection_is_bounded() {
-    let mut caller = Collector::default();
+fn number_of_statements_on_a_connection_is_bounded() {
+    let mut client = Collector::default();
     let mut set = PreparedSet::default();
     for number in 0..3 * MAX_STATEMENTS {
         let text = format!("SELECT {number}");
-        let run = request(&mut caller, &[parse("a", &text), sync()]);
+        let run = request(&mut client, &[parse("a", &text), sync()]);
         send(&mut set, &run);
         let replies = if number > MAX_STATEMENTS { "31Z" } else { "1Z" };
         assert_eq!(answer(&mut set, replies), "1Z", "statement {number}");
@@ -188,7 +190,7 @@
 }
 
 #[test]
-fn a_batch_has_the_class_of_all_it_executes() {
+fn batch_class_combines_the_classes_of_its_statements() {
     use StatementClass::{Begin, Read, Write};
     let table: [(&[&str], StatementClass); 5] = [
         (&["SELECT 1"], Read),
@@ -210,7 +212,7 @@
 }
 
 #[test]
-fn what_cannot_be_served_is_refused_up_to_the_next_sync() {
+fn unsupported_batch_is_refused_and_the_next_batch_is_served() {
     let flush = message(b'H', &[]);
     let cases = [
         (vec![parse("a", "SELECT 1"), flush, bind("a")], ResultCode::NotSupported),
@@ -221,13 +223,13 @@
     ];
     for (mut messages, code) in cases {
         messages.push(sync());
-        let mut caller = Collector::default();
-        let refused = next(&mut caller, &messages);
+        let mut client = Collector::default();
+        let refused = next(&mut client, &messages);
         assert!(
             matches!(&refused, NextRequest::Refused(refusal) if refusal.code == code),
             "{refused:?}"
         );
-        let good = request(&mut caller, &[parse("", "SELECT 1"), bind(""), execute(), sync()]);
-        assert_eq!(tags(&good.messages), "PBES");
+        let accepted = request(&mut client, &[parse("", "SELECT 1"), bind(""), execute(), sync()]);
+        assert_eq!(tags(&accepted.messages), "PBES");
     }
 }
--- a/crates/postgres/tests/request_key.rs
+++ b/crates/postgres/tests/request_key.rs
@@ -1,4 +1,4 @@
-//! Request keys: what goes out at each step, and what the caller is told.
+//! Request keys: the messages sent in each phase, and the answers that the client receives.
 
 use bytes::{Bytes, BytesMut};
 use kestrellock_core::ids::TenantName;
@@ -61,38 +61,40 @@
     sent.split('\'').nth(5).expect("the digest after the key, whose quote is doubled").to_owned()
 }
 
-/// Plays an answer to which the request goes on, and returns what it sends next.
-fn go_on(request: &mut KeyedRequest, messages: &[Vec<u8>], state: TransactionState) -> String {
+/// Processes an answer after which the request retries, and returns the messages that it sends
+/// next.
+fn retry(request: &mut KeyedRequest, messages: &[Vec<u8>], state: TransactionState) -> String {
     assert_eq!(request.on_answer(&answer(messages), state), Step::Retry);
     sent(request)
 }
 
-/// Plays the first exchange of a statement up to its commit, and returns what that is.
+/// Processes the answer to the first exchange of a statement, and returns the messages of its
+/// commit.
 fn run_statement(request: &mut KeyedRequest, tag: &str) -> String {
-    let whole = open_answer(&[done("BEGIN"), done("INSERT 0 1"), done(tag)], b"T");
-    assert_eq!(request.on_answer(&whole, Open), Step::Continue);
+    let whole_answer = open_answer(&[done("BEGIN"), done("INSERT 0 1"), done(tag)], b"T");
+    assert_eq!(request.on_answer(&whole_answer, Open), Step::Continue);
     assert!(request.may_commit());
     sent(request)
 }
 
 #[test]
-fn the_record_holds_the_command_tag_before_the_commit_and_a_repeat_is_told_it() {
+fn record_stores_the_command_tag_and_a_repeated_request_returns_it() {
     for tag in ["UPDATE 0", "UPDATE 1", "INSERT 0 3"] {
         let mut first = request(Scope::Statement);
         let commit = run_statement(&mut first, tag);
         let end = format!("outcome = 'ran: {tag}' WHERE key = 'fan:seat 7''s sale'; COMMIT\0");
         assert!(commit.ends_with(&end), "{commit}");
         let mut repeat = request(Scope::Statement);
-        let own = digest(&repeat);
-        go_on(&mut repeat, &[done("BEGIN"), error("23505")], Failed);
-        let record = answer(&[row(&[&own, &format!("ran: {tag}")]), done("SELECT 1")]);
-        let told = Refusal::new(ResultCode::AlreadyRan, tag);
-        assert_eq!(repeat.on_answer(&record, Idle), Step::Refuse(told));
+        let digest = digest(&repeat);
+        retry(&mut repeat, &[done("BEGIN"), error("23505")], Failed);
+        let record = answer(&[row(&[&digest, &format!("ran: {tag}")]), done("SELECT 1")]);
+        let refusal = Refusal::new(ResultCode::AlreadyRan, tag);
+        assert_eq!(repeat.on_answer(&record, Idle), Step::Refuse(refusal));
     }
 }
 
 #[test]
-fn a_statement_that_loses_its_transaction_starts_over_and_a_lost_commit_is_in_doubt() {
+fn lost_transaction_restarts_the_statement_and_lost_commit_stays_in_doubt() {
     let lost = Refusal::new(ResultCode::TransactionLost, "lost");
     let doubt = Refusal::new(ResultCode::ConnectionLostInDoubt, "lost");
     let first = sent(&request(Scope::Statement));
@@ -102,11 +104,11 @@
         assert_eq!(statement.on_refused(refusal.clone(), true), Step::Retry);
         assert_eq!(sent(&statement), first);
         assert!(!statement.may_commit());
-        let mut late = request(Scope::Statement);
-        run_statement(&mut late, "UPDATE 1");
-        assert_eq!(late.on_refused(refusal.clone(), false), Step::Refuse(refusal.clone()));
+        let mut expired = request(Scope::Statement);
+        run_statement(&mut expired, "UPDATE 1");
+        assert_eq!(expired.on_refused(refusal.clone(), false), Step::Refuse(refusal.clone()));
     }
-    // The second attempt is lost too: the first is still in doubt.
+    // The second attempt is lost too, but the first one is still in doubt.
     let mut statement = request(Scope::Statement);
     run_statement(&mut statement, "UPDATE 1");
     assert_eq!(statement.on_refused(doubt.clone(), true), Step::Retry);
@@ -114,24 +116,24 @@
 }
 
 #[test]
-fn a_commit_that_fails_is_the_statements_error() {
+fn failed_commit_is_reported_as_the_error_of_the_statement() {
     for (messages, state) in
         [(vec![error("40001")], Failed), (vec![done("UPDATE 1"), error("23503")], Idle)]
     {
         let mut statement = request(Scope::Statement);
         run_statement(&mut statement, "UPDATE 1");
-        let told = statement.on_answer(&open_answer(&messages, b"E"), state);
-        let own = messages.last().cloned();
-        assert_eq!(told, Step::RollBack(answer(&[own.expect("an error")])));
+        let step = statement.on_answer(&open_answer(&messages, b"E"), state);
+        let error = messages.last().cloned();
+        assert_eq!(step, Step::RollBack(answer(&[error.expect("an error")])));
     }
 }
 
-/// The server's reason reaches the caller, unless an earlier attempt may have run.
+/// The client receives the server's error, unless an earlier attempt may have run.
 #[test]
-fn a_record_that_fails_is_the_statements_error() {
+fn failed_insert_of_the_record_is_reported_as_the_error_of_the_statement() {
     let failed = open_answer(&[done("BEGIN"), error("42501")], b"E");
-    let told = request(Scope::Statement).on_answer(&failed, Failed);
-    assert_eq!(told, Step::RollBack(answer(&[error("42501")])));
+    let step = request(Scope::Statement).on_answer(&failed, Failed);
+    assert_eq!(step, Step::RollBack(answer(&[error("42501")])));
     let doubt = Refusal::new(ResultCode::SupersededInDoubt, "replaced");
     let mut statement = request(Scope::Statement);
     run_statement(&mut statement, "UPDATE 1");
@@ -144,13 +146,13 @@
 }
 
 #[test]
-fn a_read_only_instance_sends_the_statement_to_the_primary() {
+fn read_only_error_retries_the_statement_on_the_primary() {
     let refused = open_answer(&[done("BEGIN"), error("25006")], b"E");
     assert_eq!(request(Scope::Statement).on_answer(&refused, Failed), Step::FindPrimary);
 }
 
 #[test]
-fn the_record_goes_in_front_and_its_reply_stays_hidden() {
+fn record_is_inserted_before_the_statement_and_its_reply_is_hidden() {
     let mut statement = request(Scope::Statement);
     let text = sent(&statement);
     assert!(text.contains("VALUES ('fan:seat 7''s sale', '"), "{text}");
@@ -162,91 +164,96 @@
     assert_eq!(statement.on_answer(&committed, Idle), Step::Answer(answer(&[done("UPDATE 1")])));
     let mut begin = request(Scope::Begin);
     assert!(sent(&begin).contains("BEGIN; INSERT INTO"));
-    let whole = answer(&[done("BEGIN"), done("INSERT 0 1")]);
-    assert_eq!(begin.on_answer(&whole, Open), Step::Answer(answer(&[done("BEGIN")])));
+    let whole_answer = answer(&[done("BEGIN"), done("INSERT 0 1")]);
+    assert_eq!(begin.on_answer(&whole_answer, Open), Step::Answer(answer(&[done("BEGIN")])));
 }
 
 #[test]
-fn a_missing_table_is_created_once_and_the_statement_runs_again() {
+fn missing_table_is_created_and_the_statement_is_retried() {
     let mut statement = request(Scope::Statement);
     let first = sent(&statement);
     let no_table = [done("BEGIN"), error("42P01")];
-    assert!(go_on(&mut statement, &no_table, Failed).contains("CREATE TABLE IF NOT EXISTS"));
-    // Another node was quicker.
-    assert_eq!(go_on(&mut statement, &[error("42P07")], Idle), first);
+    assert!(retry(&mut statement, &no_table, Failed).contains("CREATE TABLE IF NOT EXISTS"));
+    // Another node created the table first.
+    assert_eq!(retry(&mut statement, &[error("42P07")], Idle), first);
     for _ in 0..2 {
-        go_on(&mut statement, &no_table, Failed);
-        go_on(&mut statement, &[error("42501")], Idle);
+        retry(&mut statement, &no_table, Failed);
+        retry(&mut statement, &[error("42501")], Idle);
     }
     let refused = open_answer(&no_table, b"E");
     assert_eq!(statement.on_answer(&refused, Failed), Step::RollBack(answer(&[error("42P01")])));
 }
 
 #[test]
-fn a_repeat_gets_the_recorded_outcome() {
+fn repeated_request_returns_the_recorded_outcome() {
     for scope in [Scope::Statement, Scope::Begin] {
-        let own = digest(&request(Scope::Statement));
-        let own = if scope == Scope::Begin { digest(&request(Scope::Begin)) } else { own };
+        let same = digest(&request(Scope::Statement));
+        let same = if scope == Scope::Begin { digest(&request(Scope::Begin)) } else { same };
         let table = [
-            (own.as_str(), "ran", ResultCode::AlreadyRan),
-            (own.as_str(), "abandoned", ResultCode::Abandoned),
+            (same.as_str(), "ran", ResultCode::AlreadyRan),
+            (same.as_str(), "abandoned", ResultCode::Abandoned),
             ("another digest", "ran", ResultCode::RequestKeyReused),
         ];
         for (digest, outcome, expected) in table {
             let mut repeat = request(scope);
             let failed = [done("BEGIN"), error("23505")];
-            assert!(go_on(&mut repeat, &failed, Failed).contains("SELECT digest, outcome"));
+            assert!(retry(&mut repeat, &failed, Failed).contains("SELECT digest, outcome"));
             let record = answer(&[row(&[digest, outcome]), done("SELECT 1")]);
             assert_eq!(code(repeat.on_answer(&record, Idle)), expected, "{scope:?} {outcome}");
         }
     }
 }
 
-/// The statement's own violation of another unique key is its caller's affair.
+/// A statement that violates a unique key of the tenant's own must not be taken for a conflict on
+/// the request key, although both have the same SQLSTATE.
 #[test]
-fn an_error_of_the_statement_itself_is_passed_on() {
+fn error_of_the_statement_itself_is_forwarded() {
     let mut statement = request(Scope::Statement);
-    let whole = open_answer(&[done("BEGIN"), done("INSERT 0 1"), error("23505")], b"E");
-    assert_eq!(statement.on_answer(&whole, Failed), Step::RollBack(answer(&[error("23505")])));
+    let whole_answer = open_answer(&[done("BEGIN"), done("INSERT 0 1"), error("23505")], b"E");
+    assert_eq!(
+        statement.on_answer(&whole_answer, Failed),
+        Step::RollBack(answer(&[error("23505")]))
+    );
 }
 
 #[test]
-fn doubt_is_settled_while_there_is_time() {
+fn statement_in_doubt_is_retried_until_its_deadline() {
     let doubt = Refusal::new(ResultCode::SupersededInDoubt, "replaced");
     let mut statement = request(Scope::Statement);
     assert_eq!(statement.on_refused(doubt.clone(), true), Step::Retry);
     let none = Refusal::new(ResultCode::NoPrimary, "none");
     assert_eq!(statement.on_refused(none.clone(), false), Step::Refuse(doubt.clone()));
-    // A failure of the second attempt says nothing of the first: the key is closed before.
+    // A failure of the second attempt says nothing about the first, so the key is recorded as
+    // abandoned before the client receives the failure.
     let failed = [done("BEGIN"), done("INSERT 0 1"), error("23514")];
-    assert!(go_on(&mut statement, &failed, Failed).contains("'abandoned'"));
+    assert!(retry(&mut statement, &failed, Failed).contains("'abandoned'"));
     let abandoned = answer(&[done("INSERT 0 1")]);
     assert_eq!(code(statement.on_answer(&abandoned, Idle)), ResultCode::Abandoned);
-    // Without doubt a refusal is what it says.
+    // Without an attempt in doubt, the refusal is returned unchanged.
     assert_eq!(request(Scope::Statement).on_refused(none.clone(), false), Step::Refuse(none));
 }
 
 #[test]
-fn a_transaction_in_doubt_is_abandoned_or_found_to_have_run() {
+fn transaction_in_doubt_is_abandoned_or_reported_as_committed() {
     let key = RequestKey::new("k").expect("a valid key");
     let doubt = Refusal::new(ResultCode::ConnectionLostInDoubt, "lost");
-    let settle = || KeyedRequest::resolve(&TenantName::new("fan"), &key, doubt.clone());
-    assert!(sent(&settle()).contains("'abandoned'"));
+    let resolve = || KeyedRequest::resolve(&TenantName::new("fan"), &key, doubt.clone());
+    assert!(sent(&resolve()).contains("'abandoned'"));
     assert_eq!(
-        code(settle().on_answer(&answer(&[done("INSERT 0 1")]), Idle)),
+        code(resolve().on_answer(&answer(&[done("INSERT 0 1")]), Idle)),
         ResultCode::Abandoned
     );
-    let mut ran = settle();
-    let own = sent(&ran).split('\'').nth(3).expect("the digest").to_owned();
-    go_on(&mut ran, &[error("23505")], Idle);
-    let record = answer(&[row(&[&own, "ran"])]);
+    let mut ran = resolve();
+    let digest = sent(&ran).split('\'').nth(3).expect("the digest").to_owned();
+    retry(&mut ran, &[error("23505")], Idle);
+    let record = answer(&[row(&[&digest, "ran"])]);
     assert_eq!(code(ran.on_answer(&record, Idle)), ResultCode::AlreadyRan);
-    assert_eq!(settle().on_refused(doubt.clone(), true), Step::Retry);
-    assert_eq!(settle().on_refused(doubt.clone(), false), Step::Refuse(doubt.clone()));
+    assert_eq!(resolve().on_refused(doubt.clone(), true), Step::Retry);
+    assert_eq!(resolve().on_refused(doubt.clone(), false), Step::Refuse(doubt.clone()));
 }
 
 #[test]
-fn the_setting_is_recognised_and_keys_are_checked() {
+fn request_key_setting_is_parsed_and_keys_are_validated() {
     let table = [
         ("SET kestrellock.request_id = 'a'", Some("a")),
         ("set session Kestrellock.Request_ID to 'it''s';", Some("it's")),
@@ -261,7 +268,7 @@
     let longest = "x".repeat(MAX_KEY_BYTES);
     assert!(RequestKey::new(&longest).is_ok());
     for bad in ["", "a\0b", &format!("{longest}x")] {
-        let refusal = RequestKey::new(bad).expect_err("refused");
+        let refusal = RequestKey::new(bad).expect_err("an invalid key");
         assert_eq!(refusal.code, ResultCode::RequestKeyInvalid);
     }
 }
