--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -1,4 +1,5 @@
-//! Writing entries: apply and rollback, conflicts, and waiting until they are in force.
+//! Writes entries: `apply` and `rollback`, with conflicts, retries and the wait until the change is
+//! active on all nodes.
 
 use std::io::Write;
 use std::time::Duration;
@@ -14,10 +15,10 @@
 use crate::file::EntriesFile;
 use crate::{entries, line, nodes, show};
 
-/// Attempts to learn the outcome of a request whose answer was lost.
+/// Maximum number of times that a request is sent when its answers are lost.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Applies a file's entries of one kind.
+/// Applies a file's entries of one kind and ignores the others.
 pub fn apply_kind(
     client: &Client,
     kind: EntryKind,
@@ -50,7 +51,7 @@
         (None, revision) => revision,
     };
     let request = ApplyRequest {
-        request: RequestId(arguments.request.clone().unwrap_or_else(new_request)),
+        request: RequestId(arguments.request.clone().unwrap_or_else(new_request_id)),
         author: author(arguments.author.as_deref()),
         base,
         changes,
@@ -63,14 +64,14 @@
         Err(ClientError::Refused(error)) => {
             show_conflicts(&error, &request.changes, output)?;
             let code = code_of(&error);
-            let shown = file.diagnostic(code, &error.message, error.field.as_deref());
-            Err(shown.into())
+            let diagnostic = file.diagnostic(code, &error.message, error.field.as_deref());
+            Err(diagnostic.into())
         }
         Err(error) => Err(error.into()),
     }
 }
 
-/// Writes a former version again.
+/// Applies an earlier version of an entry again.
 pub fn rollback(
     client: &Client,
     kind: EntryKind,
@@ -79,24 +80,25 @@
 ) -> Result<()> {
     let base = entries::read_all(client, kind)?.revision;
     let versions = entries::read_history(client, kind, &arguments.name)?;
-    let former = versions
+    let earlier = versions
         .into_iter()
         .find(|entry| entry.authorship.version == arguments.version)
         .ok_or_else(|| {
-        miette!("no version {} of {} is kept", arguments.version, arguments.name)
-    })?;
+            miette!("version {} of {} is not in the history", arguments.version, arguments.name)
+        })?;
     let request = ApplyRequest {
-        request: RequestId(new_request()),
+        request: RequestId(new_request_id()),
         author: author(arguments.author.as_deref()),
         base,
-        changes: vec![Change { name: former.name, value: former.value }],
+        changes: vec![Change { name: earlier.name, value: earlier.value }],
     };
     let applied = send(client, &request)?;
     report(&applied, &request, output)?;
     wait(client, applied.revision, arguments.wait, arguments.wait_seconds, output)
 }
 
-/// Sends the request, and again if its answer is lost: its number keeps it from being made twice.
+/// Sends the request and retries if no answer arrives. The request id keeps the change from being
+/// made twice.
 fn send(client: &Client, request: &ApplyRequest) -> Result<Applied, ClientError> {
     let mut attempt = 1;
     loop {
@@ -118,17 +120,17 @@
 }
 
 fn show_conflicts(error: &AdminError, changes: &[Change], output: &mut dyn Write) -> Result<()> {
-    for standing in &error.conflicting {
+    for current in &error.conflicting {
         let ours = changes.iter().find(|change| {
-            change.name == standing.name && change.value.kind() == standing.value.kind()
+            change.name == current.name && change.value.kind() == current.value.kind()
         });
         let Some(ours) = ours else { continue };
-        let authorship = &standing.authorship;
-        let by =
-            format!("{} by {} at revision {}", ours.id(), authorship.author, standing.revision.0);
+        let authorship = &current.authorship;
+        let title =
+            format!("{} by {} at revision {}", ours.id(), authorship.author, current.revision.0);
         let difference = show::difference(
-            &by,
-            &show::toml(&standing.name, &standing.value)?,
+            &title,
+            &show::toml(&current.name, &current.value)?,
             "yours",
             &show::toml(&ours.name, &ours.value)?,
         );
@@ -145,17 +147,17 @@
 fn wait(
     client: &Client,
     revision: Revision,
-    wanted: bool,
+    enabled: bool,
     seconds: u64,
     output: &mut dyn Write,
 ) -> Result<()> {
-    match wanted {
+    match enabled {
         true => nodes::wait(client, revision, Duration::from_secs(seconds), output),
         false => Ok(()),
     }
 }
 
-fn new_request() -> String {
+fn new_request_id() -> String {
     format!("{:032x}", rand::random::<u128>())
 }
 
--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -18,12 +18,12 @@
     /// file that holds the administration token (default: variable KESTRELLOCK_ADMIN_TOKEN)
     #[argh(option)]
     pub token_file: Option<PathBuf>,
-    /// what to do
+    /// command to run
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// Command to run.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 #[allow(missing_docs, reason = "documented at the arguments of the same name")]
@@ -42,31 +42,31 @@
     Digest(DigestArguments),
 }
 
-/// show what the node says of itself
+/// show the node's own status
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArguments {}
 
-/// list the live nodes and the revision that each has in force
+/// list the live nodes and the revision that is active on each
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "nodes")]
 pub struct NodesArguments {}
 
-/// show what the node knows of the database groups and who owns their instances
+/// show the database groups as the node knows them, and the owners of their instances
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "groups")]
 pub struct GroupsArguments {}
 
-/// the configuration as a whole
+/// show or apply the configuration as a whole
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "config")]
 pub struct ConfigArguments {
-    /// what to do with it
+    /// command to run
     #[argh(subcommand)]
     pub command: ConfigCommand,
 }
 
-/// What to do with the configuration as a whole.
+/// Command on the configuration as a whole.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 #[allow(missing_docs, reason = "documented at the arguments of the same name")]
@@ -75,57 +75,57 @@
     Apply(ApplyArguments),
 }
 
-/// show the newest revision and the nodes that do not have it in force
+/// show the newest revision and the nodes on which it is not active yet
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct ConfigStatusArguments {}
 
-/// failure zones, such as those that are drained
+/// show or change failure zones, for example which are drained
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "zone")]
 pub struct ZoneArguments {
-    /// what to do with them
+    /// command to run
     #[argh(subcommand)]
     pub command: EntryCommand,
 }
 
-/// database groups
+/// show or change database groups
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "group")]
 pub struct GroupArguments {
-    /// what to do with them
+    /// command to run
     #[argh(subcommand)]
     pub command: EntryCommand,
 }
 
-/// templates
+/// show or change templates
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "template")]
 pub struct TemplateArguments {
-    /// what to do with them
+    /// command to run
     #[argh(subcommand)]
     pub command: EntryCommand,
 }
 
-/// tenants
+/// show or change tenants
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "tenant")]
 pub struct TenantArguments {
-    /// what to do with them
+    /// command to run
     #[argh(subcommand)]
     pub command: EntryCommand,
 }
 
-/// accounts
+/// show or change accounts
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "account")]
 pub struct AccountArguments {
-    /// what to do with them
+    /// command to run
     #[argh(subcommand)]
     pub command: EntryCommand,
 }
 
-/// What to do with entries of one kind.
+/// Command on entries of one kind.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 #[allow(missing_docs, reason = "documented at the arguments of the same name")]
@@ -138,24 +138,24 @@
     Rollback(RollbackArguments),
 }
 
-/// write the entries of a file, all or none
+/// apply the entries of a file, all or none
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct ApplyArguments {
     /// TOML file with the entries
     #[argh(positional)]
     pub file: PathBuf,
-    /// revision that you saw: an entry written later is a conflict (default: the file's own
-    /// revision field, else the newest)
+    /// revision that the change is based on; entries written after it are conflicts (default: the
+    /// revision field of the file, else the newest revision)
     #[argh(option)]
     pub revision: Option<u64>,
-    /// who asks (default: variable USER)
+    /// author of the change (default: variable USER)
     #[argh(option)]
     pub author: Option<String>,
-    /// number of an earlier request whose outcome you did not learn
+    /// id of an earlier request with unknown outcome, to repeat it
     #[argh(option)]
     pub request: Option<String>,
-    /// return when every live node has it in force
+    /// wait until the change is active on every live node
     #[argh(switch)]
     pub wait: bool,
     /// longest wait in seconds (default 30)
@@ -163,7 +163,7 @@
     pub wait_seconds: u64,
 }
 
-/// print an entry as TOML; change it and apply it
+/// print an entry as TOML, in the form that apply reads
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "get")]
 pub struct GetArguments {
@@ -195,20 +195,20 @@
     pub name: String,
 }
 
-/// write a former version of an entry again
+/// apply an earlier version of an entry again
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "rollback")]
 pub struct RollbackArguments {
     /// name of the entry
     #[argh(positional)]
     pub name: String,
-    /// version to return to, as history shows it
+    /// version to restore, as shown by history
     #[argh(positional)]
     pub version: u64,
-    /// who asks (default: variable USER)
+    /// author of the change (default: variable USER)
     #[argh(option)]
     pub author: Option<String>,
-    /// return when every live node has it in force
+    /// wait until the change is active on every live node
     #[argh(switch)]
     pub wait: bool,
     /// longest wait in seconds (default 30)
@@ -216,28 +216,28 @@
     pub wait_seconds: u64,
 }
 
-/// put the log lines of one request in order, with what nodes believed meanwhile
+/// show the log lines of one request in order, with the state changes of the nodes meanwhile
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainCommand {
-    /// a log of JSON lines; may be given more than once, for several nodes
+    /// log file with JSON lines; may be repeated, once per node
     #[argh(option)]
     pub log: Vec<String>,
-    /// the id of the request
+    /// id of the request
     #[argh(positional)]
     pub id: String,
 }
 
-/// make the digest of a key, which is read from standard input, for an account's credentials
+/// compute the digest of a key from standard input, for an account's credentials
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "digest")]
 pub struct DigestArguments {}
 
-/// make the verifier of a password, which is read from standard input, for a tenant's logins
+/// compute the verifier of a password from standard input, for a tenant's logins
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "verifier")]
 pub struct VerifierArguments {
-    /// hash iterations: more make a stolen verifier harder to reverse, and logins slower
+    /// hash iterations; more iterations make a stolen verifier harder to reverse, but logins slower
     #[argh(option, default = "DEFAULT_ITERATIONS")]
     pub iterations: u32,
 }
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to a node's admin port.
+//! HTTP client of a node's admin port.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,43 +11,44 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Variable that holds the administration token unless a file is named.
+/// Environment variable that holds the administration token, unless a token file is given.
 pub const TOKEN_VARIABLE: &str = "KESTRELLOCK_ADMIN_TOKEN";
-/// A change may wait for a slow store; a node gives up sooner than this.
-const CALL_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of a request. It is longer than the time that a node waits for a slow store, so that the
+/// node's own answer arrives first.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Largest answer read, in bytes.
-const MAX_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
+/// Largest accepted response body, in bytes.
+const MAX_RESPONSE_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Why a node did not do what was asked.
+/// Why a request failed.
 #[derive(Debug, Error, Diagnostic)]
 pub enum ClientError {
-    /// No token.
+    /// The administration token cannot be read.
     #[error("no administration token: {0}")]
-    #[diagnostic(help("name its file with --token-file, or set KESTRELLOCK_ADMIN_TOKEN"))]
+    #[diagnostic(help("pass its file with --token-file, or set KESTRELLOCK_ADMIN_TOKEN"))]
     Token(#[from] SecretError),
-    /// No answer: the node may or may not have done it.
+    /// No response: the node may or may not have executed the request.
     #[error("no answer from {node}: {problem}")]
     Unanswered {
         /// The node.
         node: SocketAddr,
-        /// What happened.
+        /// The error of the HTTP client.
         problem: String,
     },
-    /// An answer that is not what it should be.
-    #[error("{node} answered out of protocol: {problem}")]
+    /// A response that cannot be parsed.
+    #[error("invalid answer from {node}: {problem}")]
     Protocol {
         /// The node.
         node: SocketAddr,
-        /// What is wrong.
+        /// The error of the parser.
         problem: String,
     },
-    /// The node refused.
+    /// The node refused the request.
     #[error("{}: {}", .0.code, .0.message)]
     Refused(AdminError),
 }
 
-/// A node's admin port.
+/// A client of one node's admin port.
 pub struct Client {
     node: SocketAddr,
     token: Secret,
@@ -55,42 +56,42 @@
 }
 
 impl Client {
-    /// A client with the token from `token_file`, or from [`TOKEN_VARIABLE`].
+    /// Creates a client with the token from `token_file`, or from [`TOKEN_VARIABLE`].
     pub fn new(node: SocketAddr, token_file: Option<PathBuf>) -> Result<Self, ClientError> {
         let variable = token_file.is_none().then(|| TOKEN_VARIABLE.to_owned());
         let token = SecretSource { file: token_file, variable }.read()?;
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(CALL_LIMIT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .http_status_as_error(false)
             .build();
         Ok(Self { node, token, agent: config.into() })
     }
 
-    /// Reads a page.
-    pub fn get<A: DeserializeOwned>(&self, page: &str) -> Result<A, ClientError> {
-        let request = self.agent.get(self.url(page)).header("Authorization", self.authorization());
-        self.take(request.call())
+    /// Sends a GET request for `path`.
+    pub fn get<A: DeserializeOwned>(&self, path: &str) -> Result<A, ClientError> {
+        let request = self.agent.get(self.url(path)).header("Authorization", self.authorization());
+        self.parse_response(request.call())
     }
 
-    /// Sends a value.
+    /// Sends a POST request to `path` with a JSON body.
     pub fn post<A: DeserializeOwned>(
         &self,
-        page: &str,
+        path: &str,
         body: &impl Serialize,
     ) -> Result<A, ClientError> {
-        let request = self.agent.post(self.url(page)).header("Authorization", self.authorization());
-        self.take(request.send_json(body))
+        let request = self.agent.post(self.url(path)).header("Authorization", self.authorization());
+        self.parse_response(request.send_json(body))
     }
 
-    fn url(&self, page: &str) -> String {
-        format!("http://{}{page}", self.node)
+    fn url(&self, path: &str) -> String {
+        format!("http://{}{path}", self.node)
     }
 
     fn authorization(&self) -> String {
         format!("Bearer {}", self.token.reveal())
     }
 
-    fn take<A: DeserializeOwned>(
+    fn parse_response<A: DeserializeOwned>(
         &self,
         outcome: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> Result<A, ClientError> {
@@ -102,7 +103,7 @@
         let text = response
             .body_mut()
             .with_config()
-            .limit(MAX_ANSWER_BYTES)
+            .limit(MAX_RESPONSE_BYTES)
             .read_to_string()
             .map_err(unanswered)?;
         let protocol = |error: serde_json::Error| ClientError::Protocol {
--- a/crates/ctl/src/entries.rs
+++ b/crates/ctl/src/entries.rs
@@ -1,4 +1,4 @@
-//! Reading entries: get, list, diff, history.
+//! Reads entries: `get`, `list`, `diff` and `history`.
 
 use std::io::Write;
 use std::path::Path;
@@ -10,12 +10,12 @@
 use crate::file::EntriesFile;
 use crate::{line, show};
 
-/// All entries of a kind.
+/// Reads all entries of a kind.
 pub fn read_all(client: &Client, kind: EntryKind) -> Result<Listing, ClientError> {
     client.get(&format!("/v1/configuration/{}", kind.table()))
 }
 
-/// Kept versions of an entry, newest first.
+/// Reads the stored versions of an entry, newest first.
 pub fn read_history(
     client: &Client,
     kind: EntryKind,
@@ -24,10 +24,10 @@
     client.get(&format!("/v1/history/{}/{name}", kind.table()))
 }
 
-/// Prints one entry in the form that `apply` reads, with the revision it was read at.
+/// Prints one entry in the form that `apply` reads, with the revision at which it was read.
 pub fn get(client: &Client, kind: EntryKind, name: &str, output: &mut dyn Write) -> Result<()> {
     let listing: Listing = client.get(&format!("/v1/configuration/{}/{name}", kind.table()))?;
-    tell_source(&listing, output)?;
+    print_source(&listing, output)?;
     for entry in &listing.entries {
         line(output, format!("revision = {}\n", listing.revision.0))?;
         line(output, show::toml(&entry.name, &entry.value)?.trim_end())?;
@@ -38,7 +38,7 @@
 /// Prints a line for each entry.
 pub fn list(client: &Client, kind: EntryKind, output: &mut dyn Write) -> Result<()> {
     let listing = read_all(client, kind)?;
-    tell_source(&listing, output)?;
+    print_source(&listing, output)?;
     line(output, format!("# revision {}", listing.revision.0))?;
     for entry in &listing.entries {
         line(output, describe(entry))?;
@@ -46,10 +46,12 @@
     Ok(())
 }
 
-fn tell_source(listing: &Listing, output: &mut dyn Write) -> Result<()> {
+fn print_source(listing: &Listing, output: &mut dyn Write) -> Result<()> {
     match listing.source {
         Source::Store => Ok(()),
-        Source::Active => line(output, "# the store does not answer: this is what is in force"),
+        Source::Active => {
+            line(output, "# the store does not answer: this is the active configuration")
+        }
     }
 }
 
@@ -70,8 +72,8 @@
     let file = EntriesFile::read(file)?;
     let listing = read_all(client, kind)?;
     for change in file.changes(&[kind])? {
-        let standing = listing.entries.iter().find(|entry| entry.name == change.name);
-        let old = standing.map(|entry| show::toml(&entry.name, &entry.value)).transpose()?;
+        let current = listing.entries.iter().find(|entry| entry.name == change.name);
+        let old = current.map(|entry| show::toml(&entry.name, &entry.value)).transpose()?;
         let new = show::toml(&change.name, &change.value)?;
         let id = change.id();
         let difference = show::difference(
@@ -87,7 +89,8 @@
     Ok(())
 }
 
-/// Prints who changed an entry, when, and what, newest first.
+/// Prints the versions of an entry, newest first, each with author, time and difference to the
+/// version before it.
 pub fn history(client: &Client, kind: EntryKind, name: &str, output: &mut dyn Write) -> Result<()> {
     let versions = read_history(client, kind, name)?;
     for (index, entry) in versions.iter().enumerate() {
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,8 +1,9 @@
-//! Puts the log lines of one request, from the logs of all nodes, in order, with what the nodes
-//! believed meanwhile.
+//! Collects the log lines of one request from the logs of all nodes and prints them in order,
+//! together with the events that changed a node's view of the cluster.
 //!
-//! Logs are JSON lines as `kestrellockd --log-format json` writes them. Text before a line's first
-//! brace names its node, as collectors put it there; without it the file's name does.
+//! Logs are JSON lines as `kestrellockd --log-format json` writes them. Log collectors often put
+//! the node's name in front of a line: the last word before the first brace is taken as the node.
+//! Without such a prefix, the node is the file's name without its extension.
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Write};
@@ -13,8 +14,8 @@
 
 use crate::arguments::ExplainCommand;
 
-/// Events that change what a node believes.
-const BELIEFS: &[&str] = &[
+/// Events that change a node's view of the cluster.
+const STATE_EVENTS: &[&str] = &[
     "start",
     "stop",
     "reload",
@@ -34,24 +35,25 @@
     "entry_left_out",
     "entry_unreadable",
 ];
-/// Beliefs of each node that were formed before the request arrived, at most.
-const EARLIER_BELIEFS: usize = 3;
+/// Maximum number of state events per node that are shown from before the request.
+const MAX_EARLIER_STATE_EVENTS: usize = 3;
 
 /// One line of a log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// When, in the form of the log; lines of one cluster compare as text.
+    /// Timestamp as written in the log. Timestamps of one cluster have the same format, so they are
+    /// compared as text.
     pub time: String,
-    /// The node that wrote it.
+    /// The node that wrote the line.
     pub node: String,
-    /// What it says in words.
+    /// The message text.
     pub message: String,
-    /// Its fields.
+    /// The key-value fields.
     pub fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Reads a line; `None` for what is no line of the log.
+    /// Parses a line; `None` if it is not a log line.
     pub fn parse(text: &str, default_node: &str) -> Option<Self> {
         let begin = text.find('{')?;
         let mut value: Value = serde_json::from_str(text[begin..].trim()).ok()?;
@@ -61,8 +63,8 @@
             Some(Value::Object(fields)) => fields,
             _ => Map::new(),
         };
-        let named = text[..begin].split_whitespace().last();
-        let node = named.unwrap_or(default_node).to_owned();
+        let prefix = text[..begin].split_whitespace().last();
+        let node = prefix.unwrap_or(default_node).to_owned();
         Some(Self { time, node, message, fields })
     }
 
@@ -70,47 +72,48 @@
         self.fields.get(name).and_then(Value::as_str)
     }
 
-    fn is_belief(&self) -> bool {
-        self.field("event").is_some_and(|event| BELIEFS.contains(&event))
+    fn is_state_event(&self) -> bool {
+        self.field("event").is_some_and(|event| STATE_EVENTS.contains(&event))
     }
 }
 
-/// The lines of one request, and beliefs of nodes before and meanwhile, in order; empty if no line
-/// tells of the request.
+/// The lines of one request in order, with the state events of all nodes during the request and
+/// the last state events before it of the nodes that handled it. Empty if no line has the id.
 pub fn explain(mut lines: Vec<Line>, id: &str) -> Vec<Line> {
-    lines.sort_by(|one, other| one.time.cmp(&other.time));
-    let tells = |line: &&Line| line.field("id") == Some(id);
-    let own: Vec<&Line> = lines.iter().filter(tells).collect();
-    let (Some(first), Some(last)) = (own.first(), own.last()) else { return Vec::new() };
+    lines.sort_by(|a, b| a.time.cmp(&b.time));
+    let has_id = |line: &&Line| line.field("id") == Some(id);
+    let matches: Vec<&Line> = lines.iter().filter(has_id).collect();
+    let (Some(first), Some(last)) = (matches.first(), matches.last()) else { return Vec::new() };
     let (first, last) = (first.time.clone(), last.time.clone());
-    let nodes: BTreeSet<&str> = own.iter().map(|line| line.node.as_str()).collect();
-    let mut wanted: Vec<Line> = own.into_iter().cloned().collect();
-    let meanwhile = |line: &&Line| line.is_belief() && (&first..=&last).contains(&&line.time);
-    wanted.extend(lines.iter().filter(meanwhile).cloned());
+    let nodes: BTreeSet<&str> = matches.iter().map(|line| line.node.as_str()).collect();
+    let mut selected: Vec<Line> = matches.into_iter().cloned().collect();
+    let meanwhile = |line: &&Line| line.is_state_event() && (&first..=&last).contains(&&line.time);
+    selected.extend(lines.iter().filter(meanwhile).cloned());
     for node in nodes {
-        let earlier = lines.iter().rev().filter(|line| line.is_belief() && line.time < first);
+        let earlier = lines.iter().rev().filter(|line| line.is_state_event() && line.time < first);
         let of_node = earlier.filter(|line| line.node == node);
-        wanted.extend(of_node.take(EARLIER_BELIEFS).cloned());
+        selected.extend(of_node.take(MAX_EARLIER_STATE_EVENTS).cloned());
     }
-    wanted.sort_by(|one, other| one.time.cmp(&other.time));
-    wanted
+    selected.sort_by(|a, b| a.time.cmp(&b.time));
+    selected
 }
 
-/// Reads logs and prints what they tell of one request.
+/// Reads log files and prints the lines that explain one request.
 pub fn run(command: &ExplainCommand, output: &mut dyn Write) -> Result<()> {
     let mut lines = Vec::new();
     for path in &command.log {
         lines.extend(read(Path::new(path))?);
     }
-    let told = explain(lines, &command.id);
-    if told.is_empty() {
+    let explanation = explain(lines, &command.id);
+    if explanation.is_empty() {
         return Err(miette!(
-            help = "ordinary successes are told up to a rate; the rest is only counted",
-            "no line tells of request {}",
+            help =
+                "routine lines of successful requests are rate-limited; the rest is only counted",
+            "no log line has the request id {}",
             command.id
         ));
     }
-    for line in told {
+    for line in explanation {
         print(&line, &command.id, output)?;
     }
     Ok(())
@@ -119,7 +122,7 @@
 fn read(path: &Path) -> Result<Vec<Line>> {
     let file = std::fs::File::open(path)
         .into_diagnostic()
-        .wrap_err_with(|| format!("the log {} cannot be read", path.display()))?;
+        .wrap_err_with(|| format!("cannot read log {}", path.display()))?;
     let node = path.file_stem().map(|stem| stem.to_string_lossy().into_owned());
     let node = node.unwrap_or_default();
     let mut lines = Vec::new();
@@ -132,8 +135,9 @@
 
 fn print(line: &Line, id: &str, output: &mut dyn Write) -> Result<()> {
     let mark = if line.field("id") == Some(id) { '>' } else { ' ' };
-    let told = line.fields.iter().filter(|(name, _)| *name != "id");
-    let fields: Vec<String> = told.map(|(name, value)| format!("{name}={}", text(value))).collect();
+    let fields = line.fields.iter().filter(|(name, _)| *name != "id");
+    let fields: Vec<String> =
+        fields.map(|(name, value)| format!("{name}={}", text(value))).collect();
     let (time, node, message) = (&line.time, &line.node, &line.message);
     writeln!(output, "{mark} {time} {node} {message}: {}", fields.join(" ")).into_diagnostic()
 }
--- a/crates/ctl/src/file.rs
+++ b/crates/ctl/src/file.rs
@@ -1,4 +1,4 @@
-//! The operators' TOML files of entries.
+//! Operators' TOML files with configuration entries.
 
 use std::path::Path;
 
@@ -8,11 +8,11 @@
 use kestrellock_program::diagnostic::{FileDiagnostic, span_of};
 use miette::{IntoDiagnostic, Result, WrapErr};
 
-/// A file that parsed.
+/// A parsed file.
 pub struct EntriesFile {
     name: String,
     text: String,
-    /// What it holds; the revision is zero unless the file names one.
+    /// Its entries. The revision is zero unless the file states one.
     pub catalog: Catalog,
 }
 
@@ -30,7 +30,7 @@
         Ok(Self { name, text, catalog })
     }
 
-    /// Entries of some kinds; none is an error.
+    /// The entries of `kinds`; an error if there are none.
     pub fn changes(&self, kinds: &[EntryKind]) -> Result<Vec<Change>> {
         let changes: Vec<Change> =
             kinds.iter().flat_map(|kind| self.catalog.entries(*kind)).collect();
@@ -42,7 +42,7 @@
         Ok(changes)
     }
 
-    /// A complaint that points at a field of the file, if the file has it.
+    /// Creates a diagnostic that points at `field`, if the file contains it.
     pub fn diagnostic(
         &self,
         code: ResultCode,
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! kestrellockctl: the operators' command line, as a library so that tests can drive it.
+//! The implementation of `kestrellockctl`, the operators' command line, as a library so that tests
+//! can call it.
 
 pub mod apply;
 pub mod arguments;
@@ -19,7 +20,7 @@
 use kestrellock_core::admin::NodeStatus;
 use kestrellock_core::admin::configuration::EntryKind;
 
-/// Carries out one command line; what it has to tell goes to `output`.
+/// Runs one command and writes its output to `output`.
 pub fn run(arguments: Arguments, output: &mut dyn Write) -> Result<()> {
     let Arguments { node, token_file, command, .. } = arguments;
     let client = || Client::new(node, token_file);
@@ -42,17 +43,19 @@
             ConfigCommand::Status(_) => nodes::status(&client()?, output),
             ConfigCommand::Apply(apply) => apply::apply_all(&client()?, &apply, output),
         },
-        Command::Zone(zone) => entry(&client()?, EntryKind::Zone, zone.command, output),
-        Command::Group(group) => entry(&client()?, EntryKind::Group, group.command, output),
+        Command::Zone(zone) => run_entry(&client()?, EntryKind::Zone, zone.command, output),
+        Command::Group(group) => run_entry(&client()?, EntryKind::Group, group.command, output),
         Command::Template(template) => {
-            entry(&client()?, EntryKind::Template, template.command, output)
+            run_entry(&client()?, EntryKind::Template, template.command, output)
+        }
+        Command::Tenant(tenant) => run_entry(&client()?, EntryKind::Tenant, tenant.command, output),
+        Command::Account(account) => {
+            run_entry(&client()?, EntryKind::Account, account.command, output)
         }
-        Command::Tenant(tenant) => entry(&client()?, EntryKind::Tenant, tenant.command, output),
-        Command::Account(account) => entry(&client()?, EntryKind::Account, account.command, output),
     }
 }
 
-fn entry(
+fn run_entry(
     client: &Client,
     kind: EntryKind,
     command: EntryCommand,
--- a/crates/ctl/src/nodes.rs
+++ b/crates/ctl/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Which nodes live, and which revision each has in force.
+//! The live nodes and the revision that is active on each.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -25,7 +25,7 @@
     Ok(())
 }
 
-/// Prints the newest revision in force anywhere, and the nodes that are behind.
+/// Prints the newest revision that is active on any node, and the nodes that are behind it.
 pub fn status(client: &Client, output: &mut dyn Write) -> Result<()> {
     let nodes = read(client)?;
     let newest = nodes.iter().map(|node| node.revision).max().unwrap_or_default();
@@ -43,7 +43,8 @@
     behind.map(|node| format!("{} (revision {})", node.node, node.revision.0)).collect()
 }
 
-/// Returns when every live node has `revision` in force; names those that have not in time.
+/// Waits until `revision` is active on every live node. After `limit`, returns an error that names
+/// the nodes that are behind.
 pub fn wait(
     client: &Client,
     revision: Revision,
@@ -54,15 +55,16 @@
     loop {
         let nodes = read(client)?;
         let behind = names_behind(&nodes, revision);
-        // A node that has not joined yet knows of none, not even itself.
+        // A node that has not joined the cluster yet lists no nodes, not even itself.
         if behind.is_empty() && !nodes.is_empty() {
             let count = nodes.len();
             return line(output, format!("revision {} in force on {count} nodes", revision.0));
         }
         if Instant::now() >= deadline {
             let code = ResultCode::NotInForceEverywhere;
-            let none = || vec!["any node: the one asked has not joined yet".to_owned()];
-            let names = if behind.is_empty() { none() } else { behind };
+            let not_joined =
+                || vec!["any node: the queried node has not joined the cluster yet".to_owned()];
+            let names = if behind.is_empty() { not_joined() } else { behind };
             let names = names.join(", ");
             return Err(miette!("{code}: revision {} not in force on {names}", revision.0));
         }
--- a/crates/ctl/src/show.rs
+++ b/crates/ctl/src/show.rs
@@ -1,4 +1,4 @@
-//! Printing: JSON, TOML, differences, times.
+//! Formats output: JSON, TOML, differences and times.
 
 use std::io::Write;
 
@@ -11,29 +11,29 @@
 
 use crate::line;
 
-/// Indented JSON.
+/// Prints a value as indented JSON.
 pub fn json(value: &impl Serialize, output: &mut dyn Write) -> Result<()> {
     line(output, serde_json::to_string_pretty(value).into_diagnostic()?)
 }
 
-/// An entry as a file that can be applied has it.
+/// Formats an entry as TOML, as in a file that can be applied.
 pub fn toml(name: &str, value: &EntryValue) -> Result<String> {
     let mut catalog = Catalog::default();
     catalog.insert(name, value.clone());
     let text = toml::to_string_pretty(&catalog).into_diagnostic()?;
     let kinds = EntryKind::ALL.map(|kind| format!("[{}]", kind.table()));
-    let shown =
+    let belongs_to_entry =
         |line: &&str| !line.starts_with("revision = ") && !kinds.iter().any(|empty| line == empty);
-    let lines: Vec<&str> = text.lines().filter(shown).collect();
+    let lines: Vec<&str> = text.lines().filter(belongs_to_entry).collect();
     Ok(lines.join("\n").trim_start().to_owned() + "\n")
 }
 
-/// Difference between two texts, by lines; empty if there is none.
+/// Unified diff of two texts; empty if they are equal.
 pub fn difference(old_name: &str, old: &str, new_name: &str, new: &str) -> String {
     TextDiff::from_lines(old, new).unified_diff().header(old_name, new_name).to_string()
 }
 
-/// A time in milliseconds since 1970; a dash if it is not known.
+/// Formats a time in milliseconds since the Unix epoch; a dash if it is zero, which means unknown.
 pub fn time(at_ms: u64) -> String {
     match at_ms {
         0 => "-".to_owned(),
--- a/crates/ctl/src/verifier.rs
+++ b/crates/ctl/src/verifier.rs
@@ -1,5 +1,5 @@
-//! Verifiers of passwords and digests of keys. A secret comes from standard input alone, so that it
-//! stands in no list of processes and no shell history.
+//! Verifiers of passwords and digests of keys. Secrets are read from standard input only, so that
+//! they appear neither in process lists nor in shell histories.
 
 use std::io::{BufRead, Write};
 
@@ -11,32 +11,32 @@
 use crate::arguments::VerifierArguments;
 use crate::line;
 
-/// Reads a password's line and prints its verifier.
+/// Reads a password and prints its verifier.
 pub fn print_verifier(
     arguments: &VerifierArguments,
     input: &mut dyn BufRead,
     output: &mut dyn Write,
 ) -> Result<()> {
-    let password = secret(input)?;
+    let password = read_secret(input)?;
     if password.is_empty() || arguments.iterations == 0 {
-        let problem = "a password on standard input and at least one iteration are needed";
+        let problem = "a password on standard input and at least one iteration are required";
         return Err(UsageError(problem.to_owned()).into());
     }
     line(output, Verifier::from_password(&password, rand::random(), arguments.iterations))
 }
 
-/// Reads a key's line and prints its digest.
+/// Reads a key and prints its digest.
 pub fn print_digest(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<()> {
-    let key = secret(input)?;
+    let key = read_secret(input)?;
     if key.is_empty() || key.contains(char::is_whitespace) {
-        let problem = "a key without blanks is needed on standard input";
+        let problem = "a key without whitespace is required on standard input";
         return Err(UsageError(problem.to_owned()).into());
     }
     line(output, CredentialDigest::of(&key))
 }
 
-/// The first line of the input, without its end.
-fn secret(input: &mut dyn BufRead) -> Result<String> {
+/// Reads the first line of the input, without its line ending.
+fn read_secret(input: &mut dyn BufRead) -> Result<String> {
     let mut secret = String::new();
     input.read_line(&mut secret).into_diagnostic()?;
     Ok(secret.trim_end_matches(['\r', '\n']).to_owned())
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `kestrellockctl explain`: from the id of a request to its cause, across nodes.
+//! `kestrellockctl explain`: finds the log lines that explain a request, across nodes.
 
 use kestrellock_ctl::explain::{Line, explain};
 use kestrellock_ctl::{arguments::Arguments, run};
@@ -21,12 +21,12 @@
 }
 
 #[test]
-fn the_lines_of_a_request_stand_in_order_with_the_beliefs_of_that_time() {
+fn request_lines_are_ordered_with_the_state_events_of_all_nodes() {
     let mut all = lines(NODE_A, "a");
     all.extend(lines(NODE_B, "b"));
-    let told = explain(all, "aa");
-    let told: Vec<(&str, &str)> =
-        told.iter().map(|line| (line.node.as_str(), line.message.as_str())).collect();
+    let explanation = explain(all, "aa");
+    let explanation: Vec<(&str, &str)> =
+        explanation.iter().map(|line| (line.node.as_str(), line.message.as_str())).collect();
     let expected = [
         ("a", "the node runs"),
         ("a", "waits"),
@@ -34,11 +34,11 @@
         ("b", "retrying the request"),
         ("a", "refused"),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(explanation, expected);
 }
 
 #[test]
-fn text_before_a_line_names_its_node() {
+fn prefix_of_a_line_names_its_node() {
     let text = r#" 12.5 node-7 {"timestamp":"t","message":"m","kvs":{"event":"stop"}}"#;
     let line = Line::parse(text, "file").expect("a line");
     assert_eq!(line.node, "node-7");
@@ -49,23 +49,23 @@
 fn explain_files(id: &str) -> (Result<(), String>, String) {
     let folder = std::env::temp_dir().join(format!("explain-{}-{id}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let mut line = vec!["explain".to_owned(), id.to_owned()];
+    let mut args = vec!["explain".to_owned(), id.to_owned()];
     for (name, text) in [("a", NODE_A), ("b", NODE_B)] {
         let path = folder.join(format!("{name}.json"));
         std::fs::write(&path, text).expect("a file");
-        line.extend(["--log".to_owned(), path.display().to_string()]);
+        args.extend(["--log".to_owned(), path.display().to_string()]);
     }
-    let line: Vec<&str> = line.iter().map(String::as_str).collect();
-    let arguments: Arguments = argh::FromArgs::from_args(&["kestrellockctl"], &line)
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    let arguments: Arguments = argh::FromArgs::from_args(&["kestrellockctl"], &args)
         .unwrap_or_else(|early| panic!("{}", early.output));
     let mut output = Vec::new();
     let result = run(arguments, &mut output).map_err(|error| error.to_string());
-    std::fs::remove_dir_all(&folder).expect("it is there");
+    std::fs::remove_dir_all(&folder).expect("the folder exists");
     (result, String::from_utf8(output).expect("text"))
 }
 
 #[test]
-fn the_command_reads_the_logs_of_all_nodes() {
+fn explain_reads_the_logs_of_all_nodes() {
     let (result, output) = explain_files("aa");
     assert_eq!(result, Ok(()));
     let refused = output.lines().last().expect("lines");
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn an_id_without_a_line_is_an_error() {
+fn request_id_without_log_lines_is_an_error() {
     let (result, output) = explain_files("none");
-    assert!(result.expect_err("there is no line").contains("none"));
+    assert!(result.expect_err("no line has the id").contains("none"));
     assert_eq!(output, "");
 }
--- a/crates/program/src/diagnostic.rs
+++ b/crates/program/src/diagnostic.rs
@@ -1,4 +1,4 @@
-//! Diagnostics that point at the faulty line of a TOML file an operator wrote.
+//! Diagnostics that point at the invalid line of an operator's TOML file.
 
 use std::ops::Range;
 
@@ -7,21 +7,21 @@
 use thiserror::Error;
 use toml::de::{DeTable, DeValue};
 
-/// A numbered complaint about a file, pointing at the faulty place where it is known.
+/// An error in a file, with its result code and its location if that is known.
 #[derive(Debug, Error)]
 #[error("{code}: {message}")]
 pub struct FileDiagnostic {
-    /// Number of the complaint.
+    /// Result code.
     pub code: ResultCode,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
-    /// Faulty bytes of the file.
+    /// Byte range of the invalid value in the file.
     pub span: Option<Range<usize>>,
     file: Box<NamedSource<String>>,
 }
 
 impl FileDiagnostic {
-    /// A complaint about `text`, which was read from the file called `name`.
+    /// Creates a diagnostic about `text`, which was read from the file called `name`.
     pub fn new(
         code: ResultCode,
         message: impl Into<String>,
@@ -50,14 +50,14 @@
     }
 }
 
-/// Bytes of `text` that hold the value at `path`, such as `instances[1].slots`; the nearest
-/// enclosing value if that one is absent, and `None` if `text` is not TOML.
+/// Byte range of the value at `path`, such as `instances[1].slots`, in `text`. If the value is
+/// absent, the range of the nearest enclosing value; `None` if there is none or `text` is not TOML.
 pub fn span_of(text: &str, path: &str) -> Option<Range<usize>> {
     let table = DeTable::parse(text).ok()?;
     let mut span = None;
-    let mut found: Option<&DeValue> = None;
+    let mut current: Option<&DeValue> = None;
     for step in steps(path) {
-        let next = match (step, found) {
+        let next = match (step, current) {
             (Step::Key(key), None) => table.get_ref().get(key),
             (Step::Key(key), Some(value)) => value.as_table().and_then(|table| table.get(key)),
             (Step::Index(index), Some(value)) => {
@@ -67,7 +67,7 @@
         };
         let Some(next) = next else { break };
         span = Some(next.span());
-        found = Some(next.get_ref());
+        current = Some(next.get_ref());
     }
     span
 }
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the three programs share: command line, exit codes, diagnostics, logging and secrets.
+//! Code shared by the three programs: command line, exit codes, diagnostics, logging and secrets.
 
 pub mod command_line;
 pub mod diagnostic;
--- a/crates/program/src/logging.rs
+++ b/crates/program/src/logging.rs
@@ -1,8 +1,9 @@
-//! Logging: text or JSON lines on standard output, at a level chosen by flag.
+//! Logging: text or JSON lines on standard output.
 //!
-//! Whoever logs never waits: lines go through a bounded queue to a thread that writes them. When
-//! the queue is half full lines of ordinary successes are dropped, when it is full all are; how many
-//! were dropped is told in a line of its own once there is room again.
+//! Logging never blocks the calling thread: lines go through a bounded queue to a thread that
+//! writes them. When the queue is half full, routine lines are dropped; when it is full, all lines
+//! are dropped. The number of dropped lines is logged in a separate line once the queue is less
+//! than half full again.
 
 use std::io::Write;
 use std::str::FromStr;
@@ -18,21 +19,22 @@
 use logforth::record::Record;
 use logforth::{Diagnostic, Error, starter_log};
 
-/// Target of lines that tell the ordinary success of a request.
+/// Log target of routine lines, which report successful requests.
 pub const ROUTINE_TARGET: &str = "kestrellock::ordinary";
-/// Lines that may wait for the writer.
+/// Capacity of the queue to the writer thread, in lines.
 pub const QUEUE_LINES: usize = 4096;
-/// Longest wait for the writer when the process ends.
-const FLUSH_LIMIT: Duration = Duration::from_millis(200);
-const FLUSH_STEP: Duration = Duration::from_millis(2);
+/// Longest time that a flush waits for the writer thread, so that a blocked output does not delay
+/// the end of the process.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Shape of a log line.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -43,7 +45,7 @@
         match text {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            other => Err(format!("{other:?} is neither text nor json")),
+            other => Err(format!("{other:?} is not a log format; use text or json")),
         }
     }
 }
@@ -51,15 +53,15 @@
 /// Counters of the queue.
 #[derive(Debug, Default)]
 struct Counters {
-    /// Lines dropped since the process began.
+    /// Lines dropped since the process started.
     dropped: AtomicU64,
-    /// Of those, the ones that a line has told.
-    told: AtomicU64,
-    /// Lines handed to the writer and not written yet.
+    /// Dropped lines that have been reported in the log.
+    reported: AtomicU64,
+    /// Lines sent to the writer thread and not written yet.
     pending: AtomicU64,
 }
 
-/// An appender that never blocks: it hands lines to a thread.
+/// A non-blocking appender that sends lines to a writer thread.
 #[derive(Debug)]
 pub struct QueuedAppender {
     layout: Box<dyn Layout>,
@@ -68,29 +70,30 @@
 }
 
 impl QueuedAppender {
-    /// Lines in `layout`, written to `output` by a thread of their own.
+    /// Creates an appender that formats lines with `layout`, and starts the thread that writes them
+    /// to `output`.
     pub fn new(
         layout: impl Into<Box<dyn Layout>>,
         output: impl Write + Send + 'static,
     ) -> std::io::Result<Self> {
         let (lines, queue) = bounded(QUEUE_LINES);
         let counters = Arc::new(Counters::default());
-        let written = counters.clone();
+        let writer_counters = counters.clone();
         thread::Builder::new()
             .name("log-writer".to_owned())
-            .spawn(move || write_lines(&queue, output, &written))?;
+            .spawn(move || write_lines(&queue, output, &writer_counters))?;
         Ok(Self { layout: layout.into(), lines, counters })
     }
 
-    /// Lines dropped since the process began.
+    /// Lines dropped since the process started.
     pub fn dropped(&self) -> u64 {
         self.counters.dropped.load(Ordering::Relaxed)
     }
 
-    fn put(&self, line: Vec<u8>, is_ordinary: bool) {
+    fn put(&self, line: Vec<u8>, is_routine: bool) {
         let is_half_full = self.lines.len() >= QUEUE_LINES / 2;
         self.counters.pending.fetch_add(1, Ordering::AcqRel);
-        let outcome = match is_ordinary && is_half_full {
+        let outcome = match is_routine && is_half_full {
             true => Err(TrySendError::Full(line)),
             false => self.lines.try_send(line),
         };
@@ -100,27 +103,28 @@
         }
     }
 
-    /// The line that tells how many were dropped, if any were since the last one.
-    fn report_of_dropped(&self) -> Option<Vec<u8>> {
+    /// The line that reports how many lines were dropped since the last report. `None` if there are
+    /// none, or while the queue is at least half full.
+    fn dropped_lines_report(&self) -> Option<Vec<u8>> {
         let dropped = self.dropped();
-        let told = self.counters.told.load(Ordering::Relaxed);
-        if dropped == told || self.lines.len() >= QUEUE_LINES / 2 {
+        let reported = self.counters.reported.load(Ordering::Relaxed);
+        if dropped == reported || self.lines.len() >= QUEUE_LINES / 2 {
             return None;
         }
-        let swap = self.counters.told.compare_exchange(
-            told,
+        let swap = self.counters.reported.compare_exchange(
+            reported,
             dropped,
             Ordering::Relaxed,
             Ordering::Relaxed,
         );
-        let count = dropped - told;
+        let count = dropped - reported;
         swap.ok().map(|_| format!("{{\"event\":\"lines_dropped\",\"count\":{count}}}").into_bytes())
     }
 }
 
 impl Append for QueuedAppender {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        if let Some(report) = self.report_of_dropped() {
+        if let Some(report) = self.dropped_lines_report() {
             self.put(report, false);
         }
         let line = self.layout.format(record, diagnostics)?;
@@ -129,15 +133,16 @@
     }
 
     fn flush(&self) -> Result<(), Error> {
-        let end = Instant::now() + FLUSH_LIMIT;
-        while self.counters.pending.load(Ordering::Acquire) > 0 && Instant::now() < end {
-            thread::sleep(FLUSH_STEP);
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while self.counters.pending.load(Ordering::Acquire) > 0 && Instant::now() < deadline {
+            thread::sleep(FLUSH_POLL_INTERVAL);
         }
         Ok(())
     }
 }
 
-/// Writes lines until nobody can send any more. A reader that has gone away ends nothing else.
+/// Writes lines until all senders are gone. Write errors are ignored, so that a closed output does
+/// not stop the process.
 fn write_lines(queue: &Receiver<Vec<u8>>, mut output: impl Write, counters: &Counters) {
     for mut line in queue {
         line.push(b'\n');
@@ -149,7 +154,7 @@
     }
 }
 
-/// Starts logging for the whole process. A second call changes nothing.
+/// Starts logging for the whole process. A second call has no effect.
 pub fn start(level: LevelFilter, format: LogFormat) {
     let output = std::io::BufWriter::new(std::io::stdout());
     let queued = match format {
@@ -163,7 +168,7 @@
     }
 }
 
-/// Waits a moment for the lines that are still to be written.
+/// Waits until the pending lines are written, 200 ms at most.
 pub fn flush() {
     log::logger().flush();
 }
--- a/crates/program/src/secret.rs
+++ b/crates/program/src/secret.rs
@@ -1,4 +1,4 @@
-//! Secrets: values that come from files or environment variables and are never shown.
+//! Secrets: values that come from files or environment variables and are never printed or logged.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use subtle::ConstantTimeEq;
 use thiserror::Error;
 
-/// A value that shows in no log, status or error.
+/// A value that never appears in logs, status pages or errors.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(Box<str>);
 
@@ -17,12 +17,13 @@
         Self(text.into().into_boxed_str())
     }
 
-    /// The value itself, for the one place that needs it.
+    /// The plain value, for the code that must use it.
     pub fn reveal(&self) -> &str {
         &self.0
     }
 
-    /// Whether `candidate` is this secret, in a time that does not depend on where they differ.
+    /// Whether `candidate` equals this secret. The comparison takes the same time wherever they
+    /// differ, so that its duration reveals nothing about the secret.
     pub fn matches(&self, candidate: &str) -> bool {
         self.0.as_bytes().ct_eq(candidate.as_bytes()).into()
     }
@@ -34,22 +35,22 @@
     }
 }
 
-/// Where a secret is read from: exactly one of the fields.
+/// Source of a secret. Exactly one of the fields must be set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SecretSource {
     /// A file whose first line is the secret.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub file: Option<PathBuf>,
-    /// An environment variable that holds it.
+    /// An environment variable that holds the secret.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub variable: Option<String>,
 }
 
-/// Why a secret is not to be had.
+/// Why a secret cannot be read.
 #[derive(Debug, Error)]
 pub enum SecretError {
-    /// None or both of the two sources are named.
+    /// Neither or both of the two sources are set.
     #[error("name either a file or a variable")]
     Ambiguous,
     /// The file cannot be read.
@@ -57,19 +58,19 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the operating system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The variable is not set, or not text.
+    /// The variable is not set, or its value is not Unicode.
     #[error("environment variable {0} is not set")]
     Variable(String),
-    /// The secret has no characters.
+    /// The secret is empty.
     #[error("the secret is empty")]
     Empty,
 }
 
 impl SecretSource {
-    /// Whether exactly one source is named.
+    /// Checks that exactly one source is set.
     pub fn check(&self) -> Result<(), SecretError> {
         match (&self.file, &self.variable) {
             (Some(_), None) | (None, Some(_)) => Ok(()),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Reads the secret.
+    /// Reads the secret and removes surrounding whitespace.
     pub fn read(&self) -> Result<Secret, SecretError> {
         let text = match (&self.file, &self.variable) {
             (Some(path), None) => std::fs::read_to_string(path)
--- a/crates/program/tests/command_line.rs
+++ b/crates/program/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Help, version and wrong use of a command line.
+//! Help, version and usage errors of a command line.
 
 use argh::FromArgs;
 use kestrellock_program::command_line::{Invocation, parse};
@@ -12,14 +12,14 @@
 }
 
 #[test]
-fn words_lead_to_run_print_or_wrong_use() {
-    let parse = |words: &[&str]| parse::<Sample>("sample", words);
+fn arguments_are_parsed_printed_or_rejected() {
+    let parse = |args: &[&str]| parse::<Sample>("sample", args);
     assert_eq!(parse(&["--number", "7"]), Invocation::Run(Sample { number: 7 }));
     assert!(matches!(parse(&["--help"]), Invocation::Print(text) if text.contains("--number")));
     assert!(
         matches!(parse(&["--version"]), Invocation::Print(text) if text.starts_with("sample "))
     );
-    for wrong in [&["--number", "seven"][..], &["--nmber", "7"], &[], &["stray"]] {
-        assert!(matches!(parse(wrong), Invocation::UsageError(_)), "{wrong:?}");
+    for invalid in [&["--number", "seven"][..], &["--nmber", "7"], &[], &["stray"]] {
+        assert!(matches!(parse(invalid), Invocation::UsageError(_)), "{invalid:?}");
     }
 }
