--- a/crates/postgres/src/backend.rs
+++ b/crates/postgres/src/backend.rs
@@ -81,7 +81,7 @@
         if exchange.taints {
             self.connection_state.taint();
         }
-        self.prepared.send(&exchange.statements, &exchange.frames, output);
+        self.prepared.put_exchange(&exchange.statements, &exchange.frames, output);
     }
 
     fn reply_action(&mut self, reply: &Reply) -> ReplyAction {
--- a/crates/postgres/src/batch.rs
+++ b/crates/postgres/src/batch.rs
@@ -19,7 +19,7 @@
 use crate::collector::ROLLBACK_REPLY;
 use crate::extended::{self, BindFields, NamedObject, ParseFields, STATEMENT_KIND};
 use crate::frames::Frame;
-use crate::statements::{SessionStatement, Statements};
+use crate::statements::{SessionStatement, SessionStatements};
 
 /// Size of the largest batch that a node buffers. A larger batch is refused.
 pub const MAX_BATCH_BYTES: usize = 32 * 1024 * 1024;
@@ -43,7 +43,7 @@
 #[derive(Debug, Default)]
 pub struct Batch {
     messages: BytesMut,
-    /// Statements that must exist on the connection before the batch is sent.
+    /// SessionStatements that must exist on the connection before the batch is sent.
     required: Vec<PreparedStatement>,
     /// Shared names of statements that the batch itself creates.
     created: Vec<String>,
@@ -68,7 +68,7 @@
     pub fn add(
         &mut self,
         frame: &Frame,
-        statements: &mut Statements,
+        statements: &mut SessionStatements,
         facts_cache: &mut FactsCache,
     ) {
         if self.refusal.is_some() {
@@ -82,7 +82,7 @@
     fn try_add(
         &mut self,
         frame: &Frame,
-        statements: &mut Statements,
+        statements: &mut SessionStatements,
         facts_cache: &mut FactsCache,
     ) -> Result<(), Refusal> {
         if self.messages.len() + frame.bytes.len() > MAX_BATCH_BYTES {
@@ -107,7 +107,7 @@
     fn add_parse(
         &mut self,
         frame: &Frame,
-        statements: &mut Statements,
+        statements: &mut SessionStatements,
         facts_cache: &mut FactsCache,
     ) -> Result<(), Refusal> {
         let fields = ParseFields::read(frame.body()).ok_or_else(malformed)?;
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    fn add_bind(&mut self, frame: &Frame, statements: &Statements) -> Result<(), Refusal> {
+    fn add_bind(&mut self, frame: &Frame, statements: &SessionStatements) -> Result<(), Refusal> {
         let fields = BindFields::read(frame.body()).ok_or_else(malformed)?;
         let statement = find(statements, fields.statement)?;
         self.require(&statement.shared);
@@ -139,7 +139,11 @@
         Ok(())
     }
 
-    fn add_describe(&mut self, frame: &Frame, statements: &Statements) -> Result<(), Refusal> {
+    fn add_describe(
+        &mut self,
+        frame: &Frame,
+        statements: &SessionStatements,
+    ) -> Result<(), Refusal> {
         let object = NamedObject::read(frame.body()).ok_or_else(malformed)?;
         self.needs_instance = true;
         if object.kind != STATEMENT_KIND {
@@ -170,7 +174,11 @@
         Ok(())
     }
 
-    fn add_close(&mut self, frame: &Frame, statements: &mut Statements) -> Result<(), Refusal> {
+    fn add_close(
+        &mut self,
+        frame: &Frame,
+        statements: &mut SessionStatements,
+    ) -> Result<(), Refusal> {
         let object = NamedObject::read(frame.body()).ok_or_else(malformed)?;
         self.replies.extend_from_slice(CLOSE_COMPLETE);
         if object.kind == STATEMENT_KIND {
@@ -238,7 +246,10 @@
     Refusal::new(ResultCode::ProtocolViolation, "message body is malformed")
 }
 
-fn find<'a>(statements: &'a Statements, name: &[u8]) -> Result<&'a SessionStatement, Refusal> {
+fn find<'a>(
+    statements: &'a SessionStatements,
+    name: &[u8],
+) -> Result<&'a SessionStatement, Refusal> {
     statements.get(name).ok_or_else(|| {
         let name = String::from_utf8_lossy(name);
         let detail = format!("prepared statement \"{name}\" does not exist");
--- a/crates/postgres/src/collector.rs
+++ b/crates/postgres/src/collector.rs
@@ -8,7 +8,7 @@
 use crate::batch::Batch;
 use crate::extended;
 use crate::frames::{self, Frame};
-use crate::statements::Statements;
+use crate::statements::SessionStatements;
 
 /// Answer to a `ROLLBACK`, without `ReadyForQuery`.
 pub(super) const ROLLBACK_REPLY: &[u8] = b"C\0\0\0\x0dROLLBACK\0";
@@ -18,7 +18,7 @@
 pub struct Collector {
     batch: Batch,
     /// The client's prepared statements.
-    pub statements: Statements,
+    pub statements: SessionStatements,
 }
 
 impl Collector {
--- a/crates/postgres/src/prepared.rs
+++ b/crates/postgres/src/prepared.rs
@@ -66,7 +66,7 @@
 
     /// Appends an exchange's messages to `output`, adjusted to the statements that exist on the
     /// connection. `required` are the statements that the exchange uses without creating them.
-    pub fn send(
+    pub fn put_exchange(
         &mut self,
         required: &[PreparedStatement],
         messages: &Bytes,
--- a/crates/postgres/src/request_key.rs
+++ b/crates/postgres/src/request_key.rs
@@ -31,8 +31,8 @@
 const OUTCOME_RAN: &str = "ran";
 /// Prefix of the command tag in the record of a statement.
 const OUTCOME_RAN_PREFIX: &str = "ran: ";
-/// Command tag that a repeated transaction is answered with. Its record is only visible after the
-/// transaction has committed.
+/// Command tag that is reported for a repeated transaction. The record of a transaction is only
+/// visible after the transaction has committed.
 const COMMIT_TAG: &str = "COMMIT";
 /// Number of replies before those of a single statement: `BEGIN` and the insert of the record.
 const PRECEDING_REPLIES: usize = 2;
@@ -172,8 +172,8 @@
         self.phase != Phase::Run
     }
 
-    /// Whether the answer must be buffered until it is complete, because it starts with replies
-    /// that the client must not see.
+    /// Whether the answer must be buffered until it is complete. A single statement's answer is only
+    /// forwarded once its commit has succeeded.
     pub fn must_buffer_answer(&self) -> bool {
         self.scope == Scope::Statement
     }
--- a/crates/postgres/src/statements.rs
+++ b/crates/postgres/src/statements.rs
@@ -42,11 +42,11 @@
 
 /// One client's prepared statements by the client's names.
 #[derive(Debug, Default)]
-pub struct Statements {
+pub struct SessionStatements {
     by_name: HashMap<Bytes, SessionStatement>,
 }
 
-impl Statements {
+impl SessionStatements {
     /// The statement with that name.
     pub fn get(&self, name: &[u8]) -> Option<&SessionStatement> {
         self.by_name.get(name)
--- a/crates/postgres/tests/prepared.rs
+++ b/crates/postgres/tests/prepared.rs
@@ -69,7 +69,7 @@
 
 fn send(set: &mut PreparedSet, request: &Request) -> String {
     let mut output = BytesMut::new();
-    set.send(&request.statements, &request.messages, &mut output);
+    set.put_exchange(&request.statements, &request.messages, &mut output);
     tags(&output)
 }
 
