--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! kestrellockctl: the operators' command line, as a library so that tests can drive it.
+//! The implementation of `kestrellockctl`, the operators' command line, as a library so that tests
+//! can call it.
 
 pub mod apply;
 pub mod arguments;
@@ -19,15 +20,15 @@
 use kestrellock_core::admin::NodeStatus;
 use kestrellock_core::admin::configuration::EntryKind;
 
-/// Carries out one command line; what it has to tell goes to `output`.
+/// Runs one command and writes its output to `output`.
 pub fn run(arguments: Arguments, output: &mut dyn Write) -> Result<()> {
     let Arguments { node, token_file, command, .. } = arguments;
     let client = || Client::new(node, token_file);
     match command {
         Command::Verifier(verifier) => {
-            verifier::make(&verifier, &mut std::io::stdin().lock(), output)
+            verifier::print_verifier(&verifier, &mut std::io::stdin().lock(), output)
         }
-        Command::Digest(_) => verifier::digest(&mut std::io::stdin().lock(), output),
+        Command::Digest(_) => verifier::print_digest(&mut std::io::stdin().lock(), output),
         Command::Explain(explain) => explain::run(&explain, output),
         Command::Status(_) => {
             let status: NodeStatus = client()?.get("/status")?;
@@ -40,26 +41,28 @@
         }
         Command::Config(config) => match config.command {
             ConfigCommand::Status(_) => nodes::status(&client()?, output),
-            ConfigCommand::Apply(apply) => apply::all(&client()?, &apply, output),
+            ConfigCommand::Apply(apply) => apply::apply_all(&client()?, &apply, output),
         },
-        Command::Zone(zone) => entry(&client()?, EntryKind::Zone, zone.command, output),
-        Command::Group(group) => entry(&client()?, EntryKind::Group, group.command, output),
+        Command::Zone(zone) => run_entry(&client()?, EntryKind::Zone, zone.command, output),
+        Command::Group(group) => run_entry(&client()?, EntryKind::Group, group.command, output),
         Command::Template(template) => {
-            entry(&client()?, EntryKind::Template, template.command, output)
+            run_entry(&client()?, EntryKind::Template, template.command, output)
+        }
+        Command::Tenant(tenant) => run_entry(&client()?, EntryKind::Tenant, tenant.command, output),
+        Command::Account(account) => {
+            run_entry(&client()?, EntryKind::Account, account.command, output)
         }
-        Command::Tenant(tenant) => entry(&client()?, EntryKind::Tenant, tenant.command, output),
-        Command::Account(account) => entry(&client()?, EntryKind::Account, account.command, output),
     }
 }
 
-fn entry(
+fn run_entry(
     client: &Client,
     kind: EntryKind,
     command: EntryCommand,
     output: &mut dyn Write,
 ) -> Result<()> {
     match command {
-        EntryCommand::Apply(apply) => apply::of_kind(client, kind, &apply, output),
+        EntryCommand::Apply(apply) => apply::apply_kind(client, kind, &apply, output),
         EntryCommand::Get(get) => entries::get(client, kind, &get.name, output),
         EntryCommand::List(_) => entries::list(client, kind, output),
         EntryCommand::Diff(diff) => entries::diff(client, kind, &diff.file, output),
--- a/crates/postgres/src/collector.rs
+++ b/crates/postgres/src/collector.rs
@@ -1,50 +1,55 @@
-//! Collects a caller's messages into requests: a simple query, or a batch up to its `Sync`.
+//! Collects a client's messages into requests: a simple query, or a batch up to its `Sync`.
 
 use bytes::{Bytes, BytesMut};
 use kestrellock_core::outcome::{Refusal, ResultCode};
-use kestrellock_protocol::classes::Classes;
-use kestrellock_protocol::request::{Next, Request, Timing};
+use kestrellock_protocol::facts_cache::FactsCache;
+use kestrellock_protocol::request::{NextRequest, Request, Timing};
 
 use crate::batch::Batch;
 use crate::extended;
 use crate::frames::{self, Frame};
-use crate::statements::Statements;
+use crate::statements::SessionStatements;
 
 /// Answer to a `ROLLBACK`, without `ReadyForQuery`.
 pub(super) const ROLLBACK_REPLY: &[u8] = b"C\0\0\0\x0dROLLBACK\0";
 
-/// Collects caller messages up to one that ends an exchange.
+/// Collects a client's messages up to the one that completes a request.
 #[derive(Debug, Default)]
 pub struct Collector {
     batch: Batch,
-    /// The caller's prepared statements.
-    pub statements: Statements,
+    /// The client's prepared statements.
+    pub statements: SessionStatements,
 }
 
 impl Collector {
-    /// Whether no part of an exchange has been collected.
+    /// Whether no part of a request has been collected.
     pub fn is_empty(&self) -> bool {
         self.batch.is_empty()
     }
 
-    /// Takes whole messages off `input` until an exchange is complete.
-    pub fn next(&mut self, input: &mut BytesMut, classes: &mut Classes, timing: Timing) -> Next {
+    /// Consumes complete messages from `input` until a request is complete.
+    pub fn next(
+        &mut self,
+        input: &mut BytesMut,
+        facts_cache: &mut FactsCache,
+        timing: Timing,
+    ) -> NextRequest {
         loop {
             let frame = match frames::next_frame(input) {
                 Ok(Some(frame)) => frame,
-                Ok(None) => return Next::Incomplete,
-                Err(error) => return Next::Broken(bad_length(error)),
+                Ok(None) => return NextRequest::Incomplete,
+                Err(error) => return NextRequest::ProtocolError(bad_length(error)),
             };
             match frame.tag {
-                b'Q' => return Next::Request(simple(frame, classes, timing)),
+                b'Q' => return NextRequest::Request(simple(frame, facts_cache, timing)),
                 extended::SYNC => {
                     return match self.batch.finish(&frame, timing) {
-                        Ok(request) => Next::Request(request),
-                        Err(refusal) => Next::Refused(refusal),
+                        Ok(request) => NextRequest::Request(request),
+                        Err(refusal) => NextRequest::Refused(refusal),
                     };
                 }
-                b'X' => return Next::Terminate,
-                _ => self.batch.add(&frame, &mut self.statements, classes),
+                b'X' => return NextRequest::Terminate,
+                _ => self.batch.add(&frame, &mut self.statements, facts_cache),
             }
         }
     }
@@ -59,11 +64,11 @@
     Refusal::new(code, error.to_string())
 }
 
-fn simple(frame: Frame, classes: &mut Classes, timing: Timing) -> Request {
+fn simple(frame: Frame, facts_cache: &mut FactsCache, timing: Timing) -> Request {
     let text = query_text(&frame);
     Request {
         id: None,
-        facts: classes.of(&text),
+        facts: facts_cache.facts_of(&text),
         text: Some(text),
         messages: frame.bytes,
         statements: Vec::new(),
