--- a/crates/core/tests/replacement/checker.rs
+++ b/crates/core/tests/replacement/checker.rs
@@ -37,12 +37,12 @@
         highest: u64,
     },
     /// A caller was told that a write had not run, and it is kept.
-    FalsePromise {
+    FalseNotRun {
         /// The commit.
         commit: CommitId,
     },
     /// After all faults had ended something did not recover.
-    Stuck {
+    NotRecovered {
         /// What.
         what: &'static str,
     },
@@ -55,7 +55,7 @@
     acknowledged: Vec<(u64, CommitId)>,
     /// Terms that were led, and the commits that were there when each began.
     promoted: Vec<(u32, BTreeSet<CommitId>)>,
-    promised: BTreeSet<CommitId>,
+    reported_not_run: BTreeSet<CommitId>,
     fences: Vec<(usize, u64)>,
     /// What was broken.
     pub violations: Vec<Violation>,
@@ -79,8 +79,8 @@
     }
 
     /// A caller was told that a write had not run.
-    pub fn on_promised(&mut self, commit: CommitId) {
-        self.promised.insert(commit);
+    pub fn on_reported_not_run(&mut self, commit: CommitId) {
+        self.reported_not_run.insert(commit);
     }
 
     /// Commits acknowledged so far.
@@ -96,8 +96,8 @@
     /// A read that arrived at `arrived` ran on a log of `commits`.
     pub fn on_read(&mut self, arrived: u64, commits: &BTreeSet<CommitId>) {
         self.reads += 1;
-        let due = self.acknowledged.iter().take_while(|(at, _)| *at < arrived);
-        if let Some((at, missed)) = due.into_iter().find(|(_, id)| !commits.contains(id)) {
+        let expected = self.acknowledged.iter().take_while(|(at, _)| *at < arrived);
+        if let Some((at, missed)) = expected.into_iter().find(|(_, id)| !commits.contains(id)) {
             let violation = Violation::StaleRead { arrived, missed: *missed, acknowledged: *at };
             self.violations.push(violation);
         }
@@ -130,13 +130,13 @@
 
     /// The final log.
     pub fn on_end(&mut self, commits: &BTreeSet<CommitId>) {
-        if let Some(commit) = self.promised.intersection(commits).next() {
-            self.violations.push(Violation::FalsePromise { commit: *commit });
+        if let Some(commit) = self.reported_not_run.intersection(commits).next() {
+            self.violations.push(Violation::FalseNotRun { commit: *commit });
         }
     }
 
     /// Something did not recover.
-    pub fn on_stuck(&mut self, what: &'static str) {
-        self.violations.push(Violation::Stuck { what });
+    pub fn on_not_recovered(&mut self, what: &'static str) {
+        self.violations.push(Violation::NotRecovered { what });
     }
 }
--- a/crates/core/tests/replacement/faults.rs
+++ b/crates/core/tests/replacement/faults.rs
@@ -8,23 +8,23 @@
 use crate::world::World;
 
 /// Time after which the store drops what a dead node has written.
-const VOTES_LIFE_MS: u64 = 3_000;
+const VOTES_LIFETIME_MS: u64 = 3_000;
 
 impl World {
     /// Begins and ends the faults that are due.
     pub fn apply_faults(&mut self) {
         for planned in self.plan.clone() {
-            if let FaultKind::PutBack(age) = planned.kind
+            if let FaultKind::StoreRestore(age) = planned.kind
                 && planned.at - age == self.now
             {
-                self.copies.keep(planned.until, self.store.clone());
+                self.copies.add(planned.until, self.store.clone());
             }
             if planned.at == self.now {
-                self.trace.note(self.now, || format!("begins: {:?}", planned.kind));
+                self.trace.record(self.now, || format!("begins: {:?}", planned.kind));
                 self.begin(planned);
             }
             if planned.until == self.now {
-                self.trace.note(self.now, || format!("ends: {:?}", planned.kind));
+                self.trace.record(self.now, || format!("ends: {:?}", planned.kind));
                 self.end(planned);
             }
         }
@@ -32,26 +32,28 @@
 
     fn begin(&mut self, planned: Planned) {
         match planned.kind {
-            FaultKind::Crash(one) => self.instances[one].crash(),
-            FaultKind::CrashEmpty(one) => {
-                self.instances[one].crash();
-                self.instances[one].loses_log = true;
+            FaultKind::Crash(index) => self.instances[index].crash(),
+            FaultKind::CrashWithDataLoss(index) => {
+                self.instances[index].crash();
+                self.instances[index].loses_data_on_restart = true;
+            }
+            FaultKind::Unreachable(index) => self.instances[index].unreachable = true,
+            FaultKind::ReplicationStalled(index) => {
+                self.instances[index].replication_stalled = true
             }
-            FaultKind::Dark(one) => self.instances[one].dark = true,
-            FaultKind::Deaf(one) => self.instances[one].deaf = true,
             FaultKind::Freeze(node) => self.nodes[node].frozen = true,
             FaultKind::KillNode(node) => self.kill_node(node),
             FaultKind::Join(node) => self.start_node(node),
-            FaultKind::PutBack(_) => self.seen.fill(0),
+            FaultKind::StoreRestore(_) => self.sent_positions.fill(0),
             FaultKind::Leave => {
-                if let Some(one) = self.leading() {
-                    self.instances[one].leaving = true;
-                    self.announce(one);
+                if let Some(index) = self.current_primary() {
+                    self.instances[index].leaving = true;
+                    self.announce(index);
                 }
             }
-            FaultKind::LeaveReplica(one) => {
-                self.instances[one].leaving = true;
-                self.announce(one);
+            FaultKind::LeaveReplica(index) => {
+                self.instances[index].leaving = true;
+                self.announce(index);
             }
             _ => {}
         }
@@ -59,27 +61,31 @@
 
     fn end(&mut self, planned: Planned) {
         match planned.kind {
-            FaultKind::Crash(one) | FaultKind::CrashEmpty(one) => self.end_death(one),
-            FaultKind::Dark(one) => {
-                self.instances[one].dark = false;
-                self.announce(one);
+            FaultKind::Crash(index) | FaultKind::CrashWithDataLoss(index) => self.end_crash(index),
+            FaultKind::Unreachable(index) => {
+                self.instances[index].unreachable = false;
+                self.announce(index);
+            }
+            FaultKind::ReplicationStalled(index) => {
+                self.instances[index].replication_stalled = false
             }
-            FaultKind::Deaf(one) => self.instances[one].deaf = false,
-            FaultKind::Freeze(node) => self.thaw(node),
+            FaultKind::Freeze(node) => self.unfreeze(node),
             FaultKind::KillNode(node) => {
                 self.start_node(node);
             }
-            FaultKind::PutBack(_) => {
+            FaultKind::StoreRestore(_) => {
                 let copy = self.copies.take(self.now);
-                self.put_store_back(copy.expect("it was taken"));
+                self.restore_store(copy.expect("it was taken"));
             }
             FaultKind::Leave => {
-                let leaving = self.instances.iter().position(|one| one.leaving);
-                if let Some(one) = leaving {
-                    self.end_leaving(one);
+                let leaving = self.instances.iter().position(|instance| instance.leaving);
+                if let Some(index) = leaving {
+                    self.end_leaving(index);
                 }
             }
-            FaultKind::LeaveReplica(one) if self.instances[one].leaving => self.end_leaving(one),
+            FaultKind::LeaveReplica(index) if self.instances[index].leaving => {
+                self.end_leaving(index)
+            }
             _ => {}
         }
     }
@@ -87,20 +93,20 @@
     fn kill_node(&mut self, node: usize) {
         self.nodes[node].alive = false;
         let process = self.nodes[node].process;
-        self.send_after(VOTES_LIFE_MS, Message::VotesExpire { node, process });
+        self.send_after(VOTES_LIFETIME_MS, Message::VotesExpire { node, process });
     }
 
     /// A node starts with nothing.
     fn start_node(&mut self, node: usize) {
         let process = self.nodes[node].process + 1;
         self.nodes[node] = Node::new(node, process);
-        self.nodes[node].started = self.now;
+        self.nodes[node].started_at = self.now;
         self.reads[node].clear();
-        self.again.remove(&node);
-        self.seen[node] = 0;
+        self.retries.remove(&node);
+        self.sent_positions[node] = 0;
     }
 
-    fn thaw(&mut self, node: usize) {
+    fn unfreeze(&mut self, node: usize) {
         self.nodes[node].frozen = false;
         let (due, rest) = std::mem::take(&mut self.deferred)
             .into_iter()
@@ -110,43 +116,44 @@
     }
 
     /// One that left ends, and its successor at its address has its log; one that has died meanwhile is away.
-    fn end_leaving(&mut self, one: usize) {
-        if self.instances[one].alive {
-            self.instances[one].crash();
-            self.restart(one);
+    fn end_leaving(&mut self, index: usize) {
+        if self.instances[index].alive {
+            self.instances[index].crash();
+            self.restart(index);
         } else {
-            self.instances[one].leaving = false;
+            self.instances[index].leaving = false;
         }
     }
 
     /// An instance that has died twice runs again once both are over, and has lost its log if it did in one of them.
-    fn end_death(&mut self, one: usize) {
-        let is_of =
-            |kind: FaultKind| kind == FaultKind::Crash(one) || kind == FaultKind::CrashEmpty(one);
-        let lasts = |other: &Planned| other.at <= self.now && self.now < other.until;
-        if self.plan.iter().any(|other| is_of(other.kind) && lasts(other)) {
+    fn end_crash(&mut self, index: usize) {
+        let is_crash = |kind: FaultKind| {
+            kind == FaultKind::Crash(index) || kind == FaultKind::CrashWithDataLoss(index)
+        };
+        let is_active = |other: &Planned| other.at <= self.now && self.now < other.until;
+        if self.plan.iter().any(|other| is_crash(other.kind) && is_active(other)) {
             return;
         }
-        if std::mem::take(&mut self.instances[one].loses_log) {
-            self.instances[one].start_empty();
-            self.announce(one);
+        if std::mem::take(&mut self.instances[index].loses_data_on_restart) {
+            self.instances[index].restart_without_data();
+            self.announce(index);
         } else {
-            self.restart(one);
+            self.restart(index);
         }
     }
 
     /// An instance comes back a while after it died, as a replica if another one has been
     /// promoted by then.
-    fn restart(&mut self, one: usize) {
+    fn restart(&mut self, index: usize) {
         // The platform knows whom it has promoted, also where that process is gone.
-        let newer = self.newest_led() > self.instances[one].term;
-        let instance = &mut self.instances[one];
+        let was_replaced = self.newest_term() > self.instances[index].term;
+        let instance = &mut self.instances[index];
         instance.alive = true;
         instance.leaving = false;
-        instance.outdated = None;
-        if newer {
+        instance.outdated_since = None;
+        if was_replaced {
             instance.role = Role::Replica;
         }
-        self.announce(one);
+        self.announce(index);
     }
 }
--- a/crates/core/tests/replacement/instances.rs
+++ b/crates/core/tests/replacement/instances.rs
@@ -7,13 +7,13 @@
 use kestrellock_core::routing::Role;
 
 use crate::checker::CommitId;
-use crate::plan::Plant;
+use crate::plan::PlantedFault;
 
 /// Time for which an old primary goes on that can reach a newer one.
-const STEP_DOWN_AFTER_MS: u64 = 1_000;
+const STEP_DOWN_DELAY_MS: u64 = 1_000;
 
 /// Start of the first processes.
-pub const FIRST_START: u64 = 1_000;
+pub const FIRST_INCARNATION: u64 = 1_000;
 
 /// A commit in a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,15 +49,15 @@
     /// Whether it runs.
     pub alive: bool,
     /// Number of its process: connections to earlier ones are broken.
-    pub run: u32,
+    pub process: u32,
     /// Start of its process, by the clock of its machine, which may be set back.
-    pub born: u64,
+    pub incarnation: u64,
     /// Whether it comes back with nothing.
-    pub loses_log: bool,
+    pub loses_data_on_restart: bool,
     /// Whether nobody reaches it.
-    pub dark: bool,
+    pub unreachable: bool,
     /// Whether it receives nothing.
-    pub deaf: bool,
+    pub replication_stalled: bool,
     /// Whether it says that it leaves.
     pub leaving: bool,
     /// Its role.
@@ -65,13 +65,13 @@
     /// Its term.
     pub term: u32,
     /// Term below which it receives nothing; zero if it receives.
-    pub held: u32,
+    pub min_term: u32,
     /// Its log.
     pub log: Vec<Entry>,
     /// Commits that wait.
     pub pending: Vec<Pending>,
     /// Since when it could reach a newer primary.
-    pub outdated: Option<u64>,
+    pub outdated_since: Option<u64>,
 }
 
 impl Instance {
@@ -79,24 +79,24 @@
     pub fn new(leads: bool) -> Self {
         Self {
             alive: true,
-            run: 0,
-            born: FIRST_START,
-            loses_log: false,
-            dark: false,
-            deaf: false,
+            process: 0,
+            incarnation: FIRST_INCARNATION,
+            loses_data_on_restart: false,
+            unreachable: false,
+            replication_stalled: false,
             leaving: false,
             role: if leads { Role::Primary } else { Role::Replica },
             term: 1,
-            held: 0,
+            min_term: 0,
             log: Vec::new(),
             pending: Vec::new(),
-            outdated: None,
+            outdated_since: None,
         }
     }
 
     /// Whether a message can be answered.
-    pub fn answers(&self) -> bool {
-        self.alive && !self.dark
+    pub fn is_available(&self) -> bool {
+        self.alive && !self.unreachable
     }
 
     /// The commits in its log.
@@ -105,7 +105,7 @@
     }
 
     /// How it stands.
-    pub fn standing(&self) -> ReplicationStatus {
+    pub fn status(&self) -> ReplicationStatus {
         let received = Position {
             term: Term(self.log.last().map_or(1, |entry| entry.term)),
             offset: LogOffset(self.log.len() as u64),
@@ -114,27 +114,31 @@
             role: self.role,
             term: Term(self.term),
             received,
-            min_term: Term(self.held),
+            min_term: Term(self.min_term),
         }
     }
 
     /// It starts again under its name, with nothing. A second start is earlier by its clock.
-    pub fn start_empty(&mut self) {
-        self.born = if self.born == FIRST_START { FIRST_START - 1 } else { self.born + 2 };
+    pub fn restart_without_data(&mut self) {
+        self.incarnation = if self.incarnation == FIRST_INCARNATION {
+            FIRST_INCARNATION - 1
+        } else {
+            self.incarnation + 2
+        };
         self.alive = true;
         self.role = Role::Replica;
         self.term = 1;
         self.log.clear();
-        self.outdated = None;
+        self.outdated_since = None;
         self.leaving = false;
     }
 
     /// It dies: what waits is never answered, and a restart forgets that it was stopped.
     pub fn crash(&mut self) {
         self.alive = false;
-        self.run += 1;
+        self.process += 1;
         self.pending.clear();
-        self.held = 0;
+        self.min_term = 0;
     }
 }
 
@@ -143,26 +147,27 @@
     instances: &mut [Instance],
     now: u64,
     cut_from_replicas: bool,
-    plant: Plant,
+    planted_fault: PlantedFault,
     mut arrives: impl FnMut() -> bool,
 ) -> bool {
     let mut changed = false;
     let leading: Vec<(usize, u32)> = instances
         .iter()
         .enumerate()
-        .filter(|(_, one)| one.answers() && one.role == Role::Primary)
-        .map(|(index, one)| (index, one.term))
+        .filter(|(_, instance)| instance.is_available() && instance.role == Role::Primary)
+        .map(|(index, instance)| (index, instance.term))
         .collect();
     for index in 0..instances.len() {
-        if !instances[index].answers() {
+        if !instances[index].is_available() {
             continue;
         }
         if instances[index].role == Role::Primary {
-            let newer = leading.iter().any(|(_, term)| *term > instances[index].term);
-            let reached = newer && !cut_from_replicas;
-            let outdated = reached.then(|| instances[index].outdated.unwrap_or(now));
-            instances[index].outdated = outdated;
-            if outdated.is_some_and(|since| now >= since + STEP_DOWN_AFTER_MS) {
+            let has_newer = leading.iter().any(|(_, term)| *term > instances[index].term);
+            let reaches_newer = has_newer && !cut_from_replicas;
+            let outdated_since =
+                reaches_newer.then(|| instances[index].outdated_since.unwrap_or(now));
+            instances[index].outdated_since = outdated_since;
+            if outdated_since.is_some_and(|since| now >= since + STEP_DOWN_DELAY_MS) {
                 instances[index].role = Role::Replica;
                 instances[index].pending.clear();
                 changed = true;
@@ -170,23 +175,24 @@
             continue;
         }
         let own = &instances[index];
-        let receives = |term: u32| term >= own.held || plant == Plant::NotStopped;
+        let receives =
+            |term: u32| term >= own.min_term || planted_fault == PlantedFault::StopIgnored;
         let follows = |term: u32| term >= own.term && receives(term);
         let source =
             leading.iter().filter(|(_, term)| follows(*term)).max_by_key(|(_, term)| *term);
         let Some(&(source, term)) = source else { continue };
         // The cut is of the first primary.
         let is_cut = cut_from_replicas && term == 1;
-        if instances[index].deaf || is_cut || !arrives() {
+        if instances[index].replication_stalled || is_cut || !arrives() {
             continue;
         }
         let log = instances[source].log.clone();
         let own = &mut instances[index];
         own.term = term;
-        if term >= own.held && plant != Plant::StopForgotten {
-            own.held = 0;
+        if term >= own.min_term && planted_fault != PlantedFault::ReplicasNeverReleased {
+            own.min_term = 0;
         }
-        let common = own.log.iter().zip(&log).take_while(|(one, other)| one == other).count();
+        let common = own.log.iter().zip(&log).take_while(|(own, other)| own == other).count();
         own.log.truncate(common);
         own.log.extend_from_slice(&log[common..]);
     }
--- a/crates/core/tests/replacement/listing.rs
+++ b/crates/core/tests/replacement/listing.rs
@@ -7,15 +7,15 @@
 use kestrellock_core::ids::NodeName;
 use kestrellock_core::primary_evidence::{EVIDENCE_LIFETIME, UNLISTED_EVIDENCE_LIFETIME};
 
-use crate::plan::Plant;
+use crate::plan::PlantedFault;
 use crate::store::{Operation, node_name};
 use crate::world::World;
 
 /// Time between two attempts of a node to enter itself, and from its start to the first.
-const ENTER_EVERY_MS: u64 = 100;
+const REGISTRATION_RETRY_INTERVAL_MS: u64 = 100;
 
 /// Time between two readings of the entries of others: a node does not watch them.
-const READ_OTHERS_EVERY_MS: u64 = 2_000;
+const LIST_READ_INTERVAL_MS: u64 = 2_000;
 
 /// Which nodes there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,47 +23,51 @@
     /// The same at all times, and all of them know that.
     Fixed,
     /// Those that have entered themselves.
-    Entered,
+    Registered,
 }
 
 impl World {
     /// A node enters itself until its copy of the store shows it.
-    pub fn enter(&mut self, node: usize) {
-        let is_young = self.now < self.nodes[node].started + ENTER_EVERY_MS;
+    pub fn register(&mut self, node: usize) {
+        let has_just_started =
+            self.now < self.nodes[node].started_at + REGISTRATION_RETRY_INTERVAL_MS;
         let own = &self.nodes[node];
-        let is_listed = own.is_listed_by_its_copy();
-        let is_early = self.now < own.entered + ENTER_EVERY_MS;
-        if self.listing == Listing::Fixed || is_listed || is_early || is_young {
+        let is_listed = own.is_listed_in_own_view();
+        let was_sent_recently =
+            self.now < own.registration_sent_at + REGISTRATION_RETRY_INTERVAL_MS;
+        if self.listing == Listing::Fixed || is_listed || was_sent_recently || has_just_started {
             return;
         }
-        self.nodes[node].entered = self.now;
-        self.call(node, 0, Operation::Enter);
+        self.nodes[node].registration_sent_at = self.now;
+        self.call(node, 0, Operation::Register);
     }
 
     /// The nodes that a node's copy of the store shows, of those that have `entered`: itself at once, the others as
     /// they were when their entries were last read.
-    pub fn nodes_shown_to(&mut self, node: usize, entered: &[NodeName]) -> Vec<NodeName> {
+    pub fn nodes_shown_to(&mut self, node: usize, registered: &[NodeName]) -> Vec<NodeName> {
         let (now, own) = (self.now, &mut self.nodes[node]);
-        if own.others.is_empty() || now >= own.others_read + READ_OTHERS_EVERY_MS {
-            own.others = entered.to_vec();
-            own.others_read = now;
+        if own.listed_nodes.is_empty() || now >= own.listed_nodes_read_at + LIST_READ_INTERVAL_MS {
+            own.listed_nodes = registered.to_vec();
+            own.listed_nodes_read_at = now;
         }
         let name = node_name(node);
-        let mut shown = own.others.clone();
-        if entered.contains(&name) && !shown.contains(&name) {
+        let mut shown = own.listed_nodes.clone();
+        if registered.contains(&name) && !shown.contains(&name) {
             shown.push(name);
         }
         shown
     }
 
     /// Whether whoever replaces a primary waits for the node's word: it is listed, and knows that.
-    pub fn is_waited_for(&self, node: usize) -> bool {
-        self.listing == Listing::Fixed || self.nodes[node].is_listed_by_its_copy()
+    pub fn coordinator_waits_for(&self, node: usize) -> bool {
+        self.listing == Listing::Fixed || self.nodes[node].is_listed_in_own_view()
     }
 
     /// How long a node relies on its evidence.
-    pub fn evidence_life(&self, node: usize) -> Duration {
-        if self.is_waited_for(node) || self.plant == Plant::UnlistedEvidenceLasts {
+    pub fn evidence_lifetime(&self, node: usize) -> Duration {
+        if self.coordinator_waits_for(node)
+            || self.planted_fault == PlantedFault::UnlistedEvidenceNotShortened
+        {
             EVIDENCE_LIFETIME
         } else {
             UNLISTED_EVIDENCE_LIFETIME
@@ -74,16 +78,16 @@
     pub fn nodes_known_to(&self, node: usize) -> Vec<NodeName> {
         match self.listing {
             Listing::Fixed => (0..self.nodes.len()).map(node_name).collect(),
-            Listing::Entered => self.nodes[node].view.nodes.clone(),
+            Listing::Registered => self.nodes[node].view.nodes.clone(),
         }
     }
 
     /// The nodes whose word a holder waits for: those of its copy, and those that the store had when the intent
     /// was recorded.
-    pub fn nodes_to_hear(&self, holder: usize) -> Vec<NodeName> {
-        let mut nodes = self.nodes_known_to(holder);
-        let acting = self.nodes[holder].acting.as_ref();
-        nodes.extend(acting.into_iter().flat_map(|acting| acting.listed.iter().cloned()));
+    pub fn nodes_to_wait_for(&self, coordinator: usize) -> Vec<NodeName> {
+        let mut nodes = self.nodes_known_to(coordinator);
+        let state = self.nodes[coordinator].coordinator.as_ref();
+        nodes.extend(state.into_iter().flat_map(|state| state.nodes_at_intent.iter().cloned()));
         nodes.sort();
         nodes.dedup();
         nodes
--- a/crates/core/tests/replacement/main.rs
+++ b/crates/core/tests/replacement/main.rs
@@ -4,9 +4,8 @@
 //! `SEEDS=20000 cargo test --release -p kestrellock-core --test replacement -- --nocapture` plays
 //! more seeds than CI does.
 
-mod acting;
-mod around;
 mod checker;
+mod coordination;
 mod faults;
 mod instances;
 mod listing;
@@ -20,6 +19,7 @@
 mod store;
 mod trace;
 mod traffic;
+mod variations;
 mod world;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,7 +27,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use checker::Violation;
-use plan::{Faults, Plant};
+use plan::{Faults, PlantedFault};
 use world::{Outcome, World};
 
 /// Seeds that CI plays.
@@ -35,19 +35,19 @@
 /// Seeds with planted faults; each must be caught in at least one of them.
 const PLANTED_SEEDS: u64 = 3_840;
 /// They are played in parts, until one is caught.
-const PART: u64 = 96;
+const SEEDS_PER_BATCH: u64 = 96;
 const FIRST_SEED: u64 = 1;
 /// Plays around a seed in CI.
-const PLAYS_AROUND: u64 = 60;
+const VARIATIONS_PER_SEED: u64 = 60;
 /// The same where one of several hundred breaks.
-const PLAYS_AROUND_A_RARE_MOMENT: u64 = 200;
+const VARIATIONS_OF_RARE_SEEDS: u64 = 200;
 
 /// Seeds with up to four faults that broke a promise once, with what was wrong.
-const MENDED_SEEDS_OF_FEW_FAULTS: [(u64, &str); 1] =
+const FIXED_SEEDS_FEW_FAULTS: [(u64, &str); 1] =
     [(16686, "a successor that led while the store was down was taken for one that was lost")];
 
 /// The same with up to nine faults.
-const MENDED_SEEDS: [(u64, &str); 10] = [
+const FIXED_SEEDS_MANY_FAULTS: [(u64, &str); 10] = [
     (
         339,
         "a replica was released before it followed the successor, and said it followed the old one",
@@ -64,13 +64,13 @@
 ];
 
 /// The same where promotions release all replicas.
-const MENDED_SEEDS_WITH_RELEASES: [(u64, &str); 1] = [(
+const FIXED_SEEDS_RELEASES: [(u64, &str); 1] = [(
     17934,
     "the successor died before replicas had heard of it, and the old primary answered one more commit",
 )];
 
 /// The same with up to four faults where an instance starts again with nothing.
-const MENDED_SEEDS_OF_FEW_FAULTS_WITH_EMPTY_STARTS: [(u64, &str); 6] = [
+const FIXED_SEEDS_FEW_FAULTS_DATA_LOSS: [(u64, &str); 6] = [
     (440, "the instance being promoted started again; the old primary held what it had held"),
     (1737, "an answer that nobody waited for any more was taken for an acknowledgement"),
     (1912, "an old primary answered commits through a replica that had forgotten the newer term"),
@@ -80,7 +80,7 @@
 ];
 
 /// The same with up to nine faults where promotions release all replicas.
-const MENDED_SEEDS_WITH_EMPTY_STARTS: [(u64, &str); 3] = [
+const FIXED_SEEDS_DATA_LOSS: [(u64, &str); 3] = [
     (2911, "the holder had started after the instance, and took it for one that held everything"),
     (9380, "the same"),
     (14341, "the same"),
@@ -88,11 +88,11 @@
 
 /// Seeds with up to four faults where nodes come, in which a holder took the nodes of its own old list for all, since their
 /// word came before the answer of the store that its intent was recorded.
-const MENDED_SEEDS_OF_FEW_FAULTS_WHILE_NODES_COME: [u64; 9] =
+const FIXED_SEEDS_FEW_FAULTS_NODE_JOINS: [u64; 9] =
     [1210296, 1212314, 1212622, 1214793, 1225912, 1227103, 1227337, 1228503, 1228795];
 
 /// Seeds with up to nine faults, releases and empty starts in which the store came back from a copy.
-const MENDED_SEEDS_WITH_A_RETURN: [(u64, &str); 4] = [
+const FIXED_SEEDS_STORE_RESTORES: [(u64, &str); 4] = [
     (318, "the copy told an earlier start of an instance that had lost its log since"),
     (946, "an old primary that an earlier holder had stopped as a replica stayed stopped"),
     (1747, "the copy told an earlier start of an instance that had lost its log since"),
@@ -101,8 +101,8 @@
 
 /// Seeds in which an instance that starts again with nothing loses a commit or lets an old primary answer
 /// one: with up to four faults, and with up to nine where promotions release all replicas.
-const BROKEN_SEEDS_OF_FEW_FAULTS_WITH_EMPTY_STARTS: [u64; 1] = [14008];
-const BROKEN_SEEDS_WITH_EMPTY_STARTS: [u64; 6] = [5976, 9805, 15444, 15611, 17708, 19308];
+const DATA_LOSS_SEEDS_FEW_FAULTS: [u64; 1] = [14008];
+const DATA_LOSS_SEEDS_MANY_FAULTS: [u64; 6] = [5976, 9805, 15444, 15611, 17708, 19308];
 
 fn seeds() -> Range<u64> {
     let first = std::env::var("FIRST_SEED").ok().and_then(|text| text.parse().ok());
@@ -112,36 +112,43 @@
 }
 
 /// Plays seeds on all processors; outcomes by seed.
-fn play(seeds: Range<u64>, faults: Faults, plant: Plant) -> BTreeMap<u64, Outcome> {
-    play_worlds(seeds, |seed| World::new(seed, faults, plant))
+fn run_seeds(
+    seeds: Range<u64>,
+    faults: Faults,
+    planted_fault: PlantedFault,
+) -> BTreeMap<u64, Outcome> {
+    run_worlds(seeds, |seed| World::new(seed, faults, planted_fault))
 }
 
 /// Plays the worlds of these numbers on all processors; outcomes by number.
-fn play_worlds(numbers: Range<u64>, world: impl Fn(u64) -> World + Sync) -> BTreeMap<u64, Outcome> {
+fn run_worlds(
+    numbers: Range<u64>,
+    new_world: impl Fn(u64) -> World + Sync,
+) -> BTreeMap<u64, Outcome> {
     let next = AtomicU64::new(numbers.start);
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let parts = std::thread::scope(|scope| {
-        let play_part = || {
+    let shares = std::thread::scope(|scope| {
+        let run_share = || {
             let mut outcomes = Vec::new();
             loop {
                 let number = next.fetch_add(1, Ordering::Relaxed);
                 if number >= numbers.end {
                     return outcomes;
                 }
-                outcomes.push((number, world(number).play()));
+                outcomes.push((number, new_world(number).run()));
             }
         };
-        let handles: Vec<_> = (0..threads).map(|_| scope.spawn(play_part)).collect();
+        let handles: Vec<_> = (0..threads).map(|_| scope.spawn(run_share)).collect();
         handles.into_iter().map(|handle| handle.join().expect("it plays")).collect::<Vec<_>>()
     });
-    parts.into_iter().flatten().collect()
+    shares.into_iter().flatten().collect()
 }
 
 /// Violations of the seeds that broke a promise: how many seeds, and some with their faults.
 fn describe(outcomes: &BTreeMap<u64, Outcome>) -> String {
     let broken: Vec<_> =
         outcomes.iter().filter(|(_, outcome)| !outcome.violations.is_empty()).collect();
-    let some = broken.iter().take(10).map(|(seed, outcome)| {
+    let examples = broken.iter().take(10).map(|(seed, outcome)| {
         let first = &outcome.violations[0];
         format!(
             "seed {seed}, {} times: {first:?} with {:?}",
@@ -149,7 +156,7 @@
             outcome.plan
         )
     });
-    format!("{} seeds\n{}", broken.len(), some.collect::<Vec<_>>().join("\n"))
+    format!("{} seeds\n{}", broken.len(), examples.collect::<Vec<_>>().join("\n"))
 }
 
 fn violations(outcomes: &BTreeMap<u64, Outcome>) -> Vec<(u64, Violation)> {
@@ -160,178 +167,178 @@
 }
 
 /// Plays the seeds; none may break a promise, and enough must happen.
-fn holds(faults: Faults) {
-    holds_with_a_promotion_in(4, faults);
+fn assert_no_violations(faults: Faults) {
+    assert_no_violations_with_promotions(4, faults);
 }
 
 /// The same; on average there must be a promotion in so many seeds.
-fn holds_with_a_promotion_in(seeds_of_promotion: u64, faults: Faults) {
-    let outcomes = play(seeds(), faults, Plant::None);
+fn assert_no_violations_with_promotions(seeds_per_promotion: u64, faults: Faults) {
+    let outcomes = run_seeds(seeds(), faults, PlantedFault::None);
     let found = violations(&outcomes);
     let total = |count: fn(&Outcome) -> u64| outcomes.values().map(count).sum::<u64>();
     println!(
         "{} seeds, at most {} faults: {} writes acknowledged, {} reads at primaries, {} promotions, \
          {} violations",
         outcomes.len(),
-        faults.most,
+        faults.max_faults,
         total(|outcome| outcome.acknowledged),
         total(|outcome| outcome.reads),
         total(|outcome| outcome.promotions),
         found.len()
     );
     assert!(found.is_empty(), "{}", describe(&outcomes));
-    let least = outcomes.len() as u64 / seeds_of_promotion;
-    assert!(total(|outcome| outcome.promotions) > least, "too few promotions");
+    let min_promotions = outcomes.len() as u64 / seeds_per_promotion;
+    assert!(total(|outcome| outcome.promotions) > min_promotions, "too few promotions");
     assert!(total(|outcome| outcome.reads) > outcomes.len() as u64 * 20, "too few reads");
 }
 
 #[test]
-fn no_seed_breaks_a_promise() {
-    holds(Faults::all());
+fn no_seed_violates_a_guarantee() {
+    assert_no_violations(Faults::all());
 }
 
 #[test]
-fn no_seed_with_many_faults_at_once_breaks_a_promise() {
-    holds(Faults::dense());
+fn no_seed_with_many_faults_violates_a_guarantee() {
+    assert_no_violations(Faults::dense());
 }
 
 #[test]
-fn no_seed_breaks_a_promise_where_promotions_release_all_replicas() {
-    holds(Faults::all().with_releases());
+fn no_seed_violates_a_guarantee_where_promotions_release_all_replicas() {
+    assert_no_violations(Faults::all().with_releases());
 }
 
 #[test]
-fn no_seed_with_many_faults_breaks_a_promise_where_promotions_release_all_replicas() {
-    holds(Faults::dense().with_releases());
+fn no_seed_with_many_faults_violates_a_guarantee_where_promotions_release_all_replicas() {
+    assert_no_violations(Faults::dense().with_releases());
 }
 
 #[test]
-fn no_seed_breaks_a_promise_while_connections_go_silent() {
-    holds(Faults::all().with_silences());
+fn no_seed_violates_a_guarantee_while_connections_go_silent() {
+    assert_no_violations(Faults::all().with_silent_connections());
 }
 
 #[test]
-fn no_seed_with_many_faults_breaks_a_promise_while_connections_go_silent() {
-    holds(Faults::dense().with_releases().with_silences());
+fn no_seed_with_many_faults_violates_a_guarantee_while_connections_go_silent() {
+    assert_no_violations(Faults::dense().with_releases().with_silent_connections());
 }
 
 #[test]
-fn no_seed_breaks_a_promise_while_an_instance_starts_again_with_nothing() {
-    holds(Faults::all().with_empty_starts());
+fn no_seed_violates_a_guarantee_when_an_instance_loses_its_data() {
+    assert_no_violations(Faults::all().with_data_loss());
 }
 
 #[test]
-fn no_seed_with_many_faults_breaks_a_promise_while_an_instance_starts_again_with_nothing() {
-    holds(Faults::dense().with_releases().with_empty_starts());
+fn no_seed_with_many_faults_violates_a_guarantee_when_an_instance_loses_its_data() {
+    assert_no_violations(Faults::dense().with_releases().with_data_loss());
 }
 
 /// Nodes come while primaries are replaced, and some of them lose the store at once.
 #[test]
-fn no_seed_breaks_a_promise_while_nodes_come() {
-    holds(Faults::all().with_nodes_that_come());
+fn no_seed_violates_a_guarantee_while_nodes_join() {
+    assert_no_violations(Faults::all().with_joining_nodes());
 }
 
 #[test]
-fn no_seed_with_many_faults_breaks_a_promise_while_nodes_come() {
-    holds(Faults::dense().with_releases().with_empty_starts().with_nodes_that_come());
+fn no_seed_with_many_faults_violates_a_guarantee_while_nodes_join() {
+    assert_no_violations(Faults::dense().with_releases().with_data_loss().with_joining_nodes());
 }
 
 /// All nodes start at about the same time, knowing nothing of what happened before.
 #[test]
-fn no_seed_breaks_a_promise_with_a_start_of_all_nodes() {
-    holds(Faults::all().with_empty_starts().with_start_of_all());
+fn no_seed_violates_a_guarantee_when_all_nodes_restart() {
+    assert_no_violations(Faults::all().with_data_loss().with_full_restart());
 }
 
 #[test]
-fn no_seed_with_many_faults_breaks_a_promise_with_a_start_of_all_nodes() {
-    holds(Faults::dense().with_releases().with_empty_starts().with_start_of_all());
+fn no_seed_with_many_faults_violates_a_guarantee_when_all_nodes_restart() {
+    assert_no_violations(Faults::dense().with_releases().with_data_loss().with_full_restart());
 }
 
 /// The store comes back from an older copy while primaries are replaced: holds, records, votes and who was promoted
 /// are lost, and revisions are given out again.
 #[test]
-fn no_seed_breaks_a_promise_while_the_store_comes_back_from_a_copy() {
+fn no_seed_violates_a_guarantee_when_the_store_is_restored() {
     // Some replacements are not needed any more by the time that the return has been waited out.
-    holds_with_a_promotion_in(6, Faults::all().with_put_back());
+    assert_no_violations_with_promotions(6, Faults::all().with_store_restores());
 }
 
 #[test]
-fn no_seed_with_many_faults_breaks_a_promise_while_the_store_comes_back_from_a_copy() {
-    holds(Faults::dense().with_releases().with_put_back());
+fn no_seed_with_many_faults_violates_a_guarantee_when_the_store_is_restored() {
+    assert_no_violations(Faults::dense().with_releases().with_store_restores());
 }
 
 #[test]
-fn no_seed_with_empty_starts_breaks_a_promise_while_the_store_comes_back_from_a_copy() {
-    holds(Faults::dense().with_releases().with_empty_starts().with_put_back());
+fn no_seed_with_data_loss_violates_a_guarantee_when_the_store_is_restored() {
+    assert_no_violations(Faults::dense().with_releases().with_data_loss().with_store_restores());
 }
 
 #[test]
-fn no_seed_with_a_start_of_all_breaks_a_promise_while_the_store_comes_back_from_a_copy() {
-    holds(Faults::all().with_empty_starts().with_start_of_all().with_put_back());
+fn no_seed_with_a_restart_of_all_nodes_violates_a_guarantee_when_the_store_is_restored() {
+    assert_no_violations(Faults::all().with_data_loss().with_full_restart().with_store_restores());
 }
 
 /// A bare revision as fence is given out again, or is lower than the platform has seen.
 #[test]
-fn a_fence_of_a_bare_revision_is_caught() {
-    let faults = Faults::dense().with_put_back();
-    is_caught_with(faults, Plant::FenceOfRevision, |found| {
+fn detects_fencing_tokens_without_a_store_era() {
+    let faults = Faults::dense().with_store_restores();
+    assert_detected_with(faults, PlantedFault::RevisionAsFence, |found| {
         matches!(found, Violation::Fence { .. })
     });
 }
 
 /// The store, back from a copy, tells the start of an instance that has lost its log since.
 #[test]
-fn starts_of_a_copy_that_are_believed_are_caught() {
-    let faults = Faults::dense().with_releases().with_empty_starts().with_put_back();
-    is_caught_with(faults, Plant::StartsBelieved, |found| {
+fn detects_trust_in_incarnations_from_a_restored_store() {
+    let faults = Faults::dense().with_releases().with_data_loss().with_store_restores();
+    assert_detected_with(faults, PlantedFault::StaleIncarnationsTrusted, |found| {
         matches!(found, Violation::LostCommit { .. })
     });
 }
 
 /// A node that nobody waits for yet relies on its evidence for as long as one that is listed.
 #[test]
-fn evidence_of_a_node_that_is_not_listed_is_caught() {
-    let faults = Faults::all().with_nodes_that_come();
-    is_caught_with(faults, Plant::UnlistedEvidenceLasts, |found| {
+fn detects_full_evidence_lifetime_at_an_unlisted_node() {
+    let faults = Faults::all().with_joining_nodes();
+    assert_detected_with(faults, PlantedFault::UnlistedEvidenceNotShortened, |found| {
         matches!(found, Violation::StaleRead { .. })
     });
 }
 
 /// Whoever replaces a primary goes by the nodes that its own copy of the store lists, which may be old.
 #[test]
-fn a_list_of_nodes_that_is_not_read_anew_is_caught() {
-    let faults = Faults::all().with_nodes_that_come();
-    is_caught_with(faults, Plant::ListFromCopy, |found| {
+fn detects_a_coordinator_that_uses_an_old_node_list() {
+    let faults = Faults::all().with_joining_nodes();
+    assert_detected_with(faults, PlantedFault::NodeListFromCopy, |found| {
         matches!(found, Violation::StaleRead { .. })
     });
 }
 
 #[test]
-fn memory_that_outlasts_a_process_is_caught() {
-    let faults = Faults::dense().with_empty_starts();
-    is_caught_with(faults, Plant::MemoryKept, |found| {
+fn detects_unnoticed_instance_restarts() {
+    let faults = Faults::dense().with_data_loss();
+    assert_detected_with(faults, PlantedFault::RestartsHidden, |found| {
         matches!(found, Violation::LostCommit { .. })
     });
 }
 
 #[test]
-fn seeds_that_broke_a_promise_once_hold() {
-    let few = MENDED_SEEDS_OF_FEW_FAULTS.map(|(seed, cause)| (seed, Faults::all(), cause));
-    let many = MENDED_SEEDS.map(|(seed, cause)| (seed, Faults::dense(), cause));
+fn fixed_seeds_violate_no_guarantee() {
+    let few = FIXED_SEEDS_FEW_FAULTS.map(|(seed, cause)| (seed, Faults::all(), cause));
+    let many = FIXED_SEEDS_MANY_FAULTS.map(|(seed, cause)| (seed, Faults::dense(), cause));
     let releases = Faults::dense().with_releases();
-    let released = MENDED_SEEDS_WITH_RELEASES.map(|(seed, cause)| (seed, releases, cause));
-    let empty = Faults::all().with_empty_starts();
-    let emptied =
-        MENDED_SEEDS_OF_FEW_FAULTS_WITH_EMPTY_STARTS.map(|(seed, cause)| (seed, empty, cause));
-    let many_empty = releases.with_empty_starts();
-    let many_emptied =
-        MENDED_SEEDS_WITH_EMPTY_STARTS.map(|(seed, cause)| (seed, many_empty, cause));
-    let returned = many_empty.with_put_back();
-    let returned = MENDED_SEEDS_WITH_A_RETURN.map(|(seed, cause)| (seed, returned, cause));
-    let all = few.into_iter().chain(many).chain(released).chain(emptied).chain(many_emptied);
-    let all = all.chain(returned);
+    let released = FIXED_SEEDS_RELEASES.map(|(seed, cause)| (seed, releases, cause));
+    let with_data_loss = Faults::all().with_data_loss();
+    let data_loss =
+        FIXED_SEEDS_FEW_FAULTS_DATA_LOSS.map(|(seed, cause)| (seed, with_data_loss, cause));
+    let many_with_data_loss = releases.with_data_loss();
+    let many_data_loss =
+        FIXED_SEEDS_DATA_LOSS.map(|(seed, cause)| (seed, many_with_data_loss, cause));
+    let with_restores = many_with_data_loss.with_store_restores();
+    let restored = FIXED_SEEDS_STORE_RESTORES.map(|(seed, cause)| (seed, with_restores, cause));
+    let all = few.into_iter().chain(many).chain(released).chain(data_loss).chain(many_data_loss);
+    let all = all.chain(restored);
     for (seed, faults, cause) in all {
-        let outcome = World::new(seed, faults, Plant::None).play();
+        let outcome = World::new(seed, faults, PlantedFault::None).run();
         assert!(outcome.violations.is_empty(), "seed {seed}: {cause}: {:?}", outcome.violations);
     }
 }
@@ -341,20 +348,20 @@
 /// been away since before that commit, was promoted with 22 commits of 36 at 6,322 ms; i-2 had them all, was back
 /// since 3,804 ms and was not waited for.
 #[test]
-fn an_instance_that_nobody_could_refill_does_not_count_after_a_while() {
-    let faults = Faults::all().with_empty_starts();
-    let outcome = World::new(604_898, faults, Plant::None).play();
+fn instance_that_could_not_be_refilled_never_counts_as_complete() {
+    let faults = Faults::all().with_data_loss();
+    let outcome = World::new(604_898, faults, PlantedFault::None).run();
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations.first());
 }
 
 #[test]
 fn seeds_with_empty_starts_that_still_break_a_promise_hold() {
-    let few = Faults::all().with_empty_starts();
-    let many = Faults::dense().with_releases().with_empty_starts();
-    let seeds = BROKEN_SEEDS_OF_FEW_FAULTS_WITH_EMPTY_STARTS.map(|seed| (seed, few));
-    let others = BROKEN_SEEDS_WITH_EMPTY_STARTS.map(|seed| (seed, many));
+    let few = Faults::all().with_data_loss();
+    let many = Faults::dense().with_releases().with_data_loss();
+    let seeds = DATA_LOSS_SEEDS_FEW_FAULTS.map(|seed| (seed, few));
+    let others = DATA_LOSS_SEEDS_MANY_FAULTS.map(|seed| (seed, many));
     let broken = seeds.into_iter().chain(others).filter_map(|(seed, faults)| {
-        let outcome = World::new(seed, faults, Plant::None).play();
+        let outcome = World::new(seed, faults, PlantedFault::None).run();
         Some((seed, outcome.violations.into_iter().next()?))
     });
     let broken: Vec<_> = broken.collect();
@@ -362,10 +369,10 @@
 }
 
 #[test]
-fn seeds_that_broke_a_promise_while_nodes_came_hold() {
-    let faults = Faults::all().with_nodes_that_come();
-    for seed in MENDED_SEEDS_OF_FEW_FAULTS_WHILE_NODES_COME {
-        let outcome = World::new(seed, faults, Plant::None).play();
+fn fixed_seeds_with_joining_nodes_violate_no_guarantee() {
+    let faults = Faults::all().with_joining_nodes();
+    for seed in FIXED_SEEDS_FEW_FAULTS_NODE_JOINS {
+        let outcome = World::new(seed, faults, PlantedFault::None).run();
         assert!(outcome.violations.is_empty(), "seed {seed}: {:?}", outcome.violations.first());
     }
 }
@@ -378,8 +385,8 @@
 /// All that was to be known was known, and asked: no order reaches the old primary, and the promotion was under way.
 #[test]
 fn a_replica_that_forgets_that_it_was_stopped_while_another_is_promoted_loses_no_commit() {
-    let faults = Faults::all().with_nodes_that_come();
-    let outcome = World::new(1_226_659, faults, Plant::None).play();
+    let faults = Faults::all().with_joining_nodes();
+    let outcome = World::new(1_226_659, faults, PlantedFault::None).run();
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations.first());
 }
 
@@ -388,127 +395,136 @@
 /// commits, until i-1, which held all 60, led at 2,222 ms. No order names the start that is to be promoted.
 #[test]
 fn an_instance_that_loses_its_log_at_the_moment_of_its_promotion_loses_no_commit() {
-    let faults = Faults::all().with_empty_starts();
-    let outcome = World::new(47_317_907, faults, Plant::None).play();
+    let faults = Faults::all().with_data_loss();
+    let outcome = World::new(47_317_907, faults, PlantedFault::None).run();
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations.first());
 }
 
 /// An instance loses its log and runs again sooner than a promotion takes.
 #[test]
-fn no_seed_breaks_a_promise_while_an_instance_loses_its_log_for_a_moment() {
-    holds(Faults::all().with_quick_empty_starts());
+fn no_seed_violates_a_guarantee_when_an_instance_loses_its_data_and_restarts_quickly() {
+    assert_no_violations(Faults::all().with_quick_data_loss());
 }
 
 #[test]
-fn no_seed_with_many_faults_breaks_a_promise_while_an_instance_loses_its_log_for_a_moment() {
-    holds(Faults::dense().with_releases().with_quick_empty_starts());
+fn no_seed_with_many_faults_violates_a_guarantee_when_an_instance_loses_its_data_and_restarts_quickly()
+ {
+    assert_no_violations(Faults::dense().with_releases().with_quick_data_loss());
 }
 
 /// A replica is replaced as planned while the primary is, and nodes hear of that from whoever does it.
 #[test]
-fn no_seed_breaks_a_promise_while_replicas_leave() {
-    holds(Faults::all().with_replicas_that_leave().with_word_of_holders());
+fn no_seed_violates_a_guarantee_while_replicas_leave() {
+    assert_no_violations(Faults::all().with_leaving_replicas().with_coordinator_notifications());
 }
 
 #[test]
-fn no_seed_with_many_faults_breaks_a_promise_while_replicas_leave() {
-    let many = Faults::dense().with_releases().with_empty_starts();
-    holds(many.with_replicas_that_leave().with_word_of_holders());
+fn no_seed_with_many_faults_violates_a_guarantee_while_replicas_leave() {
+    let many = Faults::dense().with_releases().with_data_loss();
+    assert_no_violations(many.with_leaving_replicas().with_coordinator_notifications());
 }
 
 /// A node that does not reach the store hears of a replacement from nobody.
 #[test]
-fn replacements_that_nodes_are_not_told_of_are_caught() {
-    let faults = Faults::all().with_replicas_that_leave();
-    is_caught_with(faults, Plant::None, |found| matches!(found, Violation::LostCommit { .. }));
+fn detects_missing_replacement_notifications() {
+    let faults = Faults::all().with_leaving_replicas();
+    assert_detected_with(faults, PlantedFault::None, |found| {
+        matches!(found, Violation::LostCommit { .. })
+    });
 }
 
 /// An old primary's answer counts though a replacement has been under way for long.
 #[test]
-fn late_answers_of_old_primaries_are_caught() {
-    let faults = Faults::all().with_replicas_that_leave().with_word_of_holders();
-    is_caught_with(faults, Plant::LateAnswers, |found| {
+fn detects_late_commits_of_old_primaries() {
+    let faults = Faults::all().with_leaving_replicas().with_coordinator_notifications();
+    assert_detected_with(faults, PlantedFault::LateCommitsAccepted, |found| {
         matches!(found, Violation::LostCommit { .. })
     });
 }
 
 /// Guards the story of a replica that was replaced as planned while a listed node did not reach the store.
 #[test]
-fn plays_around_the_end_of_a_replica_hold_where_nodes_are_told_of_replacements() {
-    let faults = Faults::all().with_replicas_that_leave().with_word_of_holders();
-    holds_around(&[322], faults);
+fn variations_of_a_leaving_replica_violate_no_guarantee_with_notifications() {
+    let faults = Faults::all().with_leaving_replicas().with_coordinator_notifications();
+    assert_no_violations_around(&[322], faults);
 }
 
 /// A node that nobody waits for yet passes on what a primary answers, without the word of replicas.
 #[test]
-fn commits_that_nobody_confirms_at_a_node_that_is_not_listed_are_caught() {
-    let faults = Faults::all().with_nodes_that_come();
-    let plays = play_worlds(0..PART, |play| {
-        World::around(1_226_659, play, faults).with_planted(Plant::Unconfirmed)
+fn detects_unconfirmed_commits_at_an_unlisted_node() {
+    let faults = Faults::all().with_joining_nodes();
+    let outcomes = run_worlds(0..SEEDS_PER_BATCH, |variation| {
+        World::variation_of(1_226_659, variation, faults)
+            .with_planted_fault(PlantedFault::NoConfirmation)
     });
-    let found = violations(&plays);
+    let found = violations(&outcomes);
     let lost = |(_, found): &(u64, Violation)| matches!(found, Violation::LostCommit { .. });
-    assert!(found.iter().any(lost), "it is not caught");
+    assert!(found.iter().any(lost), "it is not detected");
 }
 
 /// A replica leaves as planned while another one is being promoted: its successor at its address knows of no stop.
 #[test]
-fn plays_around_the_end_of_a_stopped_replica_lose_no_commit() {
-    holds_around(&[1_226_659], Faults::all().with_nodes_that_come());
+fn variations_of_a_leaving_stopped_replica_lose_no_commit() {
+    assert_no_violations_around(&[1_226_659], Faults::all().with_joining_nodes());
 }
 
 /// An old primary comes back when the one promoted after it has lost its log.
 #[test]
 fn plays_around_the_return_of_an_old_primary_hold() {
-    let faults = Faults::dense().with_releases().with_empty_starts();
-    hold_in_plays(plays_around(PLAYS_AROUND_A_RARE_MOMENT), &[15_611], faults);
+    let faults = Faults::dense().with_releases().with_data_loss();
+    assert_no_violations_in_variations(
+        variation_count(VARIATIONS_OF_RARE_SEEDS),
+        &[15_611],
+        faults,
+    );
 }
 
 /// An instance loses its log between its last check and its promotion.
 #[test]
-fn plays_around_a_loss_at_the_moment_of_promotion_lose_no_commit() {
-    holds_around(&[47_317_907], Faults::all().with_empty_starts());
-    holds_around(&[19_308], Faults::dense().with_releases().with_empty_starts());
+fn variations_of_data_loss_during_promotion_lose_no_commit() {
+    assert_no_violations_around(&[47_317_907], Faults::all().with_data_loss());
+    assert_no_violations_around(&[19_308], Faults::dense().with_releases().with_data_loss());
 }
 
 #[test]
-fn plays_around_seeds_that_once_broke_a_promise_hold() {
+fn variations_of_fixed_seeds_violate_no_guarantee() {
     let few = Faults::all();
     let many = Faults::dense();
     let released = many.with_releases();
     let seeds_of =
         |listed: &[(u64, &str)]| listed.iter().map(|(seed, _)| *seed).collect::<Vec<_>>();
-    holds_around(&seeds_of(&MENDED_SEEDS_OF_FEW_FAULTS), few);
-    holds_around(&seeds_of(&MENDED_SEEDS), many);
-    holds_around(&seeds_of(&MENDED_SEEDS_WITH_RELEASES), released);
-    let emptied = seeds_of(&MENDED_SEEDS_OF_FEW_FAULTS_WITH_EMPTY_STARTS);
-    holds_around(&emptied, few.with_empty_starts());
-    holds_around(&[604_898, 14_008], few.with_empty_starts());
-    holds_around(&seeds_of(&MENDED_SEEDS_WITH_EMPTY_STARTS), released.with_empty_starts());
-    holds_around(&[5_976, 9_805, 15_444, 17_708], released.with_empty_starts());
-    holds_around(&MENDED_SEEDS_OF_FEW_FAULTS_WHILE_NODES_COME, few.with_nodes_that_come());
-    let returned = seeds_of(&MENDED_SEEDS_WITH_A_RETURN);
-    holds_around(&returned, released.with_empty_starts().with_put_back());
+    assert_no_violations_around(&seeds_of(&FIXED_SEEDS_FEW_FAULTS), few);
+    assert_no_violations_around(&seeds_of(&FIXED_SEEDS_MANY_FAULTS), many);
+    assert_no_violations_around(&seeds_of(&FIXED_SEEDS_RELEASES), released);
+    let data_loss = seeds_of(&FIXED_SEEDS_FEW_FAULTS_DATA_LOSS);
+    assert_no_violations_around(&data_loss, few.with_data_loss());
+    assert_no_violations_around(&[604_898, 14_008], few.with_data_loss());
+    assert_no_violations_around(&seeds_of(&FIXED_SEEDS_DATA_LOSS), released.with_data_loss());
+    assert_no_violations_around(&[5_976, 9_805, 15_444, 17_708], released.with_data_loss());
+    assert_no_violations_around(&FIXED_SEEDS_FEW_FAULTS_NODE_JOINS, few.with_joining_nodes());
+    let restored = seeds_of(&FIXED_SEEDS_STORE_RESTORES);
+    assert_no_violations_around(&restored, released.with_data_loss().with_store_restores());
 }
 
 /// How many plays around a seed there are: `AROUND=1500` plays more than CI does.
-fn plays_around(ordinary: u64) -> u64 {
-    std::env::var("AROUND").ok().and_then(|text| text.parse().ok()).unwrap_or(ordinary)
+fn variation_count(default: u64) -> u64 {
+    std::env::var("AROUND").ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 /// Plays around seeds that once broke a promise; none may break one.
-fn holds_around(seeds: &[u64], faults: Faults) {
-    hold_in_plays(plays_around(PLAYS_AROUND), seeds, faults);
+fn assert_no_violations_around(seeds: &[u64], faults: Faults) {
+    assert_no_violations_in_variations(variation_count(VARIATIONS_PER_SEED), seeds, faults);
 }
 
-fn hold_in_plays(plays: u64, seeds: &[u64], faults: Faults) {
+fn assert_no_violations_in_variations(variations: u64, seeds: &[u64], faults: Faults) {
     let mut broken = Vec::new();
     for seed in seeds {
-        let outcomes = play_worlds(0..plays, |play| World::around(*seed, play, faults));
+        let outcomes =
+            run_worlds(0..variations, |variation| World::variation_of(*seed, variation, faults));
         let found = violations(&outcomes);
-        let plays: BTreeSet<u64> = found.iter().map(|(play, _)| *play).collect();
-        println!("around seed {seed}: {} of {} plays break", plays.len(), outcomes.len());
-        broken.extend(found.into_iter().next().map(|found| (*seed, plays.len(), found)));
+        let violating: BTreeSet<u64> = found.iter().map(|(variation, _)| *variation).collect();
+        println!("around seed {seed}: {} of {} plays break", violating.len(), outcomes.len());
+        broken.extend(found.into_iter().next().map(|found| (*seed, violating.len(), found)));
     }
     assert!(broken.is_empty(), "{broken:#?}");
 }
@@ -517,116 +533,139 @@
 /// kestrellock-core --test replacement story -- --ignored --nocapture`; TRACE_PLAY names a play around it.
 #[test]
 #[ignore = "a tool: prints the story of the seed that the environment names"]
-fn story_of_one_seed() {
+fn print_trace_of_one_seed() {
     let seed = std::env::var("TRACE_SEED").expect("TRACE_SEED names a seed");
     let seed = seed.parse().expect("a seed is a number");
     let kind = std::env::var("TRACE_KIND").expect("TRACE_KIND names the kind of faults");
     let faults = match kind.as_str() {
         "few" => Faults::all(),
         "many" => Faults::dense(),
-        "few_empty" => Faults::all().with_empty_starts(),
-        "many_empty" => Faults::dense().with_releases().with_empty_starts(),
-        "many_silent" => Faults::dense().with_releases().with_silences(),
-        "few_come" => Faults::all().with_nodes_that_come(),
-        "many_come" => Faults::dense().with_releases().with_empty_starts().with_nodes_that_come(),
-        "few_back" => Faults::all().with_put_back(),
-        "many_back" => Faults::dense().with_releases().with_put_back(),
-        "many_empty_back" => Faults::dense().with_releases().with_empty_starts().with_put_back(),
-        "few_all_back" => Faults::all().with_empty_starts().with_start_of_all().with_put_back(),
-        "few_quick" => Faults::all().with_quick_empty_starts(),
-        "many_quick" => Faults::dense().with_releases().with_quick_empty_starts(),
-        "few_replica" => Faults::all().with_replicas_that_leave().with_word_of_holders(),
-        "few_replica_untold" => Faults::all().with_replicas_that_leave(),
-        "few_all" => Faults::all().with_empty_starts().with_start_of_all(),
-        "many_all" => Faults::dense().with_releases().with_empty_starts().with_start_of_all(),
+        "few_empty" => Faults::all().with_data_loss(),
+        "many_with_data_loss" => Faults::dense().with_releases().with_data_loss(),
+        "many_silent" => Faults::dense().with_releases().with_silent_connections(),
+        "few_come" => Faults::all().with_joining_nodes(),
+        "many_come" => Faults::dense().with_releases().with_data_loss().with_joining_nodes(),
+        "few_back" => Faults::all().with_store_restores(),
+        "many_back" => Faults::dense().with_releases().with_store_restores(),
+        "many_empty_back" => Faults::dense().with_releases().with_data_loss().with_store_restores(),
+        "few_all_back" => Faults::all().with_data_loss().with_full_restart().with_store_restores(),
+        "few_quick" => Faults::all().with_quick_data_loss(),
+        "many_quick" => Faults::dense().with_releases().with_quick_data_loss(),
+        "few_replica" => Faults::all().with_leaving_replicas().with_coordinator_notifications(),
+        "few_replica_untold" => Faults::all().with_leaving_replicas(),
+        "few_all" => Faults::all().with_data_loss().with_full_restart(),
+        "many_all" => Faults::dense().with_releases().with_data_loss().with_full_restart(),
         other => panic!("no kind of faults is called {other}"),
     };
-    let play = std::env::var("TRACE_PLAY").ok().and_then(|text| text.parse().ok());
-    let world = match play {
-        Some(play) => World::around(seed, play, faults),
-        None => World::new(seed, faults, Plant::None),
+    let variation = std::env::var("TRACE_PLAY").ok().and_then(|text| text.parse().ok());
+    let world = match variation {
+        Some(variation) => World::variation_of(seed, variation, faults),
+        None => World::new(seed, faults, PlantedFault::None),
     };
-    let (outcome, lines) = world.traced().play_and_tell();
+    let (outcome, lines) = world.traced().run_with_trace();
     println!("{:#?}\n{}\n{:?}", outcome.plan, lines.join("\n"), outcome.violations);
 }
 
 #[test]
-fn trouble_of_single_nodes_and_replicas_moves_no_primary() {
-    let outcomes = play(seeds(), Faults::without_primaries(), Plant::None);
-    let moved: Vec<_> = outcomes
+fn faults_of_single_nodes_and_replicas_replace_no_primary() {
+    let outcomes = run_seeds(seeds(), Faults::without_primaries(), PlantedFault::None);
+    let replaced: Vec<_> = outcomes
         .iter()
         .filter(|(_, outcome)| outcome.promotions > 0)
         .map(|(seed, outcome)| (*seed, outcome.plan.clone()))
         .collect();
     let found = violations(&outcomes);
-    println!("{} seeds of {} ms each: {} moved", outcomes.len(), world::LENGTH_MS, moved.len());
+    println!(
+        "{} seeds of {} ms each: {} replaced",
+        outcomes.len(),
+        world::RUN_LENGTH_MS,
+        replaced.len()
+    );
     assert!(found.is_empty(), "{}", describe(&outcomes));
-    assert!(moved.is_empty(), "primaries were replaced without need: {moved:#?}");
+    assert!(replaced.is_empty(), "primaries were replaced without need: {replaced:#?}");
 }
 
 /// A planted fault and a violation that shows it.
-fn is_caught(plant: Plant, shows: impl Fn(&Violation) -> bool) {
-    is_caught_with(Faults::dense(), plant, shows);
-}
-
-fn is_caught_with(faults: Faults, plant: Plant, shows: impl Fn(&Violation) -> bool) {
-    let parts = (FIRST_SEED..FIRST_SEED + PLANTED_SEEDS).step_by(PART as usize);
-    let caught = parts.into_iter().find_map(|first| {
-        let outcomes = play(first..first + PART, faults, plant);
+fn assert_detected(planted_fault: PlantedFault, is_expected: impl Fn(&Violation) -> bool) {
+    assert_detected_with(Faults::dense(), planted_fault, is_expected);
+}
+
+fn assert_detected_with(
+    faults: Faults,
+    planted_fault: PlantedFault,
+    is_expected: impl Fn(&Violation) -> bool,
+) {
+    let batches = (FIRST_SEED..FIRST_SEED + PLANTED_SEEDS).step_by(SEEDS_PER_BATCH as usize);
+    let detected = batches.into_iter().find_map(|first| {
+        let outcomes = run_seeds(first..first + SEEDS_PER_BATCH, faults, planted_fault);
         let found = violations(&outcomes);
-        found.into_iter().find(|(_, violation)| shows(violation))
+        found.into_iter().find(|(_, violation)| is_expected(violation))
     });
-    println!("{plant:?}: {caught:?}");
-    assert!(caught.is_some(), "{plant:?} is not caught");
+    println!("{planted_fault:?}: {detected:?}");
+    assert!(detected.is_some(), "{planted_fault:?} is not detected");
 }
 
 #[test]
-fn reads_without_evidence_are_caught() {
-    is_caught(Plant::EvidenceDropped, |found| matches!(found, Violation::StaleRead { .. }));
+fn detects_reads_without_evidence() {
+    assert_detected(PlantedFault::ReadsWithoutEvidence, |found| {
+        matches!(found, Violation::StaleRead { .. })
+    });
 }
 
 /// A replica that a promotion released without its hearing of it says what it said before. Connections go silent
 /// besides: an old primary is soon told to step down by whoever knows of the newer term, so that the fault shows
 /// where that is not heard.
 #[test]
-fn the_word_of_one_replica_without_a_look_at_the_store_is_caught() {
-    let faults = Faults::dense().with_releases().with_silences();
-    is_caught_with(faults, Plant::NoLook, |found| matches!(found, Violation::StaleRead { .. }));
+fn detects_evidence_from_one_replica_without_a_replacement_check() {
+    let faults = Faults::dense().with_releases().with_silent_connections();
+    assert_detected_with(faults, PlantedFault::NoReplacementCheck, |found| {
+        matches!(found, Violation::StaleRead { .. })
+    });
 }
 
 #[test]
-fn evidence_from_answers_that_wait_for_no_replica_is_caught() {
-    is_caught(Plant::AnswersShow, |found| matches!(found, Violation::StaleRead { .. }));
+fn detects_evidence_from_read_answers() {
+    assert_detected(PlantedFault::ReadAnswersAsEvidence, |found| {
+        matches!(found, Violation::StaleRead { .. })
+    });
 }
 
 #[test]
-fn a_promotion_that_does_not_wait_is_caught() {
-    is_caught(Plant::NoLapse, |found| matches!(found, Violation::StaleRead { .. }));
+fn detects_promotion_before_evidence_expires() {
+    assert_detected(PlantedFault::NoEvidenceWait, |found| {
+        matches!(found, Violation::StaleRead { .. })
+    });
 }
 
 #[test]
-fn the_choice_of_the_wrong_replica_is_caught() {
-    is_caught(Plant::WrongReplica, |found| matches!(found, Violation::LostCommit { .. }));
+fn detects_promotion_of_the_most_lagging_replica() {
+    assert_detected(PlantedFault::LaggingReplicaPromoted, |found| {
+        matches!(found, Violation::LostCommit { .. })
+    });
 }
 
 #[test]
-fn a_promotion_without_stopping_replicas_is_caught() {
-    is_caught(Plant::NotStopped, |found| {
+fn detects_promotion_without_stopped_replicas() {
+    assert_detected(PlantedFault::StopIgnored, |found| {
         matches!(found, Violation::LostCommit { .. } | Violation::TwoPrimaries { .. })
     });
 }
 
 #[test]
-fn a_fence_that_is_used_again_is_caught() {
-    is_caught(Plant::FenceReused, |found| matches!(found, Violation::Fence { .. }));
+fn detects_reused_fencing_tokens() {
+    assert_detected(PlantedFault::FenceReused, |found| matches!(found, Violation::Fence { .. }));
 }
 
 #[test]
-fn a_replica_that_stays_stopped_is_caught() {
-    is_caught(Plant::StopForgotten, |found| matches!(found, Violation::Stuck { .. }));
+fn detects_replicas_that_stay_stopped() {
+    assert_detected(PlantedFault::ReplicasNeverReleased, |found| {
+        matches!(found, Violation::NotRecovered { .. })
+    });
 }
 
 #[test]
-fn a_write_in_doubt_that_is_called_not_run_is_caught() {
-    is_caught(Plant::DoubtPromised, |found| matches!(found, Violation::FalsePromise { .. }));
+fn detects_in_doubt_writes_reported_as_not_run() {
+    assert_detected(PlantedFault::InDoubtReportedNotRun, |found| {
+        matches!(found, Violation::FalseNotRun { .. })
+    });
 }
--- a/crates/core/tests/replacement/messages.rs
+++ b/crates/core/tests/replacement/messages.rs
@@ -9,7 +9,7 @@
 
 use crate::checker::CommitId;
 use crate::returns::Keys;
-use crate::store::{Announced, Done, Operation};
+use crate::store::{Announced, CallResult, Operation};
 
 /// What a node asks of an instance.
 #[derive(Clone, Debug)]
@@ -22,9 +22,9 @@
         arrived: u64,
     },
     /// How it stands, as evidence.
-    Question,
+    StatusQuery,
     /// A command of a holder.
-    Control(Command),
+    Command(Command),
 }
 
 /// What an instance answers.
@@ -37,7 +37,7 @@
     /// It does not lead.
     NotPrimary,
     /// How it stands.
-    Standing(ReplicationStatus),
+    Status(ReplicationStatus),
     /// It receives again.
     Released,
     /// Nothing runs there.
@@ -60,7 +60,7 @@
     /// When it was sent.
     pub sent: u64,
     /// Process of the instance that the connection leads to.
-    pub run: u32,
+    pub instance_process: u32,
     /// What is asked.
     pub work: Work,
 }
@@ -94,7 +94,7 @@
     /// To the store.
     Call(Call),
     /// From the store, of the era that it tells.
-    Called(Call, Done, StoreEra),
+    CallAnswered(Call, CallResult, StoreEra),
     /// A node waits no longer for an answer of the store.
     CallLost(Call),
     /// A node hears of changes.
@@ -122,7 +122,7 @@
         fence: u64,
     },
     /// From the platform.
-    Promotion {
+    PromotionAnswered {
         /// The node.
         node: usize,
         /// Its process.
@@ -133,14 +133,14 @@
         answer: PromotionAnswer,
     },
     /// The platform has promoted.
-    Leads {
+    PromotionDone {
         /// The instance.
         instance: usize,
         /// Its process: another one holds nothing of what was to lead.
-        born: u64,
+        incarnation: u64,
     },
     /// A holder tells a node that a replacement is under way.
-    UnderWay {
+    ReplacementStarted {
         /// The node.
         to: usize,
         /// The replacement.
@@ -149,7 +149,7 @@
         recorded: u64,
     },
     /// A holder tells a node that a replacement is over.
-    Over {
+    ReplacementFinished {
         /// The node.
         to: usize,
         /// The replacement.
@@ -158,7 +158,7 @@
         successor: Option<Successor>,
     },
     /// A node tells a holder that it has given its evidence up.
-    GivenUp {
+    EvidenceRevoked {
         /// The holder.
         to: usize,
         /// The node.
@@ -166,7 +166,7 @@
         /// The replacement.
         id: ReplacementId,
         /// What it knows of the group.
-        witness: RestartReport,
+        report: RestartReport,
     },
     /// An instance writes its entry again.
     Announce {
--- a/crates/core/tests/replacement/node.rs
+++ b/crates/core/tests/replacement/node.rs
@@ -21,11 +21,11 @@
 use kestrellock_core::suspicion::{FailureDetector, HealthSignals};
 
 use crate::checker::CommitId;
-use crate::returns::{Keys, complete, installed_of, intents_of};
+use crate::returns::{Keys, last_promoted_in, merge_keys, unfinished_intents};
 use crate::store::{Announced, node_name};
 
 /// How it replicates.
-pub const GROUP: Replication = Replication { synchronous: 1, instances: 3 };
+pub const REPLICATION: Replication = Replication { synchronous: 1, instances: 3 };
 
 /// The one group.
 pub fn group_name() -> GroupName {
@@ -43,30 +43,30 @@
 }
 
 /// The right to act, and what is done with it.
-pub struct Acting {
+pub struct CoordinatorState {
     /// Its fence.
     pub fence: u64,
     /// Until when it surely lasts.
-    pub until: u64,
+    pub lease_until: u64,
     /// Whether it is being prolonged.
     pub renewing: bool,
     /// The attempt under way.
     pub attempt: Option<Attempt>,
     /// Attempts begun.
-    pub begun: u32,
+    pub attempts_started: u32,
     /// When the last one ended.
-    pub ended: Option<u64>,
+    pub last_attempt_ended: Option<u64>,
     /// Nodes that the store listed when the last intent was recorded.
-    pub listed: Vec<NodeName>,
+    pub nodes_at_intent: Vec<NodeName>,
     /// When the intent of the attempt was first known to be recorded.
-    pub recorded: Option<u64>,
+    pub intent_recorded_at: Option<u64>,
     /// When the other nodes were last told of it.
-    pub told: Option<u64>,
+    pub notified_at: Option<u64>,
 }
 
 /// A commit that its primary has answered, and that is not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
-pub struct Unconfirmed {
+pub struct UnconfirmedCommit {
     /// The commit.
     pub commit: CommitId,
     /// The primary.
@@ -98,13 +98,13 @@
     /// What nodes have written of replacements, as the store said last.
     keys: Keys,
     /// The same of before the store came back from a copy.
-    remembered: Keys,
+    remembered_keys: Keys,
     /// Whether the store may lack what this node remembers.
     pub writes_back: bool,
     /// When it last recorded something again.
-    pub wrote_back: u64,
+    pub wrote_back_at: u64,
     /// Until when a hold would have lasted that the store has lost: nobody else can have the right yet.
-    pub retake_until: u64,
+    pub reacquire_until: u64,
     /// The configuration by that.
     pub catalog: IndexedCatalog,
     /// Whether it has come since the node last followed it.
@@ -114,54 +114,54 @@
     /// Evidence of the primary.
     pub evidence: PrimaryEvidence,
     /// Commits whose answers have come, and that replicas have yet to confirm.
-    pub unconfirmed: Vec<Unconfirmed>,
+    pub unconfirmed_commits: Vec<UnconfirmedCommit>,
     /// Term of each instance, by its own word.
     pub terms: BTreeMap<usize, Term>,
     /// Requests that wait, by number: instance, when sent, whether they commit.
-    pub waiting: BTreeMap<u64, (usize, Instant, bool)>,
+    pub pending_requests: BTreeMap<u64, (usize, Instant, bool)>,
     /// When each instance last answered or refused.
-    pub answered: BTreeMap<usize, Instant>,
+    pub last_answers: BTreeMap<usize, Instant>,
     /// When each instance last answered a commit.
-    pub committed: BTreeMap<usize, Instant>,
+    pub last_commits: BTreeMap<usize, Instant>,
     /// Process of each instance that connections lead to.
-    pub runs_known: BTreeMap<usize, u32>,
+    pub known_processes: BTreeMap<usize, u32>,
     /// Since when each instance has refused connections.
-    pub refused: BTreeMap<usize, Instant>,
+    pub refused_since: BTreeMap<usize, Instant>,
     /// The instance that it took for the primary when it last looked.
-    pub followed: Option<usize>,
-    judge: FailureDetector,
-    needs_judge: NeedsEvaluator,
+    pub last_leader: Option<usize>,
+    failure_detector: FailureDetector,
+    needs_evaluator: NeedsEvaluator,
     /// The instances.
-    pub known: KnownInstances,
+    pub known_instances: KnownInstances,
     /// What it suspects.
     pub votes: NodeVotes,
     /// The right to act, if it has it.
-    pub acting: Option<Acting>,
+    pub coordinator: Option<CoordinatorState>,
     /// Whether it is asking for it.
     pub acquiring: bool,
     needed_since: Option<u64>,
     /// Nodes that have given their evidence up, and what they know.
-    pub given_up: BTreeMap<ReplacementId, RestartReports>,
+    pub revocation_reports: BTreeMap<ReplacementId, RestartReports>,
     /// Positions that the primary has told it.
-    pub heard: PrimarySamples,
+    pub primary_samples: PrimarySamples,
     /// When it last told a holder.
-    pub told: u64,
+    pub reported_at: u64,
     /// When the last question for evidence was sent.
-    pub questioned: u64,
+    pub status_queried_at: u64,
     /// When it last looked at the store.
-    pub looked: u64,
+    pub replacement_checked_at: u64,
     /// When it last told old primaries to step down.
-    pub demoted: u64,
+    pub demotions_sent_at: u64,
     /// When it last asked instances that have started again.
-    pub asked_refills: u64,
+    pub refills_queried_at: u64,
     /// When it started, if it was not there from the beginning.
-    pub started: u64,
+    pub started_at: u64,
     /// When it last tried to enter itself.
-    pub entered: u64,
+    pub registration_sent_at: u64,
     /// The entries of nodes that it has read.
-    pub others: Vec<NodeName>,
+    pub listed_nodes: Vec<NodeName>,
     /// When it read them.
-    pub others_read: u64,
+    pub listed_nodes_read_at: u64,
 }
 
 impl Node {
@@ -176,61 +176,61 @@
             era: StoreEraTracker::default(),
             newest_era: StoreEra::default(),
             keys: Keys::new(),
-            remembered: Keys::new(),
+            remembered_keys: Keys::new(),
             writes_back: false,
-            wrote_back: 0,
-            retake_until: 0,
+            wrote_back_at: 0,
+            reacquire_until: 0,
             catalog: IndexedCatalog::default(),
             catalog_is_new: false,
             replacements: KnownReplacements::default(),
             evidence: PrimaryEvidence::default(),
-            unconfirmed: Vec::new(),
+            unconfirmed_commits: Vec::new(),
             terms: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            answered: BTreeMap::new(),
-            committed: BTreeMap::new(),
-            refused: BTreeMap::new(),
-            runs_known: BTreeMap::new(),
-            followed: None,
-            judge: FailureDetector::default(),
-            needs_judge: NeedsEvaluator::default(),
-            known: KnownInstances::default(),
+            pending_requests: BTreeMap::new(),
+            last_answers: BTreeMap::new(),
+            last_commits: BTreeMap::new(),
+            refused_since: BTreeMap::new(),
+            known_processes: BTreeMap::new(),
+            last_leader: None,
+            failure_detector: FailureDetector::default(),
+            needs_evaluator: NeedsEvaluator::default(),
+            known_instances: KnownInstances::default(),
             votes: NodeVotes::new(),
-            acting: None,
+            coordinator: None,
             acquiring: false,
             needed_since: None,
-            given_up: BTreeMap::new(),
-            heard: PrimarySamples::default(),
-            told: 0,
-            questioned: 0,
-            looked: 0,
-            demoted: 0,
-            asked_refills: 0,
-            started: 0,
-            entered: 0,
-            others: Vec::new(),
-            others_read: 0,
+            revocation_reports: BTreeMap::new(),
+            primary_samples: PrimarySamples::default(),
+            reported_at: 0,
+            status_queried_at: 0,
+            replacement_checked_at: 0,
+            demotions_sent_at: 0,
+            refills_queried_at: 0,
+            started_at: 0,
+            registration_sent_at: 0,
+            listed_nodes: Vec::new(),
+            listed_nodes_read_at: 0,
         }
     }
 
     /// Whether its copy of the store shows that it has entered itself.
-    pub fn is_listed_by_its_copy(&self) -> bool {
+    pub fn is_listed_in_own_view(&self) -> bool {
         self.view.nodes.contains(&node_name(self.number))
     }
 
     /// It has watched the instances since `started`.
     pub fn has_watched_since(&mut self, announced: &[Announced], started: Instant) {
         let catalog = catalog(0, announced, None);
-        self.known.apply_catalog(&catalog, started);
+        self.known_instances.apply_catalog(&catalog, started);
     }
 
     /// Whether it does anything now.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.alive && !self.frozen
     }
 
     /// Takes in what the store says now.
-    pub fn see(
+    pub fn apply_view(
         &mut self,
         mut view: CoordinationView,
         announced: &[Announced],
@@ -242,21 +242,22 @@
         }
         self.newest_era = self.newest_era.max(view.era);
         if self.era.observe(view.era, now) {
-            self.remembered = complete(&self.keys, &self.remembered);
+            self.remembered_keys = merge_keys(&self.keys, &self.remembered_keys);
             self.writes_back = true;
         }
         self.keys = keys;
-        let known = complete(&self.keys, &self.remembered);
-        view.intents = intents_of(&known);
-        let installed = installed_of(&known);
-        let installed = installed.as_ref();
-        view.promoted = installed.map(|one| (group_name(), one.clone())).into_iter().collect();
-        if let Some(term) = installed.and_then(|installed| installed.term) {
+        let known = merge_keys(&self.keys, &self.remembered_keys);
+        view.intents = unfinished_intents(&known);
+        let last_promoted = last_promoted_in(&known);
+        let last_promoted = last_promoted.as_ref();
+        view.promoted =
+            last_promoted.map(|successor| (group_name(), successor.clone())).into_iter().collect();
+        if let Some(term) = last_promoted.and_then(|last_promoted| last_promoted.term) {
             self.evidence.on_term_led(term);
         }
         self.replacements.update_from_store(&view.intents, now);
         self.follow_replacements();
-        self.catalog = catalog(view.revision, announced, installed);
+        self.catalog = catalog(view.revision, announced, last_promoted);
         self.catalog_is_new = true;
         self.view = view;
     }
@@ -275,13 +276,13 @@
     }
 
     /// A holder says that a replacement is under way.
-    pub fn on_under_way(&mut self, intent: Intent, age: Duration, now: Instant) {
+    pub fn on_replacement_notified(&mut self, intent: Intent, age: Duration, now: Instant) {
         self.replacements.on_notification(&group_name(), intent, age, now);
         self.follow_replacements();
     }
 
     /// A holder says that a replacement is over.
-    pub fn on_over(&mut self, id: ReplacementId, successor: Option<&Successor>) {
+    pub fn on_replacement_finished(&mut self, id: ReplacementId, successor: Option<&Successor>) {
         self.replacements.on_finished(&group_name(), id);
         if let Some(term) = successor.and_then(|successor| successor.term) {
             self.evidence.on_term_led(term);
@@ -290,7 +291,7 @@
     }
 
     /// Forgets replacements whose holders are gone.
-    pub fn pass_time(&mut self, now: Instant) {
+    pub fn expire_replacements(&mut self, now: Instant) {
         if self.replacements.expire(now) {
             self.follow_replacements();
         }
@@ -298,11 +299,12 @@
 
     /// What the store has lost of replacements, as far as this node remembers: who was promoted last, and whether a
     /// replacement that it shows is over.
-    pub fn lost(&self) -> (Option<Successor>, bool) {
-        let known = complete(&self.keys, &self.remembered);
-        let successor =
-            installed_of(&known).filter(|_| installed_of(&self.keys) != installed_of(&known));
-        let is_over = intents_of(&known).is_empty() && !intents_of(&self.keys).is_empty();
+    pub fn missing_from_store(&self) -> (Option<Successor>, bool) {
+        let known = merge_keys(&self.keys, &self.remembered_keys);
+        let successor = last_promoted_in(&known)
+            .filter(|_| last_promoted_in(&self.keys) != last_promoted_in(&known));
+        let is_over =
+            unfinished_intents(&known).is_empty() && !unfinished_intents(&self.keys).is_empty();
         (successor, is_over)
     }
 
@@ -315,14 +317,14 @@
     }
 
     /// Whether new work for the primary waits, because it is being replaced.
-    pub fn holds_back(&self) -> bool {
-        let former = self.intent().map(|intent| intent.former.as_ref().map(instance_number));
-        former.is_some_and(|former| former == self.leader())
+    pub fn delays_primary_requests(&self) -> bool {
+        let old_primary = self.intent().map(|intent| intent.former.as_ref().map(instance_number));
+        old_primary.is_some_and(|old_primary| old_primary == self.leader())
     }
 
     /// Whether nothing may be written at the instance that it takes for the primary: a newer one is known, or may
     /// have been promoted, and which term that one leads is not known.
-    pub fn is_old(&self, leader: usize) -> bool {
+    pub fn is_outdated(&self, leader: usize) -> bool {
         let term = self.terms.get(&leader).copied();
         let group = self.catalog.groups.get(&group_name());
         let is_newest = group.is_none_or(|group| group.is_last_promoted(&instance_name(leader)));
@@ -330,40 +332,46 @@
     }
 
     /// Whether a read that arrived at `arrived` may run at the primary.
-    pub fn may_read(&self, leader: usize, arrived: Instant, life: Duration) -> bool {
+    pub fn may_read(&self, leader: usize, arrived: Instant, lifetime: Duration) -> bool {
         let term = self.terms.get(&leader);
-        let until = term.and_then(|term| self.evidence.covers_until(*term, GROUP, life));
+        let until = term.and_then(|term| self.evidence.covers_until(*term, REPLICATION, lifetime));
         until.is_some_and(|until| arrived <= until)
     }
 
     /// The same if the store said that nobody replaces the primary.
-    pub fn would_read(&self, leader: usize, arrived: Instant, life: Duration) -> bool {
+    pub fn may_read_once_checked(
+        &self,
+        leader: usize,
+        arrived: Instant,
+        lifetime: Duration,
+    ) -> bool {
         let term = self.terms.get(&leader);
-        let until = term.and_then(|term| self.evidence.would_cover_until(*term, GROUP, life));
+        let until =
+            term.and_then(|term| self.evidence.would_cover_until(*term, REPLICATION, lifetime));
         until.is_some_and(|until| arrived <= until)
     }
 
-    fn signs(&self, instance: usize) -> HealthSignals {
-        let waiting = self.waiting.values().filter(|(to, _, _)| *to == instance);
+    fn health_signals(&self, instance: usize) -> HealthSignals {
+        let pending_requests = self.pending_requests.values().filter(|(to, _, _)| *to == instance);
         HealthSignals {
-            refused_since: self.refused.get(&instance).copied(),
-            oldest_request: waiting.clone().map(|(_, sent, _)| *sent).min(),
-            oldest_commit: waiting
+            refused_since: self.refused_since.get(&instance).copied(),
+            oldest_request: pending_requests.clone().map(|(_, sent, _)| *sent).min(),
+            oldest_commit: pending_requests
                 .filter(|(_, _, commits)| *commits)
                 .map(|(_, sent, _)| *sent)
                 .min(),
-            last_commit: self.committed.get(&instance).copied(),
-            last_answer: self.answered.get(&instance).copied(),
+            last_commit: self.last_commits.get(&instance).copied(),
+            last_answer: self.last_answers.get(&instance).copied(),
             is_outdated: self.evidence.is_outdated(self.terms.get(&instance).copied()),
         }
     }
 
     /// Judges the primary; true if what the node suspects has changed.
     pub fn suspect(&mut self, now: Instant) -> bool {
-        self.judge.tick(now);
+        self.failure_detector.tick(now);
         let mut votes = NodeVotes::new();
         if let Some(leader) = self.leader()
-            && let Some(cause) = self.judge.suspect(&self.signs(leader), now)
+            && let Some(cause) = self.failure_detector.suspect(&self.health_signals(leader), now)
         {
             let vote = Vote { instance: instance_name(leader), cause };
             votes.insert(group_name(), vote);
@@ -377,13 +385,13 @@
     pub fn need(&mut self, live: &[NodeName], now: Instant) -> Option<Need> {
         match std::mem::take(&mut self.catalog_is_new) {
             true => {
-                self.known.apply_catalog(&self.catalog, now);
-                self.needs_judge.apply_catalog(&self.catalog);
+                self.known_instances.apply_catalog(&self.catalog, now);
+                self.needs_evaluator.apply_catalog(&self.catalog);
             }
-            false => drop(self.known.advance_time(now)),
+            false => drop(self.known_instances.advance_time(now)),
         }
         let own = node_name(self.number);
-        let evidence = NeedsInput {
+        let input = NeedsInput {
             catalog: &self.catalog,
             view: &self.view,
             own: (&own, &self.votes),
@@ -391,33 +399,34 @@
             listed: live,
             now,
         };
-        self.needs_judge.evaluate(&evidence).remove(&group_name())
+        self.needs_evaluator.evaluate(&input).remove(&group_name())
     }
 
     /// An attempt was called off.
-    pub fn on_called_off(&mut self, now: Instant) {
-        self.needs_judge.on_cancelled(&group_name(), now);
+    pub fn on_attempt_cancelled(&mut self, now: Instant) {
+        self.needs_evaluator.on_cancelled(&group_name(), now);
     }
 
     /// Whether it is this node's turn to act on a need.
-    pub fn is_its_turn(&mut self, need: Option<&Need>, now: u64, at: Instant) -> bool {
-        let knows_starts = self.known.knows_restarts(&group_name(), at);
-        if !knows_starts || !need.is_some_and(Need::needs_coordinator) {
+    pub fn should_acquire_lease(&mut self, need: Option<&Need>, now: u64, at: Instant) -> bool {
+        let knows_restarts = self.known_instances.knows_restarts(&group_name(), at);
+        if !knows_restarts || !need.is_some_and(Need::needs_coordinator) {
             self.needed_since = None;
             return false;
         }
         let since = *self.needed_since.get_or_insert(now);
-        let is_settled = !self.era.earlier_lease_may_be_valid(at);
-        let is_free = self.acting.is_none() && !self.acquiring && self.view.coordinator.is_none();
-        let may = is_free && is_settled;
-        may && self.view.revision > 0 && now >= since + 120 * self.number as u64
+        let no_earlier_lease = !self.era.earlier_lease_may_be_valid(at);
+        let is_lease_free =
+            self.coordinator.is_none() && !self.acquiring && self.view.coordinator.is_none();
+        let may_acquire = is_lease_free && no_earlier_lease;
+        may_acquire && self.view.revision > 0 && now >= since + 120 * self.number as u64
     }
 }
 
 fn catalog(
     revision: u64,
     announced: &[Announced],
-    installed: Option<&Successor>,
+    last_promoted: Option<&Successor>,
 ) -> IndexedCatalog {
     let instances = announced.iter().enumerate().map(|(number, announced)| Instance {
         name: instance_name(number),
@@ -427,7 +436,7 @@
         connections: 30,
         leaving: announced.leaving,
         announced_role: Some(if announced.leads { Role::Primary } else { Role::Replica }),
-        incarnation: Some(InstanceIncarnation(announced.born)),
+        incarnation: Some(InstanceIncarnation(announced.incarnation)),
     });
     let group = Group {
         database: "orders".to_owned(),
@@ -437,7 +446,7 @@
         elector: Elector::Proxy,
         synchronous_replicas: 1,
         connections: 30,
-        promoted: installed.map(|successor| successor.instance.clone()),
+        promoted: last_promoted.map(|successor| successor.instance.clone()),
     };
     let mut catalog = Catalog { revision: Revision(revision), ..Catalog::default() };
     catalog.groups.insert(group_name(), group);
@@ -446,9 +455,9 @@
 
 /// Time for which the first nodes have run before the simulation begins: they know which instances have
 /// started again. Those that are killed begin anew.
-const RAN_BEFORE: Duration = Duration::from_secs(20);
+const UPTIME_AT_START: Duration = Duration::from_secs(20);
 
 /// A time of the simulation; its nodes started at `base`.
 pub fn instant(base: Instant, milliseconds: u64) -> Instant {
-    base + RAN_BEFORE + Duration::from_millis(milliseconds)
+    base + UPTIME_AT_START + Duration::from_millis(milliseconds)
 }
--- a/crates/core/tests/replacement/old_primaries.rs
+++ b/crates/core/tests/replacement/old_primaries.rs
@@ -5,46 +5,49 @@
 
 use crate::messages::Work;
 use crate::node::{group_name, instance_name, instance_number};
-use crate::plan::Plant;
+use crate::plan::PlantedFault;
 use crate::world::World;
 
 /// Time between two orders to the old primaries of a group.
-const DEMOTE_EVERY_MS: u64 = 100;
+const DEMOTE_INTERVAL_MS: u64 = 100;
 
 impl World {
     /// Tells old primaries to step down; asks first whose term is not known.
     pub fn demote_old_primaries(&mut self, node: usize) {
         // Otherwise the old primary rarely goes on for long enough to show what the look is for.
-        if self.plant == Plant::NoLook {
+        if self.planted_fault == PlantedFault::NoReplacementCheck {
             return;
         }
         let own = &self.nodes[node];
         let term = own.evidence.highest_led();
-        let is_early = self.now < own.demoted + DEMOTE_EVERY_MS;
-        let Some(group) = own.catalog.groups.get(&group_name()).filter(|_| !is_early) else {
+        let was_sent_recently = self.now < own.demotions_sent_at + DEMOTE_INTERVAL_MS;
+        let Some(group) = own.catalog.groups.get(&group_name()).filter(|_| !was_sent_recently)
+        else {
             return;
         };
-        let leading =
-            group.instances.iter().filter(|one| one.announced_role == Some(Role::Primary));
-        let leading: Vec<usize> = leading.map(|one| instance_number(&one.name)).collect();
-        let is_old = |one: &usize| own.terms.get(one).is_some_and(|leads| *leads < term);
-        let is_unknown = |one: &usize| {
-            !own.terms.contains_key(one) && !group.is_last_promoted(&instance_name(*one))
+        let leading = group
+            .instances
+            .iter()
+            .filter(|instance| instance.announced_role == Some(Role::Primary));
+        let leading: Vec<usize> = leading.map(|instance| instance_number(&instance.name)).collect();
+        let is_old = |instance: &usize| own.terms.get(instance).is_some_and(|known| *known < term);
+        let is_unknown = |instance: &usize| {
+            !own.terms.contains_key(instance) && !group.is_last_promoted(&instance_name(*instance))
         };
         let old: Vec<usize> = leading.iter().copied().filter(is_old).collect();
         let unknown: Vec<usize> = leading.iter().copied().filter(is_unknown).collect();
         if old.is_empty() && unknown.is_empty() {
             return;
         }
-        self.nodes[node].demoted = self.now;
-        for one in old {
-            let demote = Command::Demote { instance: instance_name(one), term };
-            let request = self.number();
-            self.ask(node, one, request, Work::Control(demote));
+        self.nodes[node].demotions_sent_at = self.now;
+        for instance in old {
+            let demote = Command::Demote { instance: instance_name(instance), term };
+            let request = self.next_number();
+            self.send_request(node, instance, request, Work::Command(demote));
         }
-        for one in unknown {
-            let request = self.number();
-            self.ask(node, one, request, Work::Question);
+        for instance in unknown {
+            let request = self.next_number();
+            self.send_request(node, instance, request, Work::StatusQuery);
         }
     }
 }
--- a/crates/core/tests/replacement/plan.rs
+++ b/crates/core/tests/replacement/plan.rs
@@ -9,27 +9,27 @@
     /// The primary crashes, goes dark, leaves, or is cut from its replicas or from nodes.
     pub primaries: bool,
     /// A node is out of reach of the store while a primary that works is replaced: it goes on there.
-    pub cut_off: bool,
+    pub isolates_node: bool,
     /// The most that happens in one run.
-    pub most: usize,
+    pub max_faults: usize,
     /// Whether a promotion releases replicas that have not heard of it, too, as it does on the
     /// platform; otherwise they stay stopped until they hear of the successor.
     pub releases_all: bool,
     /// Whether open connections go silent besides, while new ones work.
-    pub silences: bool,
+    pub silent_connections: bool,
     /// Whether an instance besides starts again under its name with nothing: one of them, once in a run,
     /// since what only two held is lost when both start so.
-    pub starts_empty: bool,
+    pub loses_data: bool,
     /// Whether nodes have to enter themselves, and another one comes.
-    pub nodes_come: bool,
+    pub nodes_join: bool,
     /// Whether all nodes start with the run, and all of them start again once.
-    pub start_of_all: bool,
+    pub full_restart: bool,
     /// Whether the store comes back from an older copy, once or twice.
-    pub put_back: bool,
+    pub store_restores: bool,
     /// Whether an instance that has lost its log may run again sooner than a promotion takes.
-    pub quick_starts: bool,
+    pub quick_restarts: bool,
     /// Whether nodes hear what holders tell them; otherwise all of that is lost on its way.
-    pub told: bool,
+    pub coordinator_notifies: bool,
     /// Whether a replica is replaced as planned, while a node may go on at the primary that does not reach the
     /// store.
     pub replicas_leave: bool,
@@ -40,16 +40,16 @@
     pub fn all() -> Self {
         Self {
             primaries: true,
-            cut_off: false,
-            most: 4,
+            isolates_node: false,
+            max_faults: 4,
             releases_all: false,
-            silences: false,
-            starts_empty: false,
-            nodes_come: false,
-            start_of_all: false,
-            put_back: false,
-            quick_starts: false,
-            told: false,
+            silent_connections: false,
+            loses_data: false,
+            nodes_join: false,
+            full_restart: false,
+            store_restores: false,
+            quick_restarts: false,
+            coordinator_notifies: false,
             replicas_leave: false,
         }
     }
@@ -58,16 +58,16 @@
     pub fn dense() -> Self {
         Self {
             primaries: true,
-            cut_off: true,
-            most: 9,
+            isolates_node: true,
+            max_faults: 9,
             releases_all: false,
-            silences: false,
-            starts_empty: false,
-            nodes_come: false,
-            start_of_all: false,
-            put_back: false,
-            quick_starts: false,
-            told: false,
+            silent_connections: false,
+            loses_data: false,
+            nodes_join: false,
+            full_restart: false,
+            store_restores: false,
+            quick_restarts: false,
+            coordinator_notifies: false,
             replicas_leave: false,
         }
     }
@@ -78,42 +78,42 @@
     }
 
     /// The same with connections that go silent.
-    pub fn with_silences(self) -> Self {
-        Self { silences: true, ..self }
+    pub fn with_silent_connections(self) -> Self {
+        Self { silent_connections: true, ..self }
     }
 
     /// The same with an instance that starts again with nothing.
-    pub fn with_empty_starts(self) -> Self {
-        Self { starts_empty: true, ..self }
+    pub fn with_data_loss(self) -> Self {
+        Self { loses_data: true, ..self }
     }
 
     /// The same with nodes that have to enter themselves in the store, and one that comes.
-    pub fn with_nodes_that_come(self) -> Self {
-        Self { nodes_come: true, ..self }
+    pub fn with_joining_nodes(self) -> Self {
+        Self { nodes_join: true, ..self }
     }
 
     /// The same with nodes that have just started, and all start again once.
-    pub fn with_start_of_all(self) -> Self {
-        Self { start_of_all: true, ..self }
+    pub fn with_full_restart(self) -> Self {
+        Self { full_restart: true, ..self }
     }
 
     /// The same with a store that comes back from an older copy.
-    pub fn with_put_back(self) -> Self {
-        Self { put_back: true, ..self }
+    pub fn with_store_restores(self) -> Self {
+        Self { store_restores: true, ..self }
     }
 
     /// The same with an instance that has lost its log and runs again within moments.
-    pub fn with_quick_empty_starts(self) -> Self {
-        Self { starts_empty: true, quick_starts: true, ..self }
+    pub fn with_quick_data_loss(self) -> Self {
+        Self { loses_data: true, quick_restarts: true, ..self }
     }
 
     /// The same where nodes hear what holders tell them.
-    pub fn with_word_of_holders(self) -> Self {
-        Self { told: true, ..self }
+    pub fn with_coordinator_notifications(self) -> Self {
+        Self { coordinator_notifies: true, ..self }
     }
 
     /// The same with a replica that is replaced as planned.
-    pub fn with_replicas_that_leave(self) -> Self {
+    pub fn with_leaving_replicas(self) -> Self {
         Self { replicas_leave: true, ..self }
     }
 
@@ -123,16 +123,16 @@
     pub fn without_primaries() -> Self {
         Self {
             primaries: false,
-            cut_off: false,
-            most: 4,
+            isolates_node: false,
+            max_faults: 4,
             releases_all: false,
-            silences: false,
-            starts_empty: false,
-            nodes_come: false,
-            start_of_all: false,
-            put_back: false,
-            quick_starts: false,
-            told: false,
+            silent_connections: false,
+            loses_data: false,
+            nodes_join: false,
+            full_restart: false,
+            store_restores: false,
+            quick_restarts: false,
+            coordinator_notifies: false,
             replicas_leave: false,
         }
     }
@@ -140,42 +140,42 @@
 
 /// A fault of our own, so that the checker shows that it sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum PlantedFault {
     /// None.
     None,
     /// Reads go to the primary without evidence.
-    EvidenceDropped,
+    ReadsWithoutEvidence,
     /// Nobody waits for evidence to lapse.
-    NoLapse,
+    NoEvidenceWait,
     /// The replica that is furthest behind is promoted.
-    WrongReplica,
+    LaggingReplicaPromoted,
     /// Replicas say that they are stopped, and are not.
-    NotStopped,
+    StopIgnored,
     /// Every holder has the same fence.
     FenceReused,
     /// Nobody releases replicas, and promotions do not either.
-    StopForgotten,
+    ReplicasNeverReleased,
     /// A write without an answer is called not run.
-    DoubtPromised,
+    InDoubtReportedNotRun,
     /// Nodes take the store's word for given that nobody replaces the primary, and tell no old primary to
     /// step down.
-    NoLook,
+    NoReplacementCheck,
     /// Whatever a primary answers counts as evidence that it leads.
-    AnswersShow,
+    ReadAnswersAsEvidence,
     /// What is remembered of an instance outlasts its process.
-    MemoryKept,
+    RestartsHidden,
     /// A node relies on its evidence before it is listed as after.
-    UnlistedEvidenceLasts,
+    UnlistedEvidenceNotShortened,
     /// Starts of instances are believed as soon as the store has come back from a copy.
-    StartsBelieved,
+    StaleIncarnationsTrusted,
     /// Fences are bare revisions, which are given out again.
-    FenceOfRevision,
+    RevisionAsFence,
     /// Whoever replaces a primary does not read the list of nodes anew.
-    ListFromCopy,
+    NodeListFromCopy,
     /// What an old primary answers to commits counts at any time.
-    LateAnswers,
+    LateCommitsAccepted,
     /// A node that nobody tells of replacements passes on what a primary answers to commits.
-    Unconfirmed,
+    NoConfirmation,
 }
 
 /// What goes wrong.
@@ -184,18 +184,18 @@
     /// An instance dies; it comes back with its log.
     Crash(usize),
     /// An instance dies; it comes back under its name with nothing.
-    CrashEmpty(usize),
+    CrashWithDataLoss(usize),
     /// An instance can be reached by nobody, and goes on.
-    Dark(usize),
+    Unreachable(usize),
     /// The primary says that it leaves.
     Leave,
     /// A replica says that it leaves. Its successor, at its address and with its log, does not know that it was
     /// stopped.
     LeaveReplica(usize),
     /// An instance receives nothing.
-    Deaf(usize),
+    ReplicationStalled(usize),
     /// The primary is cut from its replicas.
-    CutReplicas,
+    CutReplication,
     /// A node cannot reach an instance.
     CutLink(usize, usize),
     /// A node does not run.
@@ -209,12 +209,12 @@
     /// The store does not answer.
     StoreDown,
     /// The store does not answer, and then comes back as it was so many milliseconds before that began.
-    PutBack(u64),
+    StoreRestore(u64),
     /// Answers of the store are lost, and some changes done late.
-    StoreLoses,
+    StoreLosesAnswers,
     /// Some open connections carry nothing until they are noticed and replaced: of what is said
     /// meanwhile some never arrives, while later messages do.
-    Silence,
+    SilentConnections,
     /// The watch of a node is silent: it hears of no change, and its calls of the store work.
     SilentWatch(usize),
 }
@@ -234,150 +234,150 @@
 pub const QUIET_FROM_MS: u64 = 5_000;
 
 /// Time for which an instance is away that starts again quickly, in milliseconds.
-const QUICK_START_MS: std::ops::Range<u64> = 10..600;
+const QUICK_RESTART_MS: std::ops::Range<u64> = 10..600;
 
 /// Draws the faults of a seed.
-pub fn draw(faults: Faults, instances: usize, nodes: usize, random: &mut StdRng) -> Vec<Planned> {
-    let count = random.random_range(1..=faults.most);
-    let cut_off = if faults.cut_off { draw_cut_off(random) } else { Vec::new() };
-    let others = (0..count).map(|_| {
-        let at = random.random_range(300..2_500);
-        let length = random.random_range(100..2_400);
-        let kind = draw_kind(faults, instances, nodes, random);
+pub fn draw(faults: Faults, instances: usize, nodes: usize, rng: &mut StdRng) -> Vec<Planned> {
+    let count = rng.random_range(1..=faults.max_faults);
+    let isolated = if faults.isolates_node { draw_isolated_node(rng) } else { Vec::new() };
+    let drawn = (0..count).map(|_| {
+        let at = rng.random_range(300..2_500);
+        let length = rng.random_range(100..2_400);
+        let kind = draw_kind(faults, instances, nodes, rng);
         Planned { at, until: (at + length).min(QUIET_FROM_MS), kind }
     });
-    let mut plan: Vec<Planned> = cut_off.into_iter().chain(others).collect();
-    if faults.silences {
-        plan.extend(draw_silences(nodes, random));
+    let mut plan: Vec<Planned> = isolated.into_iter().chain(drawn).collect();
+    if faults.silent_connections {
+        plan.extend(draw_silent_connections(nodes, rng));
     }
-    if faults.starts_empty {
-        plan.push(draw_empty_start(instances, random));
-        if faults.quick_starts
-            && let Some(start) = plan.last_mut()
+    if faults.loses_data {
+        plan.push(draw_data_loss(instances, rng));
+        if faults.quick_restarts
+            && let Some(crash) = plan.last_mut()
         {
-            start.until = start.at + random.random_range(QUICK_START_MS);
+            crash.until = crash.at + rng.random_range(QUICK_RESTART_MS);
         }
     }
-    if faults.nodes_come {
-        plan.extend(draw_join(nodes, random));
+    if faults.nodes_join {
+        plan.extend(draw_join(nodes, rng));
     }
-    if faults.start_of_all {
-        plan.extend(draw_start_of_all(nodes, random));
+    if faults.full_restart {
+        plan.extend(draw_full_restart(nodes, rng));
     }
-    if faults.put_back {
-        plan.extend(draw_put_back(random));
+    if faults.store_restores {
+        plan.extend(draw_store_restores(rng));
     }
     if faults.replicas_leave {
-        plan.extend(draw_leaving_replica(instances, nodes, random));
+        plan.extend(draw_leaving_replica(instances, nodes, rng));
     }
     plan
 }
 
 /// A replica leaves, and ends at about the time at which a primary is replaced that only a node out of reach of the
 /// store still reaches.
-fn draw_leaving_replica(instances: usize, nodes: usize, random: &mut StdRng) -> Vec<Planned> {
-    let ends = random.random_range(1_800..4_000);
-    let replica = random.random_range(1..instances);
-    let leaves = FaultKind::LeaveReplica(replica);
-    let mut plan = vec![Planned { at: ends - 1_400, until: ends, kind: leaves }];
-    let until = ends + 700;
-    let cut_at = ends - random.random_range(1_000..1_700);
+fn draw_leaving_replica(instances: usize, nodes: usize, rng: &mut StdRng) -> Vec<Planned> {
+    let end = rng.random_range(1_800..4_000);
+    let replica = rng.random_range(1..instances);
+    let leave = FaultKind::LeaveReplica(replica);
+    let mut plan = vec![Planned { at: end - 1_400, until: end, kind: leave }];
+    let until = end + 700;
+    let cut_at = end - rng.random_range(1_000..1_700);
     plan.push(Planned { at: cut_at, until, kind: FaultKind::CutStore(0) });
-    let at = cut_at + random.random_range(0..200);
-    let lost = (1..nodes).map(|other| FaultKind::CutLink(other, 0));
-    plan.extend(lost.map(|kind| Planned { at, until, kind }));
+    let at = cut_at + rng.random_range(0..200);
+    let cut_links = (1..nodes).map(|other| FaultKind::CutLink(other, 0));
+    plan.extend(cut_links.map(|kind| Planned { at, until, kind }));
     plan
 }
 
 /// The store comes back as it was up to two seconds before, once or twice.
-fn draw_put_back(random: &mut StdRng) -> Vec<Planned> {
+fn draw_store_restores(rng: &mut StdRng) -> Vec<Planned> {
     let mut from = 400;
     let mut plan = Vec::new();
-    for _ in 0..random.random_range(1..=2) {
-        let at = from + random.random_range(0..1_500);
-        let age = random.random_range(20..2_000).min(at);
-        let until = at + random.random_range(50..800);
-        plan.push(Planned { at, until, kind: FaultKind::PutBack(age) });
+    for _ in 0..rng.random_range(1..=2) {
+        let at = from + rng.random_range(0..1_500);
+        let age = rng.random_range(20..2_000).min(at);
+        let until = at + rng.random_range(50..800);
+        plan.push(Planned { at, until, kind: FaultKind::StoreRestore(age) });
         from = until + 50;
     }
     plan
 }
 
 /// Connections are noticed as dead within some 400 ms, a watch when its call should have ended.
-fn draw_silences(nodes: usize, random: &mut StdRng) -> Vec<Planned> {
+fn draw_silent_connections(nodes: usize, rng: &mut StdRng) -> Vec<Planned> {
     let mut plan = Vec::new();
-    for _ in 0..random.random_range(1..=3) {
-        let at = random.random_range(300..3_500);
-        let until = at + random.random_range(50..400);
-        plan.push(Planned { at, until, kind: FaultKind::Silence });
-        let node = random.random_range(0..nodes);
-        let until = (at + random.random_range(500..3_500)).min(QUIET_FROM_MS);
+    for _ in 0..rng.random_range(1..=3) {
+        let at = rng.random_range(300..3_500);
+        let until = at + rng.random_range(50..400);
+        plan.push(Planned { at, until, kind: FaultKind::SilentConnections });
+        let node = rng.random_range(0..nodes);
+        let until = (at + rng.random_range(500..3_500)).min(QUIET_FROM_MS);
         plan.push(Planned { at, until, kind: FaultKind::SilentWatch(node) });
     }
     plan
 }
 
-fn draw_empty_start(instances: usize, random: &mut StdRng) -> Planned {
-    let at = random.random_range(300..3_000);
-    let until = at + random.random_range(100..1_500);
-    Planned { at, until, kind: FaultKind::CrashEmpty(random.random_range(0..instances)) }
+fn draw_data_loss(instances: usize, rng: &mut StdRng) -> Planned {
+    let at = rng.random_range(300..3_000);
+    let until = at + rng.random_range(100..1_500);
+    Planned { at, until, kind: FaultKind::CrashWithDataLoss(rng.random_range(0..instances)) }
 }
 
 /// A node joins, and loses the store at about the moment when it would be listed. Half of the time the others
 /// lose the primary then, and replace it, while the one that has come goes on there.
-fn draw_join(node: usize, random: &mut StdRng) -> Vec<Planned> {
-    let at = random.random_range(300..2_500);
+fn draw_join(node: usize, rng: &mut StdRng) -> Vec<Planned> {
+    let at = rng.random_range(300..2_500);
     let join = Planned { at, until: at + 1, kind: FaultKind::Join(node) };
-    let cut_at = at + random.random_range(5..300);
-    let until = cut_at + random.random_range(1_000..2_400);
+    let cut_at = at + rng.random_range(5..300);
+    let until = cut_at + rng.random_range(1_000..2_400);
     let mut plan = vec![join, Planned { at: cut_at, until, kind: FaultKind::CutStore(node) }];
-    if random.random_bool(0.5) {
-        let at = cut_at + random.random_range(0..100);
-        let lost = (0..node).map(|other| FaultKind::CutLink(other, 0));
-        plan.extend(lost.map(|kind| Planned { at, until, kind }));
+    if rng.random_bool(0.5) {
+        let at = cut_at + rng.random_range(0..100);
+        let cut_links = (0..node).map(|other| FaultKind::CutLink(other, 0));
+        plan.extend(cut_links.map(|kind| Planned { at, until, kind }));
     }
     plan
 }
 
 /// All nodes die at once, and start within a fraction of a second of each other.
-fn draw_start_of_all(nodes: usize, random: &mut StdRng) -> Vec<Planned> {
-    let at = random.random_range(300..2_500);
-    let dark = random.random_range(50..600);
+fn draw_full_restart(nodes: usize, rng: &mut StdRng) -> Vec<Planned> {
+    let at = rng.random_range(300..2_500);
+    let downtime = rng.random_range(50..600);
     let each = (0..nodes).map(|node| {
-        let until = at + dark + random.random_range(0..300);
+        let until = at + downtime + rng.random_range(0..300);
         Planned { at, until, kind: FaultKind::KillNode(node) }
     });
     each.collect()
 }
 
-fn draw_cut_off(random: &mut StdRng) -> Vec<Planned> {
-    let replaced = if random.random_bool(0.5) { FaultKind::Leave } else { FaultKind::CutReplicas };
-    let at = random.random_range(500..1_500);
+fn draw_isolated_node(rng: &mut StdRng) -> Vec<Planned> {
+    let cause = if rng.random_bool(0.5) { FaultKind::Leave } else { FaultKind::CutReplication };
+    let at = rng.random_range(500..1_500);
     vec![
         Planned { at: 300, until: 4_500, kind: FaultKind::CutStore(0) },
-        Planned { at, until: at + 2_500, kind: replaced },
+        Planned { at, until: at + 2_500, kind: cause },
     ]
 }
 
-fn draw_kind(faults: Faults, instances: usize, nodes: usize, random: &mut StdRng) -> FaultKind {
-    let node = random.random_range(0..nodes);
-    let deaf = if faults.primaries { random.random_range(1..instances) } else { 1 };
+fn draw_kind(faults: Faults, instances: usize, nodes: usize, rng: &mut StdRng) -> FaultKind {
+    let node = rng.random_range(0..nodes);
+    let stalled = if faults.primaries { rng.random_range(1..instances) } else { 1 };
     let choices = if faults.primaries { 13 } else { 7 };
-    match random.random_range(0..choices) {
+    match rng.random_range(0..choices) {
         0 => FaultKind::Freeze(node),
         1 => FaultKind::KillNode(node),
         2 => FaultKind::CutStore(node),
         3 => FaultKind::StoreDown,
-        4 => FaultKind::StoreLoses,
-        5 => FaultKind::Deaf(deaf),
+        4 => FaultKind::StoreLosesAnswers,
+        5 => FaultKind::ReplicationStalled(stalled),
         6 => {
-            let cut = if faults.primaries { node } else { 0 };
-            FaultKind::CutLink(cut, random.random_range(0..instances))
+            let cut_node = if faults.primaries { node } else { 0 };
+            FaultKind::CutLink(cut_node, rng.random_range(0..instances))
         }
         7 | 8 => FaultKind::Crash(0),
-        9 => FaultKind::Dark(0),
+        9 => FaultKind::Unreachable(0),
         10 => FaultKind::Leave,
-        11 => FaultKind::CutReplicas,
-        _ => FaultKind::Crash(random.random_range(0..instances)),
+        11 => FaultKind::CutReplication,
+        _ => FaultKind::Crash(rng.random_range(0..instances)),
     }
 }
--- a/crates/core/tests/replacement/refills.rs
+++ b/crates/core/tests/replacement/refills.rs
@@ -5,23 +5,23 @@
 use crate::world::World;
 
 /// Time between two questions.
-const ASK_EVERY_MS: u64 = 600;
+const QUERY_INTERVAL_MS: u64 = 600;
 
 impl World {
     /// Asks them, if there are any.
-    pub fn watch_refills(&mut self, node: usize) {
+    pub fn query_refills(&mut self, node: usize) {
         let own = &self.nodes[node];
-        if self.now < own.asked_refills + ASK_EVERY_MS {
+        if self.now < own.refills_queried_at + QUERY_INTERVAL_MS {
             return;
         }
-        let asked = own.known.refill_status_targets(&group_name());
-        if asked.is_empty() {
+        let targets = own.known_instances.refill_status_targets(&group_name());
+        if targets.is_empty() {
             return;
         }
-        self.nodes[node].asked_refills = self.now;
-        for instance in &asked {
-            let request = self.number();
-            self.ask(node, instance_number(instance), request, Work::Question);
+        self.nodes[node].refills_queried_at = self.now;
+        for instance in &targets {
+            let request = self.next_number();
+            self.send_request(node, instance_number(instance), request, Work::StatusQuery);
         }
     }
 }
--- a/crates/core/tests/replacement/serving.rs
+++ b/crates/core/tests/replacement/serving.rs
@@ -6,20 +6,20 @@
 
 use crate::instances::{Entry, Instance, Pending};
 use crate::messages::{Exchange, Message, Reply, Work};
-use crate::plan::Plant;
+use crate::plan::PlantedFault;
 use crate::world::World;
 
 impl World {
     /// A request reaches an instance, unless it is cut off.
     pub fn on_request(&mut self, exchange: Exchange) {
-        let one = exchange.instance;
-        if self.is_cut(exchange.node, one) {
+        let index = exchange.instance;
+        if self.is_cut(exchange.node, index) {
             return;
         }
-        let instance = &self.instances[one];
-        let reply = match (instance.alive, instance.run) {
+        let instance = &self.instances[index];
+        let reply = match (instance.alive, instance.process) {
             (false, _) => Some(Reply::Refused),
-            (true, run) if run != exchange.run => Some(Reply::Broken(run)),
+            (true, process) if process != exchange.instance_process => Some(Reply::Broken(process)),
             (true, _) => self.serve(&exchange),
         };
         if let Some(reply) = reply {
@@ -28,12 +28,12 @@
     }
 
     fn serve(&mut self, exchange: &Exchange) -> Option<Reply> {
-        let (now, plant) = (self.now, self.plant);
+        let (now, planted_fault) = (self.now, self.planted_fault);
         let instance = &mut self.instances[exchange.instance];
-        let leads = instance.role == Role::Primary;
+        let is_primary = instance.role == Role::Primary;
         let term = Term(instance.term);
         match &exchange.work {
-            Work::Write(_) | Work::Read { .. } if !leads => Some(Reply::NotPrimary),
+            Work::Write(_) | Work::Read { .. } if !is_primary => Some(Reply::NotPrimary),
             Work::Write(id) => {
                 let entry = Entry { term: instance.term, id: *id };
                 let place = instance.log.len();
@@ -49,35 +49,35 @@
                 self.checker.on_read(*arrived, &commits);
                 Some(Reply::Read(term))
             }
-            Work::Question | Work::Control(Command::QueryStatus(_)) => {
-                Some(Reply::Standing(instance.standing()))
+            Work::StatusQuery | Work::Command(Command::QueryStatus(_)) => {
+                Some(Reply::Status(instance.status()))
             }
-            Work::Control(Command::Stop { term, .. }) => Some(stop(instance, term.0)),
-            Work::Control(Command::Demote { term, .. }) => {
-                if leads && instance.term < term.0 {
+            Work::Command(Command::Stop { term, .. }) => Some(stop(instance, term.0)),
+            Work::Command(Command::Demote { term, .. }) => {
+                if is_primary && instance.term < term.0 {
                     instance.role = Role::Replica;
                     instance.pending.clear();
                 }
-                let standing = instance.standing();
+                let status = instance.status();
                 self.announce(exchange.instance);
-                Some(Reply::Standing(standing))
+                Some(Reply::Status(status))
             }
-            Work::Control(Command::Release(_)) => {
-                if plant != Plant::StopForgotten {
-                    instance.held = 0;
+            Work::Command(Command::Release(_)) => {
+                if planted_fault != PlantedFault::ReplicasNeverReleased {
+                    instance.min_term = 0;
                 }
                 Some(Reply::Released)
             }
-            Work::Control(_) => None,
+            Work::Command(_) => None,
         }
     }
 }
 
 fn stop(instance: &mut Instance, term: u32) -> Reply {
-    let mut standing = instance.standing();
+    let mut status = instance.status();
     if instance.role == Role::Replica {
-        standing.min_term = standing.min_term.max(Term(term));
-        instance.held = instance.held.max(term);
+        status.min_term = status.min_term.max(Term(term));
+        instance.min_term = instance.min_term.max(term);
     }
-    Reply::Standing(standing)
+    Reply::Status(status)
 }
--- a/crates/core/tests/replacement/store.rs
+++ b/crates/core/tests/replacement/store.rs
@@ -11,7 +11,7 @@
 use kestrellock_core::store_era::StoreEra;
 
 use crate::node::{group_name, instance_name};
-use crate::returns::{EraKeys, Keys, installed_of, intents_of};
+use crate::returns::{EraKeys, Keys, last_promoted_in, unfinished_intents};
 
 /// Life of a hold.
 pub const LEASE_MS: u64 = 3_000;
@@ -24,7 +24,7 @@
     /// Whether it says that it leaves.
     pub leaving: bool,
     /// Which start of its process it is.
-    pub born: u64,
+    pub incarnation: u64,
 }
 
 /// What the store holds.
@@ -46,46 +46,46 @@
 #[derive(Clone, Debug)]
 pub enum Operation {
     /// Takes the right to act.
-    Acquire,
+    AcquireLease,
     /// Prolongs it.
-    Renew,
+    RenewLease,
     /// Gives it up.
-    Release,
+    ReleaseLease,
     /// Replaces what the node suspects.
     Vote(NodeVotes),
     /// Records an intent.
-    Record(Intent),
+    RecordIntent(Intent),
     /// Records the successor.
-    Install(InstanceName),
+    RecordSuccessor(InstanceName),
     /// Takes the intent of a replacement back.
     Finish(ReplacementId, Option<Successor>),
     /// Records again what the store has lost of replacements: who was promoted last, and whether the replacement that
     /// it shows is over.
     WriteBack(Option<Successor>, bool),
     /// Changes nothing: tells how new the store is.
-    Look,
+    ReadRevision,
     /// Enters the node.
-    Enter,
+    Register,
     /// Changes nothing: tells which starts of their processes the instances say.
-    ReadStarts,
+    ReadIncarnations,
 }
 
 /// What an operation came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Done {
+pub enum CallResult {
     /// It is done; the store's revision.
-    Yes(u64),
+    Done(u64),
     /// An intent is recorded; the nodes that have entered themselves by then.
     Recorded(Vec<NodeName>),
     /// A condition did not hold.
     Conflict,
     /// The starts that instances tell.
-    Starts(BTreeMap<InstanceName, InstanceIncarnation>),
+    Incarnations(BTreeMap<InstanceName, InstanceIncarnation>),
 }
 
 /// Whether this replacement, or an earlier one that it goes on with, is recorded; what it goes on with may be of an
 /// earlier era.
-fn has_begun(era: StoreEra, keys: &EraKeys, group: &GroupName, intent: &Intent) -> bool {
+fn is_recorded(era: StoreEra, keys: &EraKeys, group: &GroupName, intent: &Intent) -> bool {
     match keys.intents.get(group) {
         Some((_, known)) => known.as_ref().is_some_and(|known| known.id <= intent.id),
         None => era > StoreEra::default(),
@@ -100,79 +100,82 @@
 impl Contents {
     /// Carries an operation of `node` out, which knew `era`; `fence` is that of its hold. A lease counts from the
     /// arrival of the call.
-    pub fn carry_out(
+    pub fn apply(
         &mut self,
         node: usize,
         (era, fence): (StoreEra, u64),
         group: &GroupName,
         operation: &Operation,
         now: u64,
-    ) -> Done {
+    ) -> CallResult {
         self.expire(now);
-        let written = self.revision + 1;
+        let new_revision = self.revision + 1;
         let keys = self.keys.entry(era).or_default();
-        let holds = keys.holder.is_some_and(|(holder, held, _)| holder == node && held == fence);
+        let holds_lease = keys.lease.is_some_and(|(coordinator, lease_fence, _)| {
+            coordinator == node && lease_fence == fence
+        });
         match operation {
-            Operation::Acquire if keys.holder.is_some() => return Done::Conflict,
+            Operation::AcquireLease if keys.lease.is_some() => return CallResult::Conflict,
             Operation::Vote(votes) => {
                 keys.votes.insert(node, votes.clone());
             }
-            Operation::Look => return Done::Yes(self.position()),
-            Operation::ReadStarts => return Done::Starts(self.starts()),
-            Operation::Acquire => {}
+            Operation::ReadRevision => return CallResult::Done(self.position()),
+            Operation::ReadIncarnations => return CallResult::Incarnations(self.incarnations()),
+            Operation::AcquireLease => {}
             Operation::WriteBack(successor, is_over) => {
-                if let Some(successor) = successor.clone().filter(|_| keys.installed.is_none()) {
-                    keys.installed = Some((written, successor));
+                if let Some(successor) = successor.clone().filter(|_| keys.last_promoted.is_none())
+                {
+                    keys.last_promoted = Some((new_revision, successor));
                 }
                 if *is_over {
-                    keys.intents.entry(group.clone()).or_insert((written, None));
+                    keys.intents.entry(group.clone()).or_insert((new_revision, None));
                 }
             }
-            Operation::Enter => {
+            Operation::Register => {
                 let name = node_name(node);
                 if !self.nodes.contains(&name) {
                     self.nodes.push(name);
                 }
             }
-            _ if !holds => return Done::Conflict,
-            Operation::Renew => {
-                keys.holder = Some((node, fence, now + LEASE_MS));
-                return Done::Yes(self.position());
+            _ if !holds_lease => return CallResult::Conflict,
+            Operation::RenewLease => {
+                keys.lease = Some((node, fence, now + LEASE_MS));
+                return CallResult::Done(self.position());
             }
-            Operation::Release => keys.holder = None,
+            Operation::ReleaseLease => keys.lease = None,
             // Done late, it must not bring back what has been finished.
-            Operation::Record(intent)
-                if intent.promoting && !has_begun(era, keys, group, intent) =>
+            Operation::RecordIntent(intent)
+                if intent.promoting && !is_recorded(era, keys, group, intent) =>
             {
-                return Done::Conflict;
+                return CallResult::Conflict;
             }
-            Operation::Record(intent) => {
-                keys.intents.insert(group.clone(), (written, Some(intent.clone())));
+            Operation::RecordIntent(intent) => {
+                keys.intents.insert(group.clone(), (new_revision, Some(intent.clone())));
             }
-            Operation::Install(successor) => {
+            Operation::RecordSuccessor(successor) => {
                 let successor = Successor { instance: successor.clone(), term: None };
-                keys.installed = Some((written, successor));
+                keys.last_promoted = Some((new_revision, successor));
             }
             Operation::Finish(id, successor) => {
                 // Done late, it must not take back the intent of the next replacement.
-                let other = keys.intents.get(group).and_then(|(_, intent)| intent.as_ref());
-                if other.is_none_or(|intent| intent.id == *id) {
-                    keys.intents.insert(group.clone(), (written, None));
+                let recorded = keys.intents.get(group).and_then(|(_, intent)| intent.as_ref());
+                if recorded.is_none_or(|intent| intent.id == *id) {
+                    keys.intents.insert(group.clone(), (new_revision, None));
                 }
-                let successor = successor.clone().map(|successor| (written, successor));
-                keys.installed = successor.or(keys.installed.take());
+                let successor = successor.clone().map(|successor| (new_revision, successor));
+                keys.last_promoted = successor.or(keys.last_promoted.take());
             }
         }
-        self.revision = written;
-        if matches!(operation, Operation::Record(_)) {
-            return Done::Recorded(self.nodes.clone());
+        self.revision = new_revision;
+        if matches!(operation, Operation::RecordIntent(_)) {
+            return CallResult::Recorded(self.nodes.clone());
         }
-        if matches!(operation, Operation::Acquire) {
+        if matches!(operation, Operation::AcquireLease) {
             let fence = self.position();
             let keys = self.keys.entry(era).or_default();
-            keys.holder = Some((node, fence, now + LEASE_MS));
+            keys.lease = Some((node, fence, now + LEASE_MS));
         }
-        Done::Yes(self.position())
+        CallResult::Done(self.position())
     }
 
     /// Position of the last change in the history of the store.
@@ -181,21 +184,25 @@
     }
 
     /// Goes back to a copy: revisions are given out again.
-    pub fn put_back(&mut self, copy: Contents) {
+    pub fn restore_copy(&mut self, copy: Contents) {
         let era = StoreEra(self.era.0 + 1);
         *self = Self { era, ..copy };
     }
 
-    fn starts(&self) -> BTreeMap<InstanceName, InstanceIncarnation> {
-        let told = self.announced.iter().enumerate();
-        told.map(|(one, told)| (instance_name(one), InstanceIncarnation(told.born))).collect()
+    fn incarnations(&self) -> BTreeMap<InstanceName, InstanceIncarnation> {
+        let announced = self.announced.iter().enumerate();
+        announced
+            .map(|(index, announced)| {
+                (instance_name(index), InstanceIncarnation(announced.incarnation))
+            })
+            .collect()
     }
 
     /// Ends a hold that has run out.
     pub fn expire(&mut self, now: u64) {
-        let is_over = |holder: (usize, u64, u64)| now >= holder.2;
+        let is_expired = |lease: (usize, u64, u64)| now >= lease.2;
         for keys in self.keys.values_mut() {
-            if keys.holder.take_if(|holder| is_over(*holder)).is_some() {
+            if keys.lease.take_if(|lease| is_expired(*lease)).is_some() {
                 self.revision += 1;
             }
         }
@@ -203,18 +210,21 @@
 
     /// What nodes see of it.
     pub fn view(&self) -> CoordinationView {
-        let none = EraKeys::default();
-        let keys = self.keys.get(&self.era).unwrap_or(&none);
+        let empty = EraKeys::default();
+        let keys = self.keys.get(&self.era).unwrap_or(&empty);
         let votes = keys.votes.iter().map(|(node, votes)| (node_name(*node), votes.clone()));
         CoordinationView {
             era: self.era,
             revision: self.position(),
             coordinator: keys
-                .holder
+                .lease
                 .map(|(node, fence, _)| Coordinator { node: node_name(node), fence }),
-            intents: intents_of(&self.keys),
+            intents: unfinished_intents(&self.keys),
             votes: votes.collect(),
-            promoted: installed_of(&self.keys).map(|one| (group_name(), one)).into_iter().collect(),
+            promoted: last_promoted_in(&self.keys)
+                .map(|successor| (group_name(), successor))
+                .into_iter()
+                .collect(),
             nodes: self.nodes.clone(),
         }
     }
--- a/crates/core/tests/replacement/trace.rs
+++ b/crates/core/tests/replacement/trace.rs
@@ -3,19 +3,19 @@
 /// Lines of a run, if it is traced.
 #[derive(Debug, Default)]
 pub struct Trace {
-    is_on: bool,
+    is_enabled: bool,
     lines: Vec<String>,
 }
 
 impl Trace {
     /// A trace that keeps what it is told.
-    pub fn on() -> Self {
-        Self { is_on: true, lines: Vec::new() }
+    pub fn enabled() -> Self {
+        Self { is_enabled: true, lines: Vec::new() }
     }
 
     /// Something happened at `now`, in milliseconds.
-    pub fn note(&mut self, now: u64, line: impl FnOnce() -> String) {
-        if self.is_on {
+    pub fn record(&mut self, now: u64, line: impl FnOnce() -> String) {
+        if self.is_enabled {
             self.lines.push(format!("{now:>6} {}", line()));
         }
     }
--- a/crates/core/tests/replacement/traffic.rs
+++ b/crates/core/tests/replacement/traffic.rs
@@ -7,33 +7,33 @@
 use rand::RngExt;
 
 use crate::messages::{Exchange, Message, Reply, Work};
-use crate::node::{GROUP, Unconfirmed, group_name, instance_name};
-use crate::plan::Plant;
+use crate::node::{REPLICATION, UnconfirmedCommit, group_name, instance_name};
+use crate::plan::PlantedFault;
 use crate::store::Operation;
 use crate::world::World;
 
 /// Time between two requests at a node, on average.
-const REQUEST_EVERY_MS: f64 = 40.0;
+const MEAN_REQUEST_INTERVAL_MS: f64 = 40.0;
 /// Time between two steps of a node.
-const STEP_MS: f64 = 5.0;
+const NODE_STEP_MS: f64 = 5.0;
 /// Time for which a read waits for evidence.
-const READ_WAITS_MS: u64 = 400;
+const READ_TIMEOUT_MS: u64 = 400;
 /// Time for which a request waits for its instance.
-const REQUEST_WAITS_MS: u64 = 700;
+const REQUEST_TIMEOUT_MS: u64 = 700;
 /// Time between two questions for evidence.
-const QUESTION_EVERY_MS: u64 = 20;
+const STATUS_QUERY_INTERVAL_MS: u64 = 20;
 /// Time between two looks at the store.
-const LOOK_EVERY_MS: u64 = 40;
+const CHECK_INTERVAL_MS: u64 = 40;
 
 impl World {
     /// Requests of callers, and those that wait.
-    pub fn serve_callers(&mut self, node: usize) {
+    pub fn serve_clients(&mut self, node: usize) {
         let now = self.at(self.now);
-        self.nodes[node].pass_time(now);
-        self.drop_old_requests(node);
+        self.nodes[node].expire_replacements(now);
+        self.drop_expired_requests(node);
         self.confirm_commits(node);
-        if self.random.random_bool(STEP_MS / REQUEST_EVERY_MS) {
-            if self.random.random_bool(0.5) {
+        if self.rng.random_bool(NODE_STEP_MS / MEAN_REQUEST_INTERVAL_MS) {
+            if self.rng.random_bool(0.5) {
                 self.write(node);
             } else {
                 let arrived = self.now;
@@ -45,76 +45,79 @@
 
     /// Requests that have waited too long, or for a primary that another one has replaced, are given
     /// up: whether they ran is not known.
-    fn drop_old_requests(&mut self, node: usize) {
+    fn drop_expired_requests(&mut self, node: usize) {
         let now = self.at(self.now);
         let leader = self.nodes[node].leader();
         let was_replaced =
-            self.nodes[node].followed.is_some() && self.nodes[node].followed != leader;
-        self.nodes[node].followed = leader;
-        let is_old =
-            |sent| now.saturating_duration_since(sent).as_millis() as u64 > REQUEST_WAITS_MS;
-        let waiting = &mut self.nodes[node].waiting;
-        let old = waiting.extract_if(.., |_, (_, sent, _)| was_replaced || is_old(*sent));
+            self.nodes[node].last_leader.is_some() && self.nodes[node].last_leader != leader;
+        self.nodes[node].last_leader = leader;
+        let has_timed_out =
+            |sent| now.saturating_duration_since(sent).as_millis() as u64 > REQUEST_TIMEOUT_MS;
+        let pending = &mut self.nodes[node].pending_requests;
+        let expired =
+            pending.extract_if(.., |_, (_, sent, _)| was_replaced || has_timed_out(*sent));
         let in_doubt: Vec<u64> =
-            old.filter(|(_, (_, _, commits))| *commits).map(|(request, _)| request).collect();
-        if self.plant == Plant::DoubtPromised {
-            in_doubt.into_iter().for_each(|request| self.checker.on_promised(request));
+            expired.filter(|(_, (_, _, commits))| *commits).map(|(request, _)| request).collect();
+        if self.planted_fault == PlantedFault::InDoubtReportedNotRun {
+            in_doubt.into_iter().for_each(|request| self.checker.on_reported_not_run(request));
         }
     }
 
     fn write(&mut self, node: usize) {
         let Some(leader) = self.nodes[node].leader() else { return };
         let own = &self.nodes[node];
-        if own.holds_back() || own.is_old(leader) {
+        if own.delays_primary_requests() || own.is_outdated(leader) {
             return;
         }
-        let request = self.number();
-        self.ask(node, leader, request, Work::Write(request));
+        let request = self.next_number();
+        self.send_request(node, leader, request, Work::Write(request));
     }
 
     fn serve_reads(&mut self, node: usize) {
         let now = self.now;
-        self.reads[node].retain(|arrived| now < arrived + READ_WAITS_MS);
+        self.reads[node].retain(|arrived| now < arrived + READ_TIMEOUT_MS);
         let Some(leader) = self.nodes[node].leader() else { return };
-        if self.reads[node].is_empty() || self.nodes[node].holds_back() {
+        if self.reads[node].is_empty() || self.nodes[node].delays_primary_requests() {
             return;
         }
         for arrived in std::mem::take(&mut self.reads[node]) {
-            let life = self.evidence_life(node);
-            let covered = self.nodes[node].may_read(leader, self.at(arrived), life);
-            if covered || self.plant == Plant::EvidenceDropped {
-                let request = self.number();
-                self.ask(node, leader, request, Work::Read { arrived });
+            let lifetime = self.evidence_lifetime(node);
+            let is_covered = self.nodes[node].may_read(leader, self.at(arrived), lifetime);
+            if is_covered || self.planted_fault == PlantedFault::ReadsWithoutEvidence {
+                let request = self.next_number();
+                self.send_request(node, leader, request, Work::Read { arrived });
             } else {
                 self.reads[node].push(arrived);
             }
         }
-        if !self.reads[node].is_empty() && now >= self.nodes[node].questioned + QUESTION_EVERY_MS {
-            self.question_all(node);
+        if !self.reads[node].is_empty()
+            && now >= self.nodes[node].status_queried_at + STATUS_QUERY_INTERVAL_MS
+        {
+            self.query_all_instances(node);
         }
-        self.look_at_store(node, leader);
+        self.check_for_replacement(node, leader);
     }
 
     /// Where not all replicas answer, the store has to say that nobody replaces the primary.
-    fn look_at_store(&mut self, node: usize, leader: usize) {
+    fn check_for_replacement(&mut self, node: usize, leader: usize) {
         let now = self.at(self.now);
-        let life = self.evidence_life(node);
-        let wants = self.reads[node].last().is_some_and(|arrived| {
+        let lifetime = self.evidence_lifetime(node);
+        let helps = self.reads[node].last().is_some_and(|arrived| {
             let arrived = self.at(*arrived);
-            self.nodes[node].would_read(leader, arrived, life)
+            self.nodes[node].may_read_once_checked(leader, arrived, lifetime)
         });
-        if !wants || self.now < self.nodes[node].looked + LOOK_EVERY_MS {
+        if !helps || self.now < self.nodes[node].replacement_checked_at + CHECK_INTERVAL_MS {
             return;
         }
-        self.nodes[node].looked = self.now;
-        match self.plant {
-            Plant::NoLook => self.nodes[node].evidence.on_no_replacement(now),
-            _ => self.call(node, 0, Operation::Look),
+        self.nodes[node].replacement_checked_at = self.now;
+        match self.planted_fault {
+            PlantedFault::NoReplacementCheck => self.nodes[node].evidence.on_no_replacement(now),
+            _ => self.call(node, 0, Operation::ReadRevision),
         }
     }
 
     /// The store has said how new it is: if the node knows all of that, nobody replaces the primary.
-    pub fn on_looked(&mut self, node: usize, revision: u64, sent: u64) {
+    pub fn on_store_revision(&mut self, node: usize, revision: u64, sent: u64) {
         let (sent, now) = (self.at(sent), self.at(self.now));
         let own = &mut self.nodes[node];
         let group = own.catalog.groups.get(&group_name());
@@ -127,16 +130,25 @@
     }
 
     /// Sends something to an instance.
-    pub fn ask(&mut self, node: usize, instance: usize, request: u64, work: Work) {
+    pub fn send_request(&mut self, node: usize, instance: usize, request: u64, work: Work) {
         let process = self.nodes[node].process;
         let sent = self.now;
         let at = self.at(sent);
-        let run = self.nodes[node].runs_known.get(&instance).copied().unwrap_or(0);
-        if !matches!(work, Work::Control(_)) {
+        let instance_process =
+            self.nodes[node].known_processes.get(&instance).copied().unwrap_or(0);
+        if !matches!(work, Work::Command(_)) {
             let commits = matches!(work, Work::Write(_));
-            self.nodes[node].waiting.insert(request, (instance, at, commits));
+            self.nodes[node].pending_requests.insert(request, (instance, at, commits));
         }
-        self.send(Message::Request(Exchange { node, process, instance, request, sent, run, work }));
+        self.send(Message::Request(Exchange {
+            node,
+            process,
+            instance,
+            request,
+            sent,
+            instance_process,
+            work,
+        }));
     }
 
     /// An instance has answered, or nothing runs there.
@@ -144,28 +156,28 @@
         let now = self.at(self.now);
         let sent = self.at(exchange.sent);
         let own = &mut self.nodes[exchange.node];
-        let was_waiting = own.waiting.remove(&exchange.request).is_some();
+        let was_pending = own.pending_requests.remove(&exchange.request).is_some();
         match reply {
             Reply::Refused => {
-                own.refused.entry(exchange.instance).or_insert(now);
+                own.refused_since.entry(exchange.instance).or_insert(now);
                 own.evidence.discard();
             }
-            Reply::Broken(run) => {
-                own.runs_known.insert(exchange.instance, run);
-                own.refused.remove(&exchange.instance);
+            Reply::Broken(process) => {
+                own.known_processes.insert(exchange.instance, process);
+                own.refused_since.remove(&exchange.instance);
                 own.evidence.discard();
             }
             _ => {
-                own.refused.remove(&exchange.instance);
-                own.answered.insert(exchange.instance, now);
+                own.refused_since.remove(&exchange.instance);
+                own.last_answers.insert(exchange.instance, now);
             }
         }
-        if let Reply::Standing(standing) = &reply {
+        if let Reply::Status(status) = &reply {
             let name = instance_name(exchange.instance);
-            own.known.on_status(&group_name(), &name, standing, sent);
+            own.known_instances.on_status(&group_name(), &name, status, sent);
         }
-        if let Work::Control(command) = &exchange.work {
-            self.on_control(
+        if let Work::Command(command) = &exchange.work {
+            self.on_command_reply(
                 exchange.node,
                 command.clone(),
                 exchange.instance,
@@ -176,32 +188,31 @@
         }
         match reply {
             Reply::Committed(term, position) => {
-                own.heard.record(sent, position);
+                own.primary_samples.record(sent, position);
                 own.terms.insert(exchange.instance, term);
-                own.committed.insert(exchange.instance, now);
-                self.on_committed(&exchange, term, was_waiting);
+                own.last_commits.insert(exchange.instance, now);
+                self.on_committed(&exchange, term, was_pending);
             }
             Reply::Read(term) => {
                 own.terms.insert(exchange.instance, term);
-                if self.plant == Plant::AnswersShow {
+                if self.planted_fault == PlantedFault::ReadAnswersAsEvidence {
                     own.evidence.on_commit(term, sent);
                 }
             }
-            Reply::Standing(standing) => {
-                own.terms.insert(exchange.instance, standing.term);
-                if standing.role == Role::Primary {
-                    own.evidence.on_term_led(standing.term);
+            Reply::Status(status) => {
+                own.terms.insert(exchange.instance, status.term);
+                if status.role == Role::Primary {
+                    own.evidence.on_term_led(status.term);
                 }
-                if standing.role == Role::Replica {
-                    let following =
-                        ReplicaTerms { term: standing.term, min_term: standing.min_term };
+                if status.role == Role::Replica {
+                    let terms = ReplicaTerms { term: status.term, min_term: status.min_term };
                     let replica = instance_name(exchange.instance);
-                    own.evidence.on_replica_report(&replica, following, sent, now);
+                    own.evidence.on_replica_report(&replica, terms, sent, now);
                 }
             }
             Reply::NotPrimary | Reply::Refused | Reply::Broken(_) => {
-                if let (Work::Write(id), true) = (&exchange.work, was_waiting) {
-                    self.checker.on_promised(*id);
+                if let (Work::Write(id), true) = (&exchange.work, was_pending) {
+                    self.checker.on_reported_not_run(*id);
                 }
             }
             Reply::Released => {}
@@ -214,66 +225,69 @@
         let (node, instance) = (exchange.node, exchange.instance);
         let (sent, answered) = (self.at(exchange.sent), self.at(self.now));
         let Work::Write(commit) = exchange.work else { return };
-        if self.passes_on(node, instance) {
+        if self.acknowledges_at_once(node, instance) {
             self.nodes[node].evidence.on_commit(term, sent);
             if is_awaited {
                 self.checker.on_acknowledged(self.now, commit, term.0);
             }
         } else if is_awaited {
-            let unconfirmed = Unconfirmed { commit, instance, term, sent, answered };
-            self.nodes[node].unconfirmed.push(unconfirmed);
+            let unconfirmed = UnconfirmedCommit { commit, instance, term, sent, answered };
+            self.nodes[node].unconfirmed_commits.push(unconfirmed);
         }
     }
 
     /// Whether a node passes on at once what an instance answers to a commit.
-    pub fn passes_on(&self, node: usize, instance: usize) -> bool {
-        let is_told = self.is_waited_for(node) || self.plant == Plant::Unconfirmed;
-        is_told && self.answer_counts(node, instance)
+    pub fn acknowledges_at_once(&self, node: usize, instance: usize) -> bool {
+        let is_notified =
+            self.coordinator_waits_for(node) || self.planted_fault == PlantedFault::NoConfirmation;
+        is_notified && self.answer_counts(node, instance)
     }
 
     /// Whether what an instance answers to a commit counts by now.
     fn answer_counts(&self, node: usize, instance: usize) -> bool {
         let (name, now) = (instance_name(instance), self.at(self.now));
         let replacements = &self.nodes[node].replacements;
-        let counts = replacements.accepts_commit(&group_name(), &name, now);
-        counts || self.plant == Plant::LateAnswers
+        let accepts = replacements.accepts_commit(&group_name(), &name, now);
+        accepts || self.planted_fault == PlantedFault::LateCommitsAccepted
     }
 
     /// Commits that wait for the word of replicas: the caller is told once they have said it.
     fn confirm_commits(&mut self, node: usize) {
         let now = self.at(self.now);
-        let is_old = |one: &Unconfirmed| {
-            now.saturating_duration_since(one.sent).as_millis() as u64 > REQUEST_WAITS_MS
+        let has_timed_out = |commit: &UnconfirmedCommit| {
+            now.saturating_duration_since(commit.sent).as_millis() as u64 > REQUEST_TIMEOUT_MS
         };
-        self.nodes[node].unconfirmed.retain(|one| !is_old(one));
-        for one in std::mem::take(&mut self.nodes[node].unconfirmed) {
-            if !self.answer_counts(node, one.instance) {
+        self.nodes[node].unconfirmed_commits.retain(|commit| !has_timed_out(commit));
+        for commit in std::mem::take(&mut self.nodes[node].unconfirmed_commits) {
+            if !self.answer_counts(node, commit.instance) {
                 // In doubt.
                 continue;
             }
             let own = &mut self.nodes[node];
-            if own.evidence.confirms_commit(one.term, GROUP, one.answered) {
-                own.evidence.on_commit(one.term, one.sent);
-                self.checker.on_acknowledged(self.now, one.commit, one.term.0);
+            if own.evidence.confirms_commit(commit.term, REPLICATION, commit.answered) {
+                own.evidence.on_commit(commit.term, commit.sent);
+                self.checker.on_acknowledged(self.now, commit.commit, commit.term.0);
             } else {
-                own.unconfirmed.push(one);
+                own.unconfirmed_commits.push(commit);
             }
         }
-        let asked = self.nodes[node].questioned;
-        if !self.nodes[node].unconfirmed.is_empty() && self.now >= asked + QUESTION_EVERY_MS {
-            self.question_all(node);
+        let queried = self.nodes[node].status_queried_at;
+        if !self.nodes[node].unconfirmed_commits.is_empty()
+            && self.now >= queried + STATUS_QUERY_INTERVAL_MS
+        {
+            self.query_all_instances(node);
         }
     }
 
-    fn question_all(&mut self, node: usize) {
-        self.nodes[node].questioned = self.now;
+    fn query_all_instances(&mut self, node: usize) {
+        self.nodes[node].status_queried_at = self.now;
         for instance in 0..self.instances.len() {
-            let request = self.number();
-            self.ask(node, instance, request, Work::Question);
+            let request = self.next_number();
+            self.send_request(node, instance, request, Work::StatusQuery);
         }
     }
 
-    fn on_control(
+    fn on_command_reply(
         &mut self,
         node: usize,
         command: Command,
@@ -285,9 +299,7 @@
         let sent = self.at(sent);
         let event = match (reply, command) {
             (Reply::Released, Command::Release(_)) => Event::Released(name),
-            (Reply::Standing(standing), _) => {
-                Event::StatusReported { instance: name, status: standing, sent }
-            }
+            (Reply::Status(status), _) => Event::StatusReported { instance: name, status, sent },
             (Reply::Refused, _) => Event::Refused { instance: name, sent },
             _ => return,
         };
--- a/crates/core/tests/replacement/around.rs
+++ b/crates/core/tests/replacement/variations.rs
@@ -9,33 +9,33 @@
 use crate::plan::{FaultKind, Planned};
 
 /// Longest time by which a fault is moved, either way.
-const MOVED_BY_MS: i64 = 60;
+const MAX_SHIFT_MS: i64 = 60;
 /// Between the seeds of two plays: those of one play do not meet those of the next seed's.
-const PLAY_STRIDE: u64 = 1_000_003;
+const SEED_STRIDE: u64 = 1_000_003;
 
 /// The randomness of one play around a seed.
-pub fn randomness(seed: u64, play: u64) -> StdRng {
-    StdRng::seed_from_u64(seed.wrapping_mul(PLAY_STRIDE).wrapping_add(play + 1))
+pub fn rng(seed: u64, variation: u64) -> StdRng {
+    StdRng::seed_from_u64(seed.wrapping_mul(SEED_STRIDE).wrapping_add(variation + 1))
 }
 
 /// Moves each fault; its length stays. Returns of the store follow each other at least as closely as they were
 /// drawn, so they are moved together.
-pub fn move_faults(plan: &mut [Planned], random: &mut StdRng) {
-    let of_returns = draw(random);
+pub fn shift_faults(plan: &mut [Planned], rng: &mut StdRng) {
+    let restore_shift = draw_shift(rng);
     for planned in plan {
-        let moved = match planned.kind {
-            FaultKind::PutBack(_) => of_returns,
-            _ => draw(random),
+        let shift = match planned.kind {
+            FaultKind::StoreRestore(_) => restore_shift,
+            _ => draw_shift(rng),
         };
-        let at = planned.at.saturating_add_signed(moved);
+        let at = planned.at.saturating_add_signed(shift);
         planned.until = at + (planned.until - planned.at);
         planned.at = at;
-        if let FaultKind::PutBack(age) = &mut planned.kind {
+        if let FaultKind::StoreRestore(age) = &mut planned.kind {
             *age = (*age).min(at);
         }
     }
 }
 
-fn draw(random: &mut StdRng) -> i64 {
-    random.random_range(-MOVED_BY_MS..=MOVED_BY_MS)
+fn draw_shift(rng: &mut StdRng) -> i64 {
+    rng.random_range(-MAX_SHIFT_MS..=MAX_SHIFT_MS)
 }
