--- a/crates/core/tests/replacement/checker.rs
+++ b/crates/core/tests/replacement/checker.rs
@@ -1,70 +1,70 @@
-//! Judges what callers were told and what instances did.
+//! Checks the guarantees: compares the answers that clients got with the logs of the instances.
 
 use std::collections::BTreeSet;
 
-/// A commit: unique for good.
+/// Identifies a commit uniquely within a run.
 pub type CommitId = u64;
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A read missed a commit that had been acknowledged before it arrived.
     StaleRead {
-        /// When it arrived.
+        /// When the read arrived.
         arrived: u64,
-        /// What it missed.
+        /// The commit that the read missed.
         missed: CommitId,
-        /// When that was acknowledged.
+        /// When that commit was acknowledged.
         acknowledged: u64,
     },
     /// A promoted instance lacks an acknowledged commit.
     LostCommit {
-        /// When it was promoted.
+        /// When the loss was detected: at the promotion, or at a later acknowledgement.
         at: u64,
-        /// What it lacks.
+        /// The commit that it lacks.
         lost: CommitId,
     },
-    /// An old primary made and answered a commit after another one had been promoted.
+    /// An old primary made and acknowledged a commit after its successor had been promoted.
     TwoPrimaries {
         /// The commit.
         commit: CommitId,
     },
-    /// A fence that is not above those of other holders.
+    /// A fencing token that is equal to another coordinator's, or below an earlier one.
     Fence {
-        /// The fence.
+        /// The fencing token.
         fence: u64,
-        /// The highest one before.
+        /// The highest earlier fencing token.
         highest: u64,
     },
-    /// A caller was told that a write had not run, and it is kept.
+    /// A client was told that a write had not run, but the final log contains it.
     FalseNotRun {
         /// The commit.
         commit: CommitId,
     },
-    /// After all faults had ended something did not recover.
+    /// Something did not recover after all faults had ended.
     NotRecovered {
-        /// What.
+        /// Description of the remaining problem.
         what: &'static str,
     },
 }
 
-/// What was seen.
+/// Observations of a run and the violations found in them.
 #[derive(Debug, Default)]
 pub struct Checker {
     /// Acknowledged commits and when, in order.
     acknowledged: Vec<(u64, CommitId)>,
-    /// Terms that were led, and the commits that were there when each began.
+    /// Terms that were led, with the commits in the log of the promoted instance.
     promoted: Vec<(u32, BTreeSet<CommitId>)>,
     reported_not_run: BTreeSet<CommitId>,
     fences: Vec<(usize, u64)>,
-    /// What was broken.
+    /// Violations found.
     pub violations: Vec<Violation>,
-    /// Reads judged.
+    /// Number of checked reads.
     pub reads: u64,
 }
 
 impl Checker {
-    /// A caller was told that a commit of `term` was made. Once is enough.
+    /// Records that a commit of `term` was acknowledged to a client. Repeated calls have no effect.
     pub fn on_acknowledged(&mut self, at: u64, commit: CommitId, term: u32) {
         if self.acknowledged.iter().any(|(_, known)| *known == commit) {
             return;
@@ -78,12 +78,12 @@
         }
     }
 
-    /// A caller was told that a write had not run.
+    /// Records that a client was told that a write had not run.
     pub fn on_reported_not_run(&mut self, commit: CommitId) {
         self.reported_not_run.insert(commit);
     }
 
-    /// Commits acknowledged so far.
+    /// Number of commits acknowledged so far.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged.len() as u64
     }
@@ -93,7 +93,7 @@
         self.acknowledged.last().map(|(at, _)| *at)
     }
 
-    /// A read that arrived at `arrived` ran on a log of `commits`.
+    /// Checks a read that arrived at `arrived` and ran on a log of `commits`.
     pub fn on_read(&mut self, arrived: u64, commits: &BTreeSet<CommitId>) {
         self.reads += 1;
         let expected = self.acknowledged.iter().take_while(|(at, _)| *at < arrived);
@@ -103,7 +103,7 @@
         }
     }
 
-    /// An instance with a log of `commits` was promoted, to lead `term`.
+    /// Checks the promotion of an instance with a log of `commits` to lead `term`.
     pub fn on_promoted(&mut self, at: u64, term: u32, commits: BTreeSet<CommitId>) {
         let lost = self.acknowledged.iter().find(|(_, id)| !commits.contains(id));
         if let Some((_, lost)) = lost {
@@ -112,12 +112,13 @@
         self.promoted.push((term, commits));
     }
 
-    /// An old primary answered a commit that it made after its successor had been promoted.
+    /// Records that an old primary acknowledged a commit that it made after its successor had been
+    /// promoted.
     pub fn on_two_primaries(&mut self, commit: CommitId) {
         self.violations.push(Violation::TwoPrimaries { commit });
     }
 
-    /// A holder had an instance promoted.
+    /// Checks the fencing token of a promotion.
     pub fn on_fence(&mut self, node: usize, fence: u64) {
         let others = self.fences.iter().filter(|(other, _)| *other != node);
         let equal = others.into_iter().any(|(_, other)| *other == fence);
@@ -128,14 +129,14 @@
         self.fences.push((node, fence));
     }
 
-    /// The final log.
+    /// Checks the final log of the primary.
     pub fn on_end(&mut self, commits: &BTreeSet<CommitId>) {
         if let Some(commit) = self.reported_not_run.intersection(commits).next() {
             self.violations.push(Violation::FalseNotRun { commit: *commit });
         }
     }
 
-    /// Something did not recover.
+    /// Records that something did not recover.
     pub fn on_not_recovered(&mut self, what: &'static str) {
         self.violations.push(Violation::NotRecovered { what });
     }
--- a/crates/core/tests/replacement/coordination.rs
+++ b/crates/core/tests/replacement/coordination.rs
@@ -1,4 +1,5 @@
-//! What a node does about the primary: it suspects, takes the right to act, and acts.
+//! A node's part in primary replacement: it publishes its suspicions, acquires the coordinator
+//! lease, and as coordinator runs the attempt that replaces the primary.
 
 use kestrellock_core::ids::InstanceName;
 use kestrellock_core::primary_evidence::UNLISTED_EVIDENCE_LIFETIME;
@@ -13,29 +14,29 @@
 use crate::store::{CallResult, LEASE_MS, Operation, node_name};
 use crate::world::World;
 
-/// Part of its life before whose end a hold is prolonged.
+/// The coordinator lease is renewed this long before it expires.
 const RENEWAL_MARGIN_MS: u64 = 1_500;
-/// Time without an attempt after which the right is given up.
+/// Time without an attempt after which the coordinator releases its lease.
 const IDLE_TIMEOUT_MS: u64 = 300;
-/// Time after the end of an attempt in which needs may not have heard of it.
+/// Time after the end of an attempt in which needs may not reflect its result yet.
 const STALE_NEED_PERIOD_MS: u64 = 200;
-/// A promotion is only sent while the hold lasts for so long yet.
+/// A promotion is only sent if the lease is still valid for at least this time.
 const MIN_REMAINING_LEASE_MS: u64 = 100;
-/// Time between two attempts at one change of the store.
+/// Delay before a store operation is retried.
 const STORE_RETRY_DELAY_MS: u64 = 100;
-/// Time between two messages of a holder to a node.
+/// Interval between two notifications of the coordinator to a node.
 const NOTIFY_INTERVAL_MS: u64 = NOTIFY_INTERVAL.as_millis() as u64;
-/// Time that such a message is under way.
+/// Latency of such a notification.
 const NOTIFICATION_LATENCY_MS: u64 = 3;
-/// Time between two messages to a holder.
+/// Interval between two reports of a node to the coordinator.
 const REPORT_INTERVAL_MS: u64 = 30;
-/// Time between two attempts to record again what the store has lost.
+/// Interval between two attempts to write records back that the store has lost.
 const WRITE_BACK_INTERVAL_MS: u64 = 100;
-/// Time after which a suspicion is written again that the store does not show.
+/// Delay after which votes are written again if the store does not show them.
 const VOTE_RETRY_DELAY_MS: u64 = 300;
 
 impl World {
-    /// A step of a node.
+    /// Runs one step of a node.
     pub fn step_node(&mut self, node: usize) {
         self.serve_clients(node);
         self.suspect(node);
@@ -58,7 +59,8 @@
         }
     }
 
-    /// The store has come back from a copy, which knows nothing of the node's hold.
+    /// Drops the coordinator lease after a store restore, since the restored store does not know
+    /// it.
     fn drop_lease_of_earlier_era(&mut self, node: usize) {
         let own = &mut self.nodes[node];
         let Some(state) = &own.coordinator else { return };
@@ -69,7 +71,7 @@
         }
     }
 
-    /// What the store has lost of replacements is recorded again, until that is done.
+    /// Writes records of replacements back that the store has lost, until it has them again.
     fn write_back(&mut self, node: usize) {
         let own = &mut self.nodes[node];
         if !own.writes_back || self.now < own.wrote_back_at + WRITE_BACK_INTERVAL_MS {
@@ -83,7 +85,8 @@
         }
     }
 
-    /// As long as the lost hold would have lasted nobody else can have the right.
+    /// Acquires the lost lease again. Until that lease would have expired, no other node can become
+    /// coordinator.
     fn reacquire_lease(&mut self, node: usize) {
         let own = &mut self.nodes[node];
         let may_reacquire =
@@ -147,7 +150,8 @@
         }
     }
 
-    /// Tells the other nodes of the replacement, again and again: some do not hear of it from the store.
+    /// Notifies the other nodes of the active replacement at intervals, since some of them cannot
+    /// reach the store.
     fn notify_nodes(&mut self, node: usize) {
         let now = self.now;
         let Some(state) = &mut self.nodes[node].coordinator else { return };
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Tells the other nodes that a replacement is over.
+    /// Notifies the other nodes that a replacement has finished.
     fn notify_finished(&mut self, node: usize, id: ReplacementId, successor: Option<&Successor>) {
         if !self.coordinator_notifies {
             return;
@@ -297,7 +301,7 @@
         alive.min_by_key(|index| self.instances[*index].log.len()).unwrap_or(chosen)
     }
 
-    /// Something happened to the attempt of a node.
+    /// Passes an event to the node's current attempt.
     pub fn on_event(&mut self, node: usize, event: Event) {
         let now = self.at(self.now);
         let state = self.nodes[node].coordinator.as_mut();
@@ -306,7 +310,7 @@
         }
     }
 
-    /// The store has answered.
+    /// Handles an answer of the store.
     pub fn on_call_answered(&mut self, call: Call, result: CallResult, era: StoreEra) {
         if !self.pending_calls.remove(&call.number) {
             return;
@@ -319,7 +323,9 @@
         }
         match (&call.operation, result) {
             (Operation::AcquireLease, CallResult::Done(fence)) => {
-                self.trace.record(self.now, || format!("node {} acts, fence {fence}", call.node));
+                self.trace.record(self.now, || {
+                    format!("node {} is coordinator, fence {fence}", call.node)
+                });
                 let own = &mut self.nodes[call.node];
                 own.acquiring = false;
                 own.reacquire_until = 0;
@@ -376,7 +382,8 @@
         }
     }
 
-    /// The store is of another era than the node knew: what was done stands under keys of one that is over.
+    /// Handles an answer of a store in another era than the node knew: the operation was applied to
+    /// keys of an era that has ended.
     fn on_other_era(&mut self, call: &Call) {
         match call.operation {
             Operation::AcquireLease => self.nodes[call.node].acquiring = false,
@@ -394,7 +401,7 @@
         }
     }
 
-    /// The store has not answered.
+    /// Handles the timeout of a call to the store.
     pub fn on_call_lost(&mut self, call: Call) {
         if !self.pending_calls.remove(&call.number) {
             return;
--- a/crates/core/tests/replacement/faults.rs
+++ b/crates/core/tests/replacement/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, as planned, and what comes back.
+//! Begins and ends the planned faults.
 
 use kestrellock_core::routing::Role;
 
@@ -7,7 +7,7 @@
 use crate::plan::{FaultKind, Planned};
 use crate::world::World;
 
-/// Time after which the store drops what a dead node has written.
+/// Time after which the store drops the votes of a dead node.
 const VOTES_LIFETIME_MS: u64 = 3_000;
 
 impl World {
@@ -75,7 +75,7 @@
             }
             FaultKind::StoreRestore(_) => {
                 let copy = self.copies.take(self.now);
-                self.restore_store(copy.expect("it was taken"));
+                self.restore_store(copy.expect("a copy was taken before the restore"));
             }
             FaultKind::Leave => {
                 let leaving = self.instances.iter().position(|instance| instance.leaving);
@@ -96,7 +96,7 @@
         self.send_after(VOTES_LIFETIME_MS, Message::VotesExpire { node, process });
     }
 
-    /// A node starts with nothing.
+    /// Starts a node without any state.
     fn start_node(&mut self, node: usize) {
         let process = self.nodes[node].process + 1;
         self.nodes[node] = Node::new(node, process);
@@ -115,7 +115,8 @@
         due.into_iter().for_each(|(_, message)| self.deliver(message));
     }
 
-    /// One that left ends, and its successor at its address has its log; one that has died meanwhile is away.
+    /// Ends the process of a leaving instance. A new process takes over its address and its log,
+    /// unless the instance has crashed in the meantime.
     fn end_leaving(&mut self, index: usize) {
         if self.instances[index].alive {
             self.instances[index].crash();
@@ -125,7 +126,8 @@
         }
     }
 
-    /// An instance that has died twice runs again once both are over, and has lost its log if it did in one of them.
+    /// Restarts a crashed instance. If two crashes overlap, it restarts when both have ended,
+    /// without its data if one of them loses the data.
     fn end_crash(&mut self, index: usize) {
         let is_crash = |kind: FaultKind| {
             kind == FaultKind::Crash(index) || kind == FaultKind::CrashWithDataLoss(index)
@@ -142,10 +144,10 @@
         }
     }
 
-    /// An instance comes back a while after it died, as a replica if another one has been
-    /// promoted by then.
+    /// Restarts an instance with its log, as a replica if another instance has been promoted in the
+    /// meantime.
     fn restart(&mut self, index: usize) {
-        // The platform knows whom it has promoted, also where that process is gone.
+        // The platform knows which instance it promoted, even if that process has ended.
         let was_replaced = self.newest_term() > self.instances[index].term;
         let instance = &mut self.instances[index];
         instance.alive = true;
--- a/crates/core/tests/replacement/instances.rs
+++ b/crates/core/tests/replacement/instances.rs
@@ -1,4 +1,5 @@
-//! Instances: they replicate, are stopped, promoted and demoted, and never elect.
+//! The modelled instances: they replicate, are stopped, promoted and demoted, and never elect a
+//! primary themselves.
 
 use std::collections::BTreeSet;
 
@@ -9,10 +10,10 @@
 use crate::checker::CommitId;
 use crate::plan::PlantedFault;
 
-/// Time for which an old primary goes on that can reach a newer one.
+/// Time after which an old primary that can reach a newer one steps down by itself.
 const STEP_DOWN_DELAY_MS: u64 = 1_000;
 
-/// Start of the first processes.
+/// Incarnation of the first process of each instance.
 pub const FIRST_INCARNATION: u64 = 1_000;
 
 /// A commit in a log.
@@ -20,62 +21,63 @@
 pub struct Entry {
     /// Term of the primary that made it.
     pub term: u32,
-    /// Names it.
+    /// Its ID.
     pub id: CommitId,
 }
 
-/// A commit that waits for replicas.
+/// A commit of a primary that no replica has received yet.
 #[derive(Clone, Copy, Debug)]
 pub struct Pending {
     /// The commit.
     pub entry: Entry,
-    /// Its place in the log.
+    /// Its index in the log.
     pub place: usize,
-    /// Node that waits.
+    /// Number of the node that waits for the answer.
     pub node: usize,
-    /// Its process.
+    /// Number of the node's process.
     pub process: u64,
-    /// Number of its request there.
+    /// Number of the request at the node.
     pub request: u64,
-    /// When that was sent.
+    /// When the request was sent.
     pub sent: u64,
-    /// When it was made.
+    /// When the commit was written to the log.
     pub made: u64,
 }
 
 /// One instance.
 #[derive(Clone, Debug)]
 pub struct Instance {
-    /// Whether it runs.
+    /// Whether its process is running.
     pub alive: bool,
-    /// Number of its process: connections to earlier ones are broken.
+    /// Number of its process; connections to earlier processes are broken.
     pub process: u32,
-    /// Start of its process, by the clock of its machine, which may be set back.
+    /// Start time of its process by the clock of its machine, which may be set back.
     pub incarnation: u64,
-    /// Whether it comes back with nothing.
+    /// Whether it restarts without its data.
     pub loses_data_on_restart: bool,
-    /// Whether nobody reaches it.
+    /// Whether no node or instance can reach it.
     pub unreachable: bool,
-    /// Whether it receives nothing.
+    /// Whether it receives no replication.
     pub replication_stalled: bool,
-    /// Whether it says that it leaves.
+    /// Whether it announces that it leaves.
     pub leaving: bool,
     /// Its role.
     pub role: Role,
     /// Its term.
     pub term: u32,
-    /// Term below which it receives nothing; zero if it receives.
+    /// Lowest term from which it accepts replication while it is stopped; zero if it is not
+    /// stopped.
     pub min_term: u32,
     /// Its log.
     pub log: Vec<Entry>,
-    /// Commits that wait.
+    /// Commits that wait for a replica.
     pub pending: Vec<Pending>,
-    /// Since when it could reach a newer primary.
+    /// Since when this old primary has been able to reach a newer one.
     pub outdated_since: Option<u64>,
 }
 
 impl Instance {
-    /// A replica, or the first primary.
+    /// Creates a replica, or the first primary.
     pub fn new(leads: bool) -> Self {
         Self {
             alive: true,
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Whether a message can be answered.
+    /// Whether it is running and reachable.
     pub fn is_available(&self) -> bool {
         self.alive && !self.unreachable
     }
@@ -104,7 +106,7 @@
         self.log.iter().map(|entry| entry.id).collect()
     }
 
-    /// How it stands.
+    /// Its replication status.
     pub fn status(&self) -> ReplicationStatus {
         let received = Position {
             term: Term(self.log.last().map_or(1, |entry| entry.term)),
@@ -118,7 +120,8 @@
         }
     }
 
-    /// It starts again under its name, with nothing. A second start is earlier by its clock.
+    /// Restarts under the same name without data. The first such restart gets a lower incarnation,
+    /// because the machine's clock was set back.
     pub fn restart_without_data(&mut self) {
         self.incarnation = if self.incarnation == FIRST_INCARNATION {
             FIRST_INCARNATION - 1
@@ -133,7 +136,8 @@
         self.leaving = false;
     }
 
-    /// It dies: what waits is never answered, and a restart forgets that it was stopped.
+    /// Crashes. Pending commits are never answered, and after a restart the instance does not know
+    /// that it was stopped.
     pub fn crash(&mut self) {
         self.alive = false;
         self.process += 1;
@@ -142,7 +146,8 @@
     }
 }
 
-/// Lets replicas receive from the primary that they follow. Returns whether a role has changed.
+/// Lets replicas receive from the primary that they follow, and lets old primaries step down.
+/// Returns whether a role has changed.
 pub fn replicate(
     instances: &mut [Instance],
     now: u64,
@@ -181,7 +186,7 @@
         let source =
             leading.iter().filter(|(_, term)| follows(*term)).max_by_key(|(_, term)| *term);
         let Some(&(source, term)) = source else { continue };
-        // The cut is of the first primary.
+        // Only the first primary is cut from its replicas.
         let is_cut = cut_from_replicas && term == 1;
         if instances[index].replication_stalled || is_cut || !arrives() {
             continue;
--- a/crates/core/tests/replacement/listing.rs
+++ b/crates/core/tests/replacement/listing.rs
@@ -1,6 +1,6 @@
-//! Nodes that enter themselves in the store: whoever replaces a primary waits for the word of those that are
-//! listed when its intent has been recorded. One that is not listed yet by its own copy of the store must not
-//! rely on being waited for.
+//! Registration of nodes in the store. A coordinator waits for the reports of the nodes that are
+//! listed when its intent is recorded. A node whose own copy of the store does not list it yet must
+//! not rely on a coordinator that waits for it.
 
 use std::time::Duration;
 
@@ -11,23 +11,24 @@
 use crate::store::{Operation, node_name};
 use crate::world::World;
 
-/// Time between two attempts of a node to enter itself, and from its start to the first.
+/// Interval between two attempts of a node to register, and delay from its start to the first
+/// attempt.
 const REGISTRATION_RETRY_INTERVAL_MS: u64 = 100;
 
-/// Time between two readings of the entries of others: a node does not watch them.
+/// Interval between two reads of the other nodes' registrations, which a node does not watch.
 const LIST_READ_INTERVAL_MS: u64 = 2_000;
 
-/// Which nodes there are.
+/// How nodes learn which nodes there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
-    /// The same at all times, and all of them know that.
+    /// The set of nodes is fixed and known to all nodes.
     Fixed,
-    /// Those that have entered themselves.
+    /// Nodes register in the store.
     Registered,
 }
 
 impl World {
-    /// A node enters itself until its copy of the store shows it.
+    /// Registers a node, repeatedly until its copy of the store lists it.
     pub fn register(&mut self, node: usize) {
         let has_just_started =
             self.now < self.nodes[node].started_at + REGISTRATION_RETRY_INTERVAL_MS;
@@ -42,8 +43,8 @@
         self.call(node, 0, Operation::Register);
     }
 
-    /// The nodes that a node's copy of the store shows, of those that have `entered`: itself at once, the others as
-    /// they were when their entries were last read.
+    /// The `registered` nodes that a node's copy of the store shows: the node itself at once, the
+    /// others as of the last read of their registrations.
     pub fn nodes_shown_to(&mut self, node: usize, registered: &[NodeName]) -> Vec<NodeName> {
         let (now, own) = (self.now, &mut self.nodes[node]);
         if own.listed_nodes.is_empty() || now >= own.listed_nodes_read_at + LIST_READ_INTERVAL_MS {
@@ -58,12 +59,13 @@
         shown
     }
 
-    /// Whether whoever replaces a primary waits for the node's word: it is listed, and knows that.
+    /// Whether the node can rely on a coordinator to wait for its report: it is listed, and knows
+    /// that.
     pub fn coordinator_waits_for(&self, node: usize) -> bool {
         self.listing == Listing::Fixed || self.nodes[node].is_listed_in_own_view()
     }
 
-    /// How long a node relies on its evidence.
+    /// Lifetime of a node's evidence.
     pub fn evidence_lifetime(&self, node: usize) -> Duration {
         if self.coordinator_waits_for(node)
             || self.planted_fault == PlantedFault::UnlistedEvidenceNotShortened
@@ -74,7 +76,7 @@
         }
     }
 
-    /// The nodes that a node takes for those there are.
+    /// All nodes that a node knows of.
     pub fn nodes_known_to(&self, node: usize) -> Vec<NodeName> {
         match self.listing {
             Listing::Fixed => (0..self.nodes.len()).map(node_name).collect(),
@@ -82,8 +84,8 @@
         }
     }
 
-    /// The nodes whose word a holder waits for: those of its copy, and those that the store had when the intent
-    /// was recorded.
+    /// The nodes whose reports a coordinator waits for: those in its own copy of the store, and
+    /// those that the store listed when the intent was recorded.
     pub fn nodes_to_wait_for(&self, coordinator: usize) -> Vec<NodeName> {
         let mut nodes = self.nodes_known_to(coordinator);
         let state = self.nodes[coordinator].coordinator.as_ref();
--- a/crates/core/tests/replacement/main.rs
+++ b/crates/core/tests/replacement/main.rs
@@ -1,7 +1,13 @@
-//! Replacing primaries in virtual time: the real decisions before modelled instances, store and
-//! network, with seeds. Each seed draws its own faults; a checker judges what callers were told.
+//! Simulation of primary replacement in virtual time. The real decision code runs against modelled
+//! instances, a modelled store and a modelled network. Each seed draws its own faults, and a
+//! checker compares the answers that clients got with what the instances kept.
 //!
-//! `SEEDS=20000 cargo test --release -p kestrellock-core --test replacement -- --nocapture` plays
+//! The guarantees: no acknowledged commit is lost, no read misses a commit that was acknowledged
+//! before the read arrived, no old primary acknowledges commits after its successor was promoted,
+//! fencing tokens rise with each coordinator, a write that was reported as not run is not kept, and
+//! everything recovers after the faults have ended.
+//!
+//! `SEEDS=20000 cargo test --release -p kestrellock-core --test replacement -- --nocapture` runs
 //! more seeds than CI does.
 
 mod checker;
@@ -30,77 +36,82 @@
 use plan::{Faults, PlantedFault};
 use world::{Outcome, World};
 
-/// Seeds that CI plays.
+/// Number of seeds that CI runs.
 const SEEDS: u64 = 240;
-/// Seeds with planted faults; each must be caught in at least one of them.
+/// Number of seeds with a planted fault; at least one of them must detect the fault.
 const PLANTED_SEEDS: u64 = 3_840;
-/// They are played in parts, until one is caught.
+/// Seeds with a planted fault run in batches of this size until one detects the fault.
 const SEEDS_PER_BATCH: u64 = 96;
 const FIRST_SEED: u64 = 1;
-/// Plays around a seed in CI.
+/// Number of variations of a seed that CI runs.
 const VARIATIONS_PER_SEED: u64 = 60;
-/// The same where one of several hundred breaks.
+/// The same for seeds of which only one variation in several hundred violates a guarantee.
 const VARIATIONS_OF_RARE_SEEDS: u64 = 200;
 
-/// Seeds with up to four faults that broke a promise once, with what was wrong.
+/// Seeds with up to four faults that once violated a guarantee, with the cause.
 const FIXED_SEEDS_FEW_FAULTS: [(u64, &str); 1] =
-    [(16686, "a successor that led while the store was down was taken for one that was lost")];
+    [(16686, "a successor that led while the store was down was treated as lost")];
 
-/// The same with up to nine faults.
+/// Seeds with up to nine faults that once violated a guarantee, with the cause.
 const FIXED_SEEDS_MANY_FAULTS: [(u64, &str); 10] = [
     (
         339,
-        "a replica was released before it followed the successor, and said it followed the old one",
+        "a replica was released before it followed the successor, and reported that it followed \
+         the old primary",
     ),
     (1530, "a promotion was sent again though a replica had forgotten that it was stopped"),
-    (65, "a replica stayed stopped with a higher term than that of the successor"),
-    (192, "the same, after two holders"),
+    (65, "a replica stayed stopped with a minimum term above the successor's term"),
+    (192, "the same, after two coordinators"),
     (589, "a promotion was sent again to a replica that was no longer ahead"),
-    (399, "replicas were stopped with a term that the old primary led: they received on"),
-    (4206, "the same after a restart of the holder"),
+    (399, "replicas were stopped with the term that the old primary led, and still received"),
+    (4206, "the same after a restart of the coordinator"),
     (7864, "the same after a node had been killed"),
-    (2219, "a second holder called the attempt off and released only what it had stopped itself"),
-    (12832, "the model promoted twice under one term; the platform gives the next one"),
+    (2219, "a second coordinator cancelled the attempt and released only replicas it had stopped"),
+    (12832, "the model promoted twice in one term; the platform assigns the next term"),
 ];
 
-/// The same where promotions release all replicas.
+/// Seeds with up to nine faults where promotions release all replicas.
 const FIXED_SEEDS_RELEASES: [(u64, &str); 1] = [(
     17934,
-    "the successor died before replicas had heard of it, and the old primary answered one more commit",
+    "the successor died before any replica followed it, and the old primary acknowledged a commit",
 )];
 
-/// The same with up to four faults where an instance starts again with nothing.
+/// Seeds with up to four faults where an instance restarts without its data.
 const FIXED_SEEDS_FEW_FAULTS_DATA_LOSS: [(u64, &str); 6] = [
-    (440, "the instance being promoted started again; the old primary held what it had held"),
-    (1737, "an answer that nobody waited for any more was taken for an acknowledgement"),
-    (1912, "an old primary answered commits through a replica that had forgotten the newer term"),
-    (1985, "the same, and then nobody replaced it, because nothing was sent there"),
-    (4866, "the holder had started after the instance, and took it for one that held everything"),
+    (440, "the instance being promoted restarted and lost commits that the old primary held"),
+    (1737, "an answer to an abandoned request counted as an acknowledgement"),
+    (1912, "an old primary acknowledged commits with a replica that had forgotten the newer term"),
+    (1985, "the same, and the old primary was never replaced because no requests were sent to it"),
+    (4866, "the coordinator started after the instance and assumed that it held all commits"),
     (17058, "the same"),
 ];
 
-/// The same with up to nine faults where promotions release all replicas.
+/// Seeds with up to nine faults where an instance restarts without its data and promotions release
+/// all replicas.
 const FIXED_SEEDS_DATA_LOSS: [(u64, &str); 3] = [
-    (2911, "the holder had started after the instance, and took it for one that held everything"),
+    (2911, "the coordinator started after the instance and assumed that it held all commits"),
     (9380, "the same"),
     (14341, "the same"),
 ];
 
-/// Seeds with up to four faults where nodes come, in which a holder took the nodes of its own old list for all, since their
-/// word came before the answer of the store that its intent was recorded.
+/// Seeds with up to four faults where nodes join. The coordinator waited only for the nodes on its
+/// own outdated list, because their reports arrived before the store's answer that its intent was
+/// recorded.
 const FIXED_SEEDS_FEW_FAULTS_NODE_JOINS: [u64; 9] =
     [1210296, 1212314, 1212622, 1214793, 1225912, 1227103, 1227337, 1228503, 1228795];
 
-/// Seeds with up to nine faults, releases and empty starts in which the store came back from a copy.
+/// Seeds with up to nine faults, releases and data loss in which the store was restored from an
+/// older copy.
 const FIXED_SEEDS_STORE_RESTORES: [(u64, &str); 4] = [
-    (318, "the copy told an earlier start of an instance that had lost its log since"),
-    (946, "an old primary that an earlier holder had stopped as a replica stayed stopped"),
-    (1747, "the copy told an earlier start of an instance that had lost its log since"),
-    (2299, "an old primary that an earlier holder had stopped as a replica stayed stopped"),
+    (318, "the copy named an earlier incarnation of an instance that had lost its log since"),
+    (946, "an old primary that an earlier coordinator had stopped as a replica stayed stopped"),
+    (1747, "the copy named an earlier incarnation of an instance that had lost its log since"),
+    (2299, "an old primary that an earlier coordinator had stopped as a replica stayed stopped"),
 ];
 
-/// Seeds in which an instance that starts again with nothing loses a commit or lets an old primary answer
-/// one: with up to four faults, and with up to nine where promotions release all replicas.
+/// Seeds in which an instance that restarts without its data lost a commit or let an old primary
+/// acknowledge one: with up to four faults, and with up to nine where promotions release all
+/// replicas.
 const DATA_LOSS_SEEDS_FEW_FAULTS: [u64; 1] = [14008];
 const DATA_LOSS_SEEDS_MANY_FAULTS: [u64; 6] = [5976, 9805, 15444, 15611, 17708, 19308];
 
@@ -111,7 +122,7 @@
     first..first + count
 }
 
-/// Plays seeds on all processors; outcomes by seed.
+/// Runs the seeds on all processors and returns the outcomes by seed.
 fn run_seeds(
     seeds: Range<u64>,
     faults: Faults,
@@ -120,7 +131,7 @@
     run_worlds(seeds, |seed| World::new(seed, faults, planted_fault))
 }
 
-/// Plays the worlds of these numbers on all processors; outcomes by number.
+/// Runs the worlds with these numbers on all processors and returns the outcomes by number.
 fn run_worlds(
     numbers: Range<u64>,
     new_world: impl Fn(u64) -> World + Sync,
@@ -139,12 +150,16 @@
             }
         };
         let handles: Vec<_> = (0..threads).map(|_| scope.spawn(run_share)).collect();
-        handles.into_iter().map(|handle| handle.join().expect("it plays")).collect::<Vec<_>>()
+        handles
+            .into_iter()
+            .map(|handle| handle.join().expect("a simulation thread panicked"))
+            .collect::<Vec<_>>()
     });
     shares.into_iter().flatten().collect()
 }
 
-/// Violations of the seeds that broke a promise: how many seeds, and some with their faults.
+/// Describes the seeds that violated a guarantee: their number, and the first ten with their first
+/// violation and their faults.
 fn describe(outcomes: &BTreeMap<u64, Outcome>) -> String {
     let broken: Vec<_> =
         outcomes.iter().filter(|(_, outcome)| !outcome.violations.is_empty()).collect();
@@ -166,12 +181,13 @@
     each.collect()
 }
 
-/// Plays the seeds; none may break a promise, and enough must happen.
+/// Runs the seeds and asserts that none violates a guarantee, and that enough reads and promotions
+/// happen for this to mean something.
 fn assert_no_violations(faults: Faults) {
     assert_no_violations_with_promotions(4, faults);
 }
 
-/// The same; on average there must be a promotion in so many seeds.
+/// The same, with more than one promotion per `seeds_per_promotion` seeds on average.
 fn assert_no_violations_with_promotions(seeds_per_promotion: u64, faults: Faults) {
     let outcomes = run_seeds(seeds(), faults, PlantedFault::None);
     let found = violations(&outcomes);
@@ -232,7 +248,7 @@
     assert_no_violations(Faults::dense().with_releases().with_data_loss());
 }
 
-/// Nodes come while primaries are replaced, and some of them lose the store at once.
+/// Nodes join while primaries are replaced, and some of them lose the store at once.
 #[test]
 fn no_seed_violates_a_guarantee_while_nodes_join() {
     assert_no_violations(Faults::all().with_joining_nodes());
@@ -243,7 +259,7 @@
     assert_no_violations(Faults::dense().with_releases().with_data_loss().with_joining_nodes());
 }
 
-/// All nodes start at about the same time, knowing nothing of what happened before.
+/// All nodes start at about the same time and know nothing of earlier events.
 #[test]
 fn no_seed_violates_a_guarantee_when_all_nodes_restart() {
     assert_no_violations(Faults::all().with_data_loss().with_full_restart());
@@ -254,11 +270,11 @@
     assert_no_violations(Faults::dense().with_releases().with_data_loss().with_full_restart());
 }
 
-/// The store comes back from an older copy while primaries are replaced: holds, records, votes and who was promoted
-/// are lost, and revisions are given out again.
+/// The store is restored from an older copy while primaries are replaced. Coordinator leases,
+/// intents, votes and the record of the last promotion are lost, and revisions are assigned again.
 #[test]
 fn no_seed_violates_a_guarantee_when_the_store_is_restored() {
-    // Some replacements are not needed any more by the time that the return has been waited out.
+    // Some replacements are no longer needed when the delay after a store restore has passed.
     assert_no_violations_with_promotions(6, Faults::all().with_store_restores());
 }
 
@@ -277,7 +293,8 @@
     assert_no_violations(Faults::all().with_data_loss().with_full_restart().with_store_restores());
 }
 
-/// A bare revision as fence is given out again, or is lower than the platform has seen.
+/// Planted fault: the fencing token is the bare store revision. After a store restore it repeats,
+/// or is lower than one that the platform has seen.
 #[test]
 fn detects_fencing_tokens_without_a_store_era() {
     let faults = Faults::dense().with_store_restores();
@@ -286,7 +303,8 @@
     });
 }
 
-/// The store, back from a copy, tells the start of an instance that has lost its log since.
+/// Planted fault: nodes trust instance incarnations from a restored store, which may name an
+/// incarnation from before the instance lost its log.
 #[test]
 fn detects_trust_in_incarnations_from_a_restored_store() {
     let faults = Faults::dense().with_releases().with_data_loss().with_store_restores();
@@ -295,7 +313,8 @@
     });
 }
 
-/// A node that nobody waits for yet relies on its evidence for as long as one that is listed.
+/// Planted fault: a node that is not listed yet, and for which no coordinator waits, relies on its
+/// evidence for as long as a listed node.
 #[test]
 fn detects_full_evidence_lifetime_at_an_unlisted_node() {
     let faults = Faults::all().with_joining_nodes();
@@ -304,7 +323,8 @@
     });
 }
 
-/// Whoever replaces a primary goes by the nodes that its own copy of the store lists, which may be old.
+/// Planted fault: the coordinator waits for the nodes on its own list, which may be outdated, and
+/// not for those that the store lists when the intent is recorded.
 #[test]
 fn detects_a_coordinator_that_uses_an_old_node_list() {
     let faults = Faults::all().with_joining_nodes();
@@ -313,6 +333,7 @@
     });
 }
 
+/// Planted fault: the announced incarnation of an instance stays the same across its restarts.
 #[test]
 fn detects_unnoticed_instance_restarts() {
     let faults = Faults::dense().with_data_loss();
@@ -343,10 +364,11 @@
     }
 }
 
-/// Callers lost a commit that had been acknowledged. The promoted primary i-1 lost its log at 1,099 ms; it started
-/// again at 1,699 ms with nobody to refill it, and counted as one that holds everything 3 s later. i-0, which had
-/// been away since before that commit, was promoted with 22 commits of 36 at 6,322 ms; i-2 had them all, was back
-/// since 3,804 ms and was not waited for.
+/// Guards against the loss of an acknowledged commit. The promoted primary i-1 lost its log at
+/// 1,099 ms and restarted at 1,699 ms. No instance could refill it, but 3 s later it counted as
+/// holding all commits. i-0 had been down since before that commit and was promoted at 6,322 ms
+/// with 22 of 36 commits. i-2 had all of them and was up again since 3,804 ms, but the coordinator
+/// did not wait for it.
 #[test]
 fn instance_that_could_not_be_refilled_never_counts_as_complete() {
     let faults = Faults::all().with_data_loss();
@@ -354,6 +376,8 @@
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations.first());
 }
 
+/// Seeds that violated a guarantee for longer than the others: an instance restarts without its
+/// data while its primary is replaced.
 #[test]
 fn seeds_with_empty_starts_that_still_break_a_promise_hold() {
     let few = Faults::all().with_data_loss();
@@ -377,12 +401,14 @@
     }
 }
 
-/// Callers lose commits that were acknowledged. i-1 was stopped at 2,955 ms, and checked at 3,065 ms; i-2 was promoted, to
-/// lead from 3,375 ms on. At 3,309 ms i-1 started again, within a moment and with its log, but without knowing that it had been
-/// stopped; it received from the old primary i-0, which nobody but a node out of reach of the store could reach, and
-/// i-0 answered eight commits of that node at once. i-2 lacks them.
+/// Guards against the loss of acknowledged commits. i-1 was stopped at 2,955 ms and checked at
+/// 3,065 ms; i-2 was promoted and led from 3,375 ms. At 3,309 ms i-1 restarted quickly and with its
+/// log, but it had forgotten that it was stopped. It received from the old primary i-0, which only
+/// a node without access to the store could reach, and i-0 acknowledged eight commits of that node
+/// at once. i-2 lacks them.
 ///
-/// All that was to be known was known, and asked: no order reaches the old primary, and the promotion was under way.
+/// The coordinator could not have prevented this: no command reaches the old primary, and the
+/// promotion had already been sent.
 #[test]
 fn a_replica_that_forgets_that_it_was_stopped_while_another_is_promoted_loses_no_commit() {
     let faults = Faults::all().with_joining_nodes();
@@ -390,9 +416,10 @@
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations.first());
 }
 
-/// Callers lose a commit that was acknowledged. i-0 was checked at 1,778 ms, started again with nothing at 1,788 ms without
-/// having been away (two crashes overlap in this plan), and the platform promoted it: it led from 2,091 ms on with no
-/// commits, until i-1, which held all 60, led at 2,222 ms. No order names the start that is to be promoted.
+/// Guards against the loss of an acknowledged commit. i-0 was checked at 1,778 ms and restarted
+/// without its data at 1,788 ms, with no downtime in between because two crashes overlap in this
+/// plan. The platform promoted it: it led from 2,091 ms with no commits, until i-1, which held all
+/// 60, led at 2,222 ms. The promotion command does not name the incarnation to promote.
 #[test]
 fn an_instance_that_loses_its_log_at_the_moment_of_its_promotion_loses_no_commit() {
     let faults = Faults::all().with_data_loss();
@@ -400,19 +427,19 @@
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations.first());
 }
 
-/// An instance loses its log and runs again sooner than a promotion takes.
+/// An instance loses its log and restarts in less time than a promotion takes.
 #[test]
-fn no_seed_violates_a_guarantee_when_an_instance_loses_its_data_and_restarts_quickly() {
+fn no_seed_violates_a_guarantee_after_data_loss_and_quick_restart() {
     assert_no_violations(Faults::all().with_quick_data_loss());
 }
 
 #[test]
-fn no_seed_with_many_faults_violates_a_guarantee_when_an_instance_loses_its_data_and_restarts_quickly()
- {
+fn no_seed_with_many_faults_violates_a_guarantee_after_data_loss_and_quick_restart() {
     assert_no_violations(Faults::dense().with_releases().with_quick_data_loss());
 }
 
-/// A replica is replaced as planned while the primary is, and nodes hear of that from whoever does it.
+/// A replica leaves as planned while the primary is replaced, and the coordinator notifies the
+/// other nodes of the replacement.
 #[test]
 fn no_seed_violates_a_guarantee_while_replicas_leave() {
     assert_no_violations(Faults::all().with_leaving_replicas().with_coordinator_notifications());
@@ -424,7 +451,8 @@
     assert_no_violations(many.with_leaving_replicas().with_coordinator_notifications());
 }
 
-/// A node that does not reach the store hears of a replacement from nobody.
+/// Planted fault: coordinators send no notifications, so a node that cannot reach the store does
+/// not learn of a replacement.
 #[test]
 fn detects_missing_replacement_notifications() {
     let faults = Faults::all().with_leaving_replicas();
@@ -433,7 +461,8 @@
     });
 }
 
-/// An old primary's answer counts though a replacement has been under way for long.
+/// Planted fault: a commit answer of an old primary counts although the replacement has been active
+/// for a long time.
 #[test]
 fn detects_late_commits_of_old_primaries() {
     let faults = Faults::all().with_leaving_replicas().with_coordinator_notifications();
@@ -442,14 +471,16 @@
     });
 }
 
-/// Guards the story of a replica that was replaced as planned while a listed node did not reach the store.
+/// A replica leaves as planned while a listed node cannot reach the store. The node must not
+/// acknowledge commits that the successor lacks.
 #[test]
 fn variations_of_a_leaving_replica_violate_no_guarantee_with_notifications() {
     let faults = Faults::all().with_leaving_replicas().with_coordinator_notifications();
     assert_no_violations_around(&[322], faults);
 }
 
-/// A node that nobody waits for yet passes on what a primary answers, without the word of replicas.
+/// Planted fault: a node for which no coordinator waits yet acknowledges what a primary answers,
+/// without confirmation by replicas.
 #[test]
 fn detects_unconfirmed_commits_at_an_unlisted_node() {
     let faults = Faults::all().with_joining_nodes();
@@ -462,13 +493,14 @@
     assert!(found.iter().any(lost), "it is not detected");
 }
 
-/// A replica leaves as planned while another one is being promoted: its successor at its address knows of no stop.
+/// A stopped replica leaves as planned while another one is being promoted. The instance that takes
+/// over its address does not know that it was stopped.
 #[test]
 fn variations_of_a_leaving_stopped_replica_lose_no_commit() {
     assert_no_violations_around(&[1_226_659], Faults::all().with_joining_nodes());
 }
 
-/// An old primary comes back when the one promoted after it has lost its log.
+/// An old primary is reachable again after its successor has lost its log.
 #[test]
 fn plays_around_the_return_of_an_old_primary_hold() {
     let faults = Faults::dense().with_releases().with_data_loss();
@@ -506,12 +538,12 @@
     assert_no_violations_around(&restored, released.with_data_loss().with_store_restores());
 }
 
-/// How many plays around a seed there are: `AROUND=1500` plays more than CI does.
+/// Number of variations to run of a seed: `AROUND=1500` runs more than CI does.
 fn variation_count(default: u64) -> u64 {
     std::env::var("AROUND").ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Plays around seeds that once broke a promise; none may break one.
+/// Runs variations of the seeds and asserts that none violates a guarantee.
 fn assert_no_violations_around(seeds: &[u64], faults: Faults) {
     assert_no_violations_in_variations(variation_count(VARIATIONS_PER_SEED), seeds, faults);
 }
@@ -523,25 +555,26 @@
             run_worlds(0..variations, |variation| World::variation_of(*seed, variation, faults));
         let found = violations(&outcomes);
         let violating: BTreeSet<u64> = found.iter().map(|(variation, _)| *variation).collect();
-        println!("around seed {seed}: {} of {} plays break", violating.len(), outcomes.len());
+        println!("seed {seed}: {} of {} variations violate", violating.len(), outcomes.len());
         broken.extend(found.into_iter().next().map(|found| (*seed, violating.len(), found)));
     }
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// Prints the story of one seed: `TRACE_SEED=14008 TRACE_KIND=few_empty cargo test --release -p
-/// kestrellock-core --test replacement story -- --ignored --nocapture`; TRACE_PLAY names a play around it.
+/// Prints the events of one seed: `TRACE_SEED=14008 TRACE_KIND=few_empty cargo test --release -p
+/// kestrellock-core --test replacement print_trace -- --ignored --nocapture`. `TRACE_PLAY` selects
+/// a variation of the seed by its number.
 #[test]
-#[ignore = "a tool: prints the story of the seed that the environment names"]
+#[ignore = "a tool: prints the events of the seed that TRACE_SEED and TRACE_KIND select"]
 fn print_trace_of_one_seed() {
-    let seed = std::env::var("TRACE_SEED").expect("TRACE_SEED names a seed");
-    let seed = seed.parse().expect("a seed is a number");
-    let kind = std::env::var("TRACE_KIND").expect("TRACE_KIND names the kind of faults");
+    let seed = std::env::var("TRACE_SEED").expect("TRACE_SEED is not set");
+    let seed = seed.parse().expect("TRACE_SEED is not a number");
+    let kind = std::env::var("TRACE_KIND").expect("TRACE_KIND is not set");
     let faults = match kind.as_str() {
         "few" => Faults::all(),
         "many" => Faults::dense(),
         "few_empty" => Faults::all().with_data_loss(),
-        "many_with_data_loss" => Faults::dense().with_releases().with_data_loss(),
+        "many_empty" => Faults::dense().with_releases().with_data_loss(),
         "many_silent" => Faults::dense().with_releases().with_silent_connections(),
         "few_come" => Faults::all().with_joining_nodes(),
         "many_come" => Faults::dense().with_releases().with_data_loss().with_joining_nodes(),
@@ -555,7 +588,7 @@
         "few_replica_untold" => Faults::all().with_leaving_replicas(),
         "few_all" => Faults::all().with_data_loss().with_full_restart(),
         "many_all" => Faults::dense().with_releases().with_data_loss().with_full_restart(),
-        other => panic!("no kind of faults is called {other}"),
+        other => panic!("unknown TRACE_KIND: {other}"),
     };
     let variation = std::env::var("TRACE_PLAY").ok().and_then(|text| text.parse().ok());
     let world = match variation {
@@ -582,10 +615,10 @@
         replaced.len()
     );
     assert!(found.is_empty(), "{}", describe(&outcomes));
-    assert!(replaced.is_empty(), "primaries were replaced without need: {replaced:#?}");
+    assert!(replaced.is_empty(), "unneeded primary replacements: {replaced:#?}");
 }
 
-/// A planted fault and a violation that shows it.
+/// Asserts that at least one seed with the planted fault shows an expected violation.
 fn assert_detected(planted_fault: PlantedFault, is_expected: impl Fn(&Violation) -> bool) {
     assert_detected_with(Faults::dense(), planted_fault, is_expected);
 }
@@ -612,9 +645,10 @@
     });
 }
 
-/// A replica that a promotion released without its hearing of it says what it said before. Connections go silent
-/// besides: an old primary is soon told to step down by whoever knows of the newer term, so that the fault shows
-/// where that is not heard.
+/// Planted fault: the report of one replica is evidence without a replacement check. A replica that
+/// a promotion released still reports the old term until it follows the successor. Connections also
+/// go silent, because nodes that know of the newer term soon demote the old primary: the fault only
+/// shows where that command is lost.
 #[test]
 fn detects_evidence_from_one_replica_without_a_replacement_check() {
     let faults = Faults::dense().with_releases().with_silent_connections();
--- a/crates/core/tests/replacement/messages.rs
+++ b/crates/core/tests/replacement/messages.rs
@@ -1,4 +1,4 @@
-//! What is under way between nodes, instances, store and platform.
+//! Messages between nodes, instances, the store and the platform.
 
 use kestrellock_core::position::{Position, Term};
 use kestrellock_core::promotion::{
@@ -11,173 +11,173 @@
 use crate::returns::Keys;
 use crate::store::{Announced, CallResult, Operation};
 
-/// What a node asks of an instance.
+/// A node's request to an instance.
 #[derive(Clone, Debug)]
 pub enum Work {
     /// A write.
     Write(CommitId),
-    /// A read that arrived at that time.
+    /// A read.
     Read {
-        /// When.
+        /// When the client's request arrived at the node.
         arrived: u64,
     },
-    /// How it stands, as evidence.
+    /// A query for the replication status, as evidence.
     StatusQuery,
-    /// A command of a holder.
+    /// A command of a coordinator.
     Command(Command),
 }
 
-/// What an instance answers.
+/// An instance's answer.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// The commit has reached a replica; how far the primary's log goes.
+    /// The commit has reached a replica; the primary's term and the end of its log.
     Committed(Term, Position),
-    /// The read is done.
+    /// The read has run; the primary's term.
     Read(Term),
-    /// It does not lead.
+    /// The instance is not primary.
     NotPrimary,
-    /// How it stands.
+    /// Its replication status.
     Status(ReplicationStatus),
-    /// It receives again.
+    /// It accepts replication again.
     Released,
-    /// Nothing runs there.
+    /// Connection refused: no process runs there.
     Refused,
-    /// The connection led to an earlier process; this one runs now.
+    /// The connection led to an earlier process; the number of the current one.
     Broken(u32),
 }
 
-/// A message to an instance, and its answer.
+/// One request to an instance and its answer.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// The node.
+    /// Number of the node.
     pub node: usize,
-    /// Its process.
+    /// Number of the node's process.
     pub process: u64,
-    /// The instance.
+    /// Index of the instance.
     pub instance: usize,
-    /// Number of the request; names the commit of a write.
+    /// Number of the request; for a write also the ID of the commit.
     pub request: u64,
     /// When it was sent.
     pub sent: u64,
     /// Process of the instance that the connection leads to.
     pub instance_process: u32,
-    /// What is asked.
+    /// The request.
     pub work: Work,
 }
 
-/// A change of the store that a node waits for.
+/// An operation on the store that a node waits for.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The node.
+    /// Number of the node.
     pub node: usize,
-    /// Its process.
+    /// Number of the node's process.
     pub process: u64,
     /// Number of the call.
     pub number: u64,
     /// The era of the store that the node knew.
     pub era: StoreEra,
-    /// Fence of its hold.
+    /// Fencing token of the node's coordinator lease; zero without a lease.
     pub fence: u64,
-    /// What it is.
+    /// The operation.
     pub operation: Operation,
     /// When it was sent.
     pub sent: u64,
 }
 
-/// What is under way.
+/// A message or a timer in flight.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// To an instance.
+    /// From a node to an instance.
     Request(Exchange),
-    /// From an instance.
+    /// From an instance to a node.
     Answer(Exchange, Reply),
-    /// To the store.
+    /// From a node to the store.
     Call(Call),
-    /// From the store, of the era that it tells.
+    /// From the store to a node, with the store's current era.
     CallAnswered(Call, CallResult, StoreEra),
-    /// A node waits no longer for an answer of the store.
+    /// A node's call to the store has timed out.
     CallLost(Call),
-    /// A node hears of changes.
+    /// The store's watch sends changes to a node.
     View {
-        /// The node.
+        /// Number of the node.
         node: usize,
-        /// Its process.
+        /// Number of the node's process.
         process: u64,
-        /// What the store says.
+        /// State of replacements in the store.
         view: CoordinationView,
-        /// What instances say there.
+        /// Entries of the instances.
         announced: Vec<Announced>,
-        /// What nodes have written of replacements, by era.
+        /// What nodes have written about replacements, by era.
         keys: Keys,
     },
-    /// To the platform.
+    /// A coordinator asks the platform for a promotion.
     Promote {
-        /// The node.
+        /// Number of the node.
         node: usize,
-        /// Its process.
+        /// Number of the node's process.
         process: u64,
-        /// The instance.
+        /// Index of the instance.
         instance: usize,
-        /// Fence of its hold.
+        /// Fencing token of the coordinator.
         fence: u64,
     },
-    /// From the platform.
+    /// The platform answers a promotion request.
     PromotionAnswered {
-        /// The node.
+        /// Number of the node.
         node: usize,
-        /// Its process.
+        /// Number of the node's process.
         process: u64,
-        /// The instance.
+        /// Index of the instance.
         instance: usize,
-        /// What it said.
+        /// The platform's answer.
         answer: PromotionAnswer,
     },
-    /// The platform has promoted.
+    /// The platform finishes a promotion.
     PromotionDone {
-        /// The instance.
+        /// Index of the instance.
         instance: usize,
-        /// Its process: another one holds nothing of what was to lead.
+        /// Its incarnation when the promotion started: a later process may lack its data.
         incarnation: u64,
     },
-    /// A holder tells a node that a replacement is under way.
+    /// A coordinator notifies a node of an active replacement.
     ReplacementStarted {
-        /// The node.
+        /// Number of the node.
         to: usize,
-        /// The replacement.
+        /// Intent of the replacement.
         intent: Intent,
-        /// When its holder first knew it to be recorded.
+        /// When the coordinator learned that the intent is recorded.
         recorded: u64,
     },
-    /// A holder tells a node that a replacement is over.
+    /// A coordinator notifies a node of a finished replacement.
     ReplacementFinished {
-        /// The node.
+        /// Number of the node.
         to: usize,
         /// The replacement.
         id: ReplacementId,
-        /// Who was promoted.
+        /// The promoted instance; none if the replacement was cancelled.
         successor: Option<Successor>,
     },
-    /// A node tells a holder that it has given its evidence up.
+    /// A node reports to the coordinator that it has revoked its evidence.
     EvidenceRevoked {
-        /// The holder.
+        /// Number of the coordinator.
         to: usize,
-        /// The node.
+        /// Number of the node.
         from: usize,
         /// The replacement.
         id: ReplacementId,
-        /// What it knows of the group.
+        /// What the node knows of restarts in the group.
         report: RestartReport,
     },
     /// An instance writes its entry again.
     Announce {
-        /// The instance.
+        /// Index of the instance.
         instance: usize,
     },
-    /// The store drops what a dead process has written.
+    /// The store drops the votes of a dead node.
     VotesExpire {
-        /// The node.
+        /// Number of the node.
         node: usize,
-        /// The process.
+        /// Number of the node's process.
         process: u64,
     },
 }
--- a/crates/core/tests/replacement/node.rs
+++ b/crates/core/tests/replacement/node.rs
@@ -1,4 +1,5 @@
-//! One node: what it believes, suspects and does.
+//! One node: its copy of the store's state, its evidence of the primary, its suspicions, and its
+//! state as coordinator.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,58 +25,59 @@
 use crate::returns::{Keys, last_promoted_in, merge_keys, unfinished_intents};
 use crate::store::{Announced, node_name};
 
-/// How it replicates.
+/// Replication of the simulated group.
 pub const REPLICATION: Replication = Replication { synchronous: 1, instances: 3 };
 
-/// The one group.
+/// The name of the only group.
 pub fn group_name() -> GroupName {
     GroupName::new("orders")
 }
 
-/// The name of an instance.
+/// The name of the instance with this index.
 pub fn instance_name(instance: usize) -> InstanceName {
     InstanceName::new(format!("i-{instance}"))
 }
 
-/// The number of an instance.
+/// The index of the instance with this name.
 pub fn instance_number(name: &InstanceName) -> usize {
-    name.as_str().trim_start_matches("i-").parse().expect("an instance of the simulation")
+    name.as_str().trim_start_matches("i-").parse().expect("not the name of a simulated instance")
 }
 
-/// The right to act, and what is done with it.
+/// State of a node that holds the coordinator lease.
 pub struct CoordinatorState {
-    /// Its fence.
+    /// Its fencing token.
     pub fence: u64,
-    /// Until when it surely lasts.
+    /// The lease is certainly valid until this time.
     pub lease_until: u64,
-    /// Whether it is being prolonged.
+    /// Whether a renewal of the lease is in flight.
     pub renewing: bool,
-    /// The attempt under way.
+    /// The current attempt.
     pub attempt: Option<Attempt>,
-    /// Attempts begun.
+    /// Number of attempts started under this lease.
     pub attempts_started: u32,
-    /// When the last one ended.
+    /// When the last attempt ended.
     pub last_attempt_ended: Option<u64>,
     /// Nodes that the store listed when the last intent was recorded.
     pub nodes_at_intent: Vec<NodeName>,
-    /// When the intent of the attempt was first known to be recorded.
+    /// When the coordinator learned that the intent of the attempt is recorded.
     pub intent_recorded_at: Option<u64>,
-    /// When the other nodes were last told of it.
+    /// When the other nodes were last notified of the replacement.
     pub notified_at: Option<u64>,
 }
 
-/// A commit that its primary has answered, and that is not acknowledged yet.
+/// A commit that the primary has answered, but that the node has not acknowledged to its client
+/// yet.
 #[derive(Clone, Copy, Debug)]
 pub struct UnconfirmedCommit {
     /// The commit.
     pub commit: CommitId,
-    /// The primary.
+    /// Index of the primary.
     pub instance: usize,
-    /// Its term.
+    /// Term of the primary.
     pub term: Term,
-    /// When it was sent.
+    /// When the commit was sent to the primary.
     pub sent: Instant,
-    /// When the answer came.
+    /// When the primary's answer arrived.
     pub answered: Instant,
 }
 
@@ -83,89 +85,90 @@
 pub struct Node {
     /// Its number.
     pub number: usize,
-    /// Whether it runs.
+    /// Whether its process is running.
     pub alive: bool,
-    /// Whether it stands still.
+    /// Whether its process is suspended.
     pub frozen: bool,
-    /// Process of that number: answers to earlier ones are nobody's.
+    /// Number of its process; answers to earlier processes are dropped.
     pub process: u64,
-    /// What the store said last.
+    /// State of replacements as the store last showed it, completed with remembered keys.
     pub view: CoordinationView,
-    /// Its era, as this node has seen it.
+    /// The store era as this node has observed it.
     pub era: StoreEraTracker,
-    /// The newest era that any answer has told.
+    /// The newest era in any answer of the store.
     pub newest_era: StoreEra,
-    /// What nodes have written of replacements, as the store said last.
+    /// What nodes have written about replacements, as the store last showed it.
     keys: Keys,
-    /// The same of before the store came back from a copy.
+    /// The same from before the last store restore.
     remembered_keys: Keys,
-    /// Whether the store may lack what this node remembers.
+    /// Whether the store may lack records that this node remembers.
     pub writes_back: bool,
-    /// When it last recorded something again.
+    /// When the node last wrote a lost record back.
     pub wrote_back_at: u64,
-    /// Until when a hold would have lasted that the store has lost: nobody else can have the right yet.
+    /// When the lease that the store has lost would have expired; until then no other node can
+    /// become coordinator.
     pub reacquire_until: u64,
-    /// The configuration by that.
+    /// The catalog that results from the view.
     pub catalog: IndexedCatalog,
-    /// Whether it has come since the node last followed it.
+    /// Whether the catalog has not been applied to the known instances yet.
     catalog_is_new: bool,
-    /// Replacements that it has heard of.
+    /// Replacements that the node has learned of.
     pub replacements: KnownReplacements,
-    /// Evidence of the primary.
+    /// Evidence that the primary has not been replaced.
     pub evidence: PrimaryEvidence,
-    /// Commits whose answers have come, and that replicas have yet to confirm.
+    /// Answered commits that replicas have not confirmed yet.
     pub unconfirmed_commits: Vec<UnconfirmedCommit>,
-    /// Term of each instance, by its own word.
+    /// Last reported term of each instance.
     pub terms: BTreeMap<usize, Term>,
-    /// Requests that wait, by number: instance, when sent, whether they commit.
+    /// Unanswered requests by number: instance, time of sending, whether it is a commit.
     pub pending_requests: BTreeMap<u64, (usize, Instant, bool)>,
     /// When each instance last answered or refused.
     pub last_answers: BTreeMap<usize, Instant>,
     /// When each instance last answered a commit.
     pub last_commits: BTreeMap<usize, Instant>,
-    /// Process of each instance that connections lead to.
+    /// Process of each instance that the node's connections lead to.
     pub known_processes: BTreeMap<usize, u32>,
     /// Since when each instance has refused connections.
     pub refused_since: BTreeMap<usize, Instant>,
-    /// The instance that it took for the primary when it last looked.
+    /// The instance that was the primary in this node's view at its last step.
     pub last_leader: Option<usize>,
     failure_detector: FailureDetector,
     needs_evaluator: NeedsEvaluator,
-    /// The instances.
+    /// What the node knows of the instances' incarnations and refills.
     pub known_instances: KnownInstances,
-    /// What it suspects.
+    /// The node's suspicions.
     pub votes: NodeVotes,
-    /// The right to act, if it has it.
+    /// Its state as coordinator, if it holds the lease.
     pub coordinator: Option<CoordinatorState>,
-    /// Whether it is asking for it.
+    /// Whether a request for the coordinator lease is in flight.
     pub acquiring: bool,
     needed_since: Option<u64>,
-    /// Nodes that have given their evidence up, and what they know.
+    /// Reports of the nodes that have revoked their evidence, by replacement.
     pub revocation_reports: BTreeMap<ReplacementId, RestartReports>,
-    /// Positions that the primary has told it.
+    /// Positions that the primary has reported.
     pub primary_samples: PrimarySamples,
-    /// When it last told a holder.
+    /// When it last reported to a coordinator.
     pub reported_at: u64,
-    /// When the last question for evidence was sent.
+    /// When it last queried the instances for evidence.
     pub status_queried_at: u64,
-    /// When it last looked at the store.
+    /// When it last sent a replacement check to the store.
     pub replacement_checked_at: u64,
-    /// When it last told old primaries to step down.
+    /// When it last sent demotions to old primaries.
     pub demotions_sent_at: u64,
-    /// When it last asked instances that have started again.
+    /// When it last queried restarted instances.
     pub refills_queried_at: u64,
-    /// When it started, if it was not there from the beginning.
+    /// When it started; zero for nodes that run from the beginning.
     pub started_at: u64,
-    /// When it last tried to enter itself.
+    /// When it last tried to register.
     pub registration_sent_at: u64,
-    /// The entries of nodes that it has read.
+    /// Registered nodes as last read.
     pub listed_nodes: Vec<NodeName>,
-    /// When it read them.
+    /// When it last read the registered nodes.
     pub listed_nodes_read_at: u64,
 }
 
 impl Node {
-    /// A node that has just started.
+    /// Creates a node that has just started.
     pub fn new(number: usize, process: u64) -> Self {
         Self {
             number,
@@ -213,23 +216,23 @@
         }
     }
 
-    /// Whether its copy of the store shows that it has entered itself.
+    /// Whether its copy of the store shows its own registration.
     pub fn is_listed_in_own_view(&self) -> bool {
         self.view.nodes.contains(&node_name(self.number))
     }
 
-    /// It has watched the instances since `started`.
+    /// Makes the node one that has watched the instances since `started`.
     pub fn has_watched_since(&mut self, announced: &[Announced], started: Instant) {
         let catalog = catalog(0, announced, None);
         self.known_instances.apply_catalog(&catalog, started);
     }
 
-    /// Whether it does anything now.
+    /// Whether the node makes progress now.
     pub fn is_running(&self) -> bool {
         self.alive && !self.frozen
     }
 
-    /// Takes in what the store says now.
+    /// Applies a newer state of the store.
     pub fn apply_view(
         &mut self,
         mut view: CoordinationView,
@@ -262,12 +265,12 @@
         self.view = view;
     }
 
-    /// The replacement of the group that it has heard of.
+    /// The intent of the active replacement that the node has learned of.
     pub fn intent(&self) -> Option<Intent> {
         active_intents(&self.replacements.intents()).remove(&group_name())
     }
 
-    /// Gives its evidence up while it has heard of a replacement.
+    /// Revokes the evidence while the node knows of an active replacement.
     fn follow_replacements(&mut self) {
         match self.intent() {
             Some(intent) => self.evidence.revoke(intent.id),
@@ -275,13 +278,13 @@
         }
     }
 
-    /// A holder says that a replacement is under way.
+    /// Handles a coordinator's notification of an active replacement.
     pub fn on_replacement_notified(&mut self, intent: Intent, age: Duration, now: Instant) {
         self.replacements.on_notification(&group_name(), intent, age, now);
         self.follow_replacements();
     }
 
-    /// A holder says that a replacement is over.
+    /// Handles a coordinator's notification of a finished replacement.
     pub fn on_replacement_finished(&mut self, id: ReplacementId, successor: Option<&Successor>) {
         self.replacements.on_finished(&group_name(), id);
         if let Some(term) = successor.and_then(|successor| successor.term) {
@@ -290,15 +293,15 @@
         self.follow_replacements();
     }
 
-    /// Forgets replacements whose holders are gone.
+    /// Forgets replacements that have expired because their coordinators are gone.
     pub fn expire_replacements(&mut self, now: Instant) {
         if self.replacements.expire(now) {
             self.follow_replacements();
         }
     }
 
-    /// What the store has lost of replacements, as far as this node remembers: who was promoted last, and whether a
-    /// replacement that it shows is over.
+    /// The records of replacements that the store has lost and this node remembers: the instance
+    /// promoted last, and whether a replacement that the store shows has finished.
     pub fn missing_from_store(&self) -> (Option<Successor>, bool) {
         let known = merge_keys(&self.keys, &self.remembered_keys);
         let successor = last_promoted_in(&known)
@@ -308,7 +311,7 @@
         (successor, is_over)
     }
 
-    /// The instance that it takes for the primary.
+    /// The instance that is the primary in this node's view.
     pub fn leader(&self) -> Option<usize> {
         let group = self.catalog.groups.get(&group_name())?;
         let intent = self.intent();
@@ -316,14 +319,14 @@
         Some(instance_number(&leader.name))
     }
 
-    /// Whether new work for the primary waits, because it is being replaced.
+    /// Whether new requests to the primary wait because it is being replaced.
     pub fn delays_primary_requests(&self) -> bool {
         let old_primary = self.intent().map(|intent| intent.former.as_ref().map(instance_number));
         old_primary.is_some_and(|old_primary| old_primary == self.leader())
     }
 
-    /// Whether nothing may be written at the instance that it takes for the primary: a newer one is known, or may
-    /// have been promoted, and which term that one leads is not known.
+    /// Whether the leader must not receive writes: a newer term is known, or the leader's term is
+    /// unknown and another instance was promoted last.
     pub fn is_outdated(&self, leader: usize) -> bool {
         let term = self.terms.get(&leader).copied();
         let group = self.catalog.groups.get(&group_name());
@@ -331,14 +334,14 @@
         self.evidence.is_outdated(term) || (term.is_none() && !is_newest)
     }
 
-    /// Whether a read that arrived at `arrived` may run at the primary.
+    /// Whether the evidence allows a read that arrived at `arrived` to run at the primary.
     pub fn may_read(&self, leader: usize, arrived: Instant, lifetime: Duration) -> bool {
         let term = self.terms.get(&leader);
         let until = term.and_then(|term| self.evidence.covers_until(*term, REPLICATION, lifetime));
         until.is_some_and(|until| arrived <= until)
     }
 
-    /// The same if the store said that nobody replaces the primary.
+    /// The same, assuming that a replacement check finds no replacement.
     pub fn may_read_once_checked(
         &self,
         leader: usize,
@@ -366,7 +369,7 @@
         }
     }
 
-    /// Judges the primary; true if what the node suspects has changed.
+    /// Updates the suspicion of the primary and returns whether the node's votes have changed.
     pub fn suspect(&mut self, now: Instant) -> bool {
         self.failure_detector.tick(now);
         let mut votes = NodeVotes::new();
@@ -381,7 +384,8 @@
         changed
     }
 
-    /// What is to be done about the group.
+    /// What the group needs: a replacement of its primary, or the continuation of an earlier
+    /// attempt.
     pub fn need(&mut self, live: &[NodeName], now: Instant) -> Option<Need> {
         match std::mem::take(&mut self.catalog_is_new) {
             true => {
@@ -402,12 +406,13 @@
         self.needs_evaluator.evaluate(&input).remove(&group_name())
     }
 
-    /// An attempt was called off.
+    /// Handles the cancellation of this node's attempt.
     pub fn on_attempt_cancelled(&mut self, now: Instant) {
         self.needs_evaluator.on_cancelled(&group_name(), now);
     }
 
-    /// Whether it is this node's turn to act on a need.
+    /// Whether this node should request the coordinator lease because of a need. Nodes with higher
+    /// numbers wait longer, so that one of them usually gets the lease without contention.
     pub fn should_acquire_lease(&mut self, need: Option<&Need>, now: u64, at: Instant) -> bool {
         let knows_restarts = self.known_instances.knows_restarts(&group_name(), at);
         if !knows_restarts || !need.is_some_and(Need::needs_coordinator) {
@@ -453,11 +458,11 @@
     IndexedCatalog::new(catalog)
 }
 
-/// Time for which the first nodes have run before the simulation begins: they know which instances have
-/// started again. Those that are killed begin anew.
+/// Time for which the first nodes have been running when the simulation begins, so that they know
+/// which instances have restarted. Nodes that are killed and restarted do not know.
 const UPTIME_AT_START: Duration = Duration::from_secs(20);
 
-/// A time of the simulation; its nodes started at `base`.
+/// Converts a virtual time to an `Instant`; the first nodes started at `base`.
 pub fn instant(base: Instant, milliseconds: u64) -> Instant {
     base + UPTIME_AT_START + Duration::from_millis(milliseconds)
 }
--- a/crates/core/tests/replacement/old_primaries.rs
+++ b/crates/core/tests/replacement/old_primaries.rs
@@ -1,4 +1,5 @@
-//! A node that knows of a newer term tells whoever still leads a lower one to step down.
+//! Demotion of old primaries: a node that knows of a newer term demotes each instance that still
+//! leads a lower one.
 
 use kestrellock_core::promotion::Command;
 use kestrellock_core::routing::Role;
@@ -8,13 +9,13 @@
 use crate::plan::PlantedFault;
 use crate::world::World;
 
-/// Time between two orders to the old primaries of a group.
+/// Interval between two demotions of the old primaries of a group.
 const DEMOTE_INTERVAL_MS: u64 = 100;
 
 impl World {
-    /// Tells old primaries to step down; asks first whose term is not known.
+    /// Demotes old primaries. If the term of a primary is not known, its status is queried first.
     pub fn demote_old_primaries(&mut self, node: usize) {
-        // Otherwise the old primary rarely goes on for long enough to show what the look is for.
+        // Otherwise the old primary is demoted too early to show the effect of the missing check.
         if self.planted_fault == PlantedFault::NoReplacementCheck {
             return;
         }
--- a/crates/core/tests/replacement/plan.rs
+++ b/crates/core/tests/replacement/plan.rs
@@ -1,42 +1,45 @@
-//! Which faults a seed may draw, and which fault of our own is planted.
+//! The faults that a seed may draw, and the faults that tests plant in the simulated nodes.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// Kinds of faults that are drawn.
+/// Selects the kinds of faults that a seed may draw.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// The primary crashes, goes dark, leaves, or is cut from its replicas or from nodes.
+    /// The primary may crash, become unreachable, leave, or be cut from its replicas or from nodes.
     pub primaries: bool,
-    /// A node is out of reach of the store while a primary that works is replaced: it goes on there.
+    /// A node cannot reach the store while a working primary is replaced, and keeps using that
+    /// primary.
     pub isolates_node: bool,
-    /// The most that happens in one run.
+    /// Maximum number of faults of the general kinds in one run.
     pub max_faults: usize,
-    /// Whether a promotion releases replicas that have not heard of it, too, as it does on the
-    /// platform; otherwise they stay stopped until they hear of the successor.
+    /// Whether a promotion also releases replicas that do not follow the successor yet, as it does
+    /// on the platform; otherwise they stay stopped until they follow it.
     pub releases_all: bool,
-    /// Whether open connections go silent besides, while new ones work.
+    /// Whether open connections also go silent while new ones work.
     pub silent_connections: bool,
-    /// Whether an instance besides starts again under its name with nothing: one of them, once in a run,
-    /// since what only two held is lost when both start so.
+    /// Whether an instance also restarts under its name without its data. This happens to one
+    /// instance, once in a run, since a commit that two instances hold is lost if both lose their
+    /// data.
     pub loses_data: bool,
-    /// Whether nodes have to enter themselves, and another one comes.
+    /// Whether nodes have to register, and another node joins.
     pub nodes_join: bool,
-    /// Whether all nodes start with the run, and all of them start again once.
+    /// Whether all nodes start at the beginning of the run, and all of them restart once.
     pub full_restart: bool,
-    /// Whether the store comes back from an older copy, once or twice.
+    /// Whether the store is restored from an older copy, once or twice.
     pub store_restores: bool,
-    /// Whether an instance that has lost its log may run again sooner than a promotion takes.
+    /// Whether an instance that has lost its log may restart in less time than a promotion takes.
     pub quick_restarts: bool,
-    /// Whether nodes hear what holders tell them; otherwise all of that is lost on its way.
+    /// Whether the coordinator's notifications reach the other nodes; otherwise all of them are
+    /// lost.
     pub coordinator_notifies: bool,
-    /// Whether a replica is replaced as planned, while a node may go on at the primary that does not reach the
-    /// store.
+    /// Whether a replica leaves as planned, while a node that cannot reach the store may keep using
+    /// the primary.
     pub replicas_leave: bool,
 }
 
 impl Faults {
-    /// Every kind.
+    /// The general kinds of faults, at most four in a run.
     pub fn all() -> Self {
         Self {
             primaries: true,
@@ -54,7 +57,8 @@
         }
     }
 
-    /// Every kind, and more at once, so that planted faults meet what shows them.
+    /// The general kinds and an isolated node, at most nine in a run, so that planted faults meet
+    /// the conditions that show them.
     pub fn dense() -> Self {
         Self {
             primaries: true,
@@ -72,54 +76,54 @@
         }
     }
 
-    /// The same where promotions release all replicas.
+    /// Lets promotions release all replicas.
     pub fn with_releases(self) -> Self {
         Self { releases_all: true, ..self }
     }
 
-    /// The same with connections that go silent.
+    /// Adds connections that go silent.
     pub fn with_silent_connections(self) -> Self {
         Self { silent_connections: true, ..self }
     }
 
-    /// The same with an instance that starts again with nothing.
+    /// Adds an instance that restarts without its data.
     pub fn with_data_loss(self) -> Self {
         Self { loses_data: true, ..self }
     }
 
-    /// The same with nodes that have to enter themselves in the store, and one that comes.
+    /// Adds registration of nodes in the store, and a node that joins.
     pub fn with_joining_nodes(self) -> Self {
         Self { nodes_join: true, ..self }
     }
 
-    /// The same with nodes that have just started, and all start again once.
+    /// Starts all nodes with the run, and adds a restart of all of them.
     pub fn with_full_restart(self) -> Self {
         Self { full_restart: true, ..self }
     }
 
-    /// The same with a store that comes back from an older copy.
+    /// Adds restores of the store from an older copy.
     pub fn with_store_restores(self) -> Self {
         Self { store_restores: true, ..self }
     }
 
-    /// The same with an instance that has lost its log and runs again within moments.
+    /// Adds an instance that restarts without its data after a short downtime.
     pub fn with_quick_data_loss(self) -> Self {
         Self { loses_data: true, quick_restarts: true, ..self }
     }
 
-    /// The same where nodes hear what holders tell them.
+    /// Delivers the coordinator's notifications.
     pub fn with_coordinator_notifications(self) -> Self {
         Self { coordinator_notifies: true, ..self }
     }
 
-    /// The same with a replica that is replaced as planned.
+    /// Adds a replica that leaves as planned.
     pub fn with_leaving_replicas(self) -> Self {
         Self { replicas_leave: true, ..self }
     }
 
-    /// Trouble of single nodes, of one replica and of the store only. If all replicas receive
-    /// nothing no commit is answered, just as if the primary were cut off: that calls for a
-    /// replacement.
+    /// Faults of single nodes, of one replica and of the store only. Faults of all replicas are
+    /// left out: if none of them receives, no commit is answered, which is the same as an isolated
+    /// primary and requires a replacement.
     pub fn without_primaries() -> Self {
         Self {
             primaries: false,
@@ -138,102 +142,107 @@
     }
 }
 
-/// A fault of our own, so that the checker shows that it sees it.
+/// A fault planted in the simulated nodes, instances or coordinator, to show that the checker
+/// detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// None.
+    /// No planted fault.
     None,
     /// Reads go to the primary without evidence.
     ReadsWithoutEvidence,
-    /// Nobody waits for evidence to lapse.
+    /// The coordinator does not wait for evidence to expire.
     NoEvidenceWait,
-    /// The replica that is furthest behind is promoted.
+    /// The replica that lags most is promoted.
     LaggingReplicaPromoted,
-    /// Replicas say that they are stopped, and are not.
+    /// Replicas report that they are stopped, but still receive.
     StopIgnored,
-    /// Every holder has the same fence.
+    /// Every coordinator has the same fencing token.
     FenceReused,
-    /// Nobody releases replicas, and promotions do not either.
+    /// Replicas stay stopped: neither a release command, nor following the successor, nor a
+    /// promotion releases them.
     ReplicasNeverReleased,
-    /// A write without an answer is called not run.
+    /// A write without an answer is reported as not run.
     InDoubtReportedNotRun,
-    /// Nodes take the store's word for given that nobody replaces the primary, and tell no old primary to
-    /// step down.
+    /// Nodes assume without a replacement check that the primary is not being replaced, and demote
+    /// no old primary.
     NoReplacementCheck,
-    /// Whatever a primary answers counts as evidence that it leads.
+    /// Any answer of a primary counts as evidence that it leads, also one to a read.
     ReadAnswersAsEvidence,
-    /// What is remembered of an instance outlasts its process.
+    /// An instance announces the same incarnation after each restart.
     RestartsHidden,
-    /// A node relies on its evidence before it is listed as after.
+    /// A node relies on its evidence for the full lifetime before it is listed.
     UnlistedEvidenceNotShortened,
-    /// Starts of instances are believed as soon as the store has come back from a copy.
+    /// Incarnations from the store are trusted immediately after a store restore.
     StaleIncarnationsTrusted,
-    /// Fences are bare revisions, which are given out again.
+    /// Fencing tokens are bare revisions, which repeat after a store restore.
     RevisionAsFence,
-    /// Whoever replaces a primary does not read the list of nodes anew.
+    /// The coordinator does not read the list of nodes again when its intent is recorded.
     NodeListFromCopy,
-    /// What an old primary answers to commits counts at any time.
+    /// Commit answers of an old primary count at any time.
     LateCommitsAccepted,
-    /// A node that nobody tells of replacements passes on what a primary answers to commits.
+    /// A node that coordinators do not notify acknowledges commits without confirmation by
+    /// replicas.
     NoConfirmation,
 }
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// An instance dies; it comes back with its log.
+    /// An instance crashes and restarts with its log.
     Crash(usize),
-    /// An instance dies; it comes back under its name with nothing.
+    /// An instance crashes and restarts under its name without its data.
     CrashWithDataLoss(usize),
-    /// An instance can be reached by nobody, and goes on.
+    /// An instance keeps running, but cannot be reached.
     Unreachable(usize),
-    /// The primary says that it leaves.
+    /// The primary announces that it leaves.
     Leave,
-    /// A replica says that it leaves. Its successor, at its address and with its log, does not know that it was
-    /// stopped.
+    /// A replica announces that it leaves. The process that takes over its address and its log does
+    /// not know that the replica was stopped.
     LeaveReplica(usize),
-    /// An instance receives nothing.
+    /// An instance receives no replication.
     ReplicationStalled(usize),
-    /// The primary is cut from its replicas.
+    /// The first primary is cut from its replicas.
     CutReplication,
-    /// A node cannot reach an instance.
+    /// A node (first field) cannot reach an instance (second field).
     CutLink(usize, usize),
-    /// A node does not run.
+    /// A node's process is suspended.
     Freeze(usize),
-    /// A node dies; it comes back with nothing.
+    /// A node crashes and restarts without its state.
     KillNode(usize),
-    /// A node starts that was not there before.
+    /// A new node starts.
     Join(usize),
     /// A node cannot reach the store.
     CutStore(usize),
     /// The store does not answer.
     StoreDown,
-    /// The store does not answer, and then comes back as it was so many milliseconds before that began.
+    /// The store does not answer, and is then restored to its state this many milliseconds before
+    /// the fault began.
     StoreRestore(u64),
-    /// Answers of the store are lost, and some changes done late.
+    /// Some answers of the store are lost, and some changes are applied late.
     StoreLosesAnswers,
-    /// Some open connections carry nothing until they are noticed and replaced: of what is said
-    /// meanwhile some never arrives, while later messages do.
+    /// Some open connections carry nothing until they are detected as dead and replaced: some
+    /// messages are lost, while later ones arrive.
     SilentConnections,
-    /// The watch of a node is silent: it hears of no change, and its calls of the store work.
+    /// A node's watch of the store is silent: the node receives no changes, but its calls to the
+    /// store work.
     SilentWatch(usize),
 }
 
-/// A fault with its time.
+/// A fault and its period.
 #[derive(Clone, Copy, Debug)]
 pub struct Planned {
     /// When it begins, in milliseconds.
     pub at: u64,
     /// When it ends.
     pub until: u64,
-    /// What it is.
+    /// The kind of fault.
     pub kind: FaultKind,
 }
 
-/// Faults end before this time, so that what follows shows whether everything recovers.
+/// Faults end before this time, so that the rest of the run shows whether everything recovers.
 pub const QUIET_FROM_MS: u64 = 5_000;
 
-/// Time for which an instance is away that starts again quickly, in milliseconds.
+/// Downtime of an instance that restarts quickly, in milliseconds.
 const QUICK_RESTART_MS: std::ops::Range<u64> = 10..600;
 
 /// Draws the faults of a seed.
@@ -273,8 +282,8 @@
     plan
 }
 
-/// A replica leaves, and ends at about the time at which a primary is replaced that only a node out of reach of the
-/// store still reaches.
+/// A replica leaves. Its process ends at about the time when the primary is replaced, and only a
+/// node that cannot reach the store still reaches that primary.
 fn draw_leaving_replica(instances: usize, nodes: usize, rng: &mut StdRng) -> Vec<Planned> {
     let end = rng.random_range(1_800..4_000);
     let replica = rng.random_range(1..instances);
@@ -289,7 +298,7 @@
     plan
 }
 
-/// The store comes back as it was up to two seconds before, once or twice.
+/// The store is restored to its state of up to two seconds before, once or twice.
 fn draw_store_restores(rng: &mut StdRng) -> Vec<Planned> {
     let mut from = 400;
     let mut plan = Vec::new();
@@ -303,7 +312,8 @@
     plan
 }
 
-/// Connections are noticed as dead within some 400 ms, a watch when its call should have ended.
+/// Silent connections are detected within about 400 ms, a silent watch only when its call should
+/// have ended.
 fn draw_silent_connections(nodes: usize, rng: &mut StdRng) -> Vec<Planned> {
     let mut plan = Vec::new();
     for _ in 0..rng.random_range(1..=3) {
@@ -323,8 +333,8 @@
     Planned { at, until, kind: FaultKind::CrashWithDataLoss(rng.random_range(0..instances)) }
 }
 
-/// A node joins, and loses the store at about the moment when it would be listed. Half of the time the others
-/// lose the primary then, and replace it, while the one that has come goes on there.
+/// A node joins and loses the store at about the time when it would be listed. In half of the plans
+/// the other nodes also lose the primary and replace it, while the new node keeps using it.
 fn draw_join(node: usize, rng: &mut StdRng) -> Vec<Planned> {
     let at = rng.random_range(300..2_500);
     let join = Planned { at, until: at + 1, kind: FaultKind::Join(node) };
@@ -339,7 +349,7 @@
     plan
 }
 
-/// All nodes die at once, and start within a fraction of a second of each other.
+/// All nodes crash at once and restart within a fraction of a second of each other.
 fn draw_full_restart(nodes: usize, rng: &mut StdRng) -> Vec<Planned> {
     let at = rng.random_range(300..2_500);
     let downtime = rng.random_range(50..600);
--- a/crates/core/tests/replacement/refills.rs
+++ b/crates/core/tests/replacement/refills.rs
@@ -1,14 +1,15 @@
-//! A node asks instances that have started again, and their primary, how much they have received.
+//! Status queries to restarted instances and their primary, which show whether the restarted
+//! instances have received the log again.
 
 use crate::messages::Work;
 use crate::node::{group_name, instance_number};
 use crate::world::World;
 
-/// Time between two questions.
+/// Interval between two status queries.
 const QUERY_INTERVAL_MS: u64 = 600;
 
 impl World {
-    /// Asks them, if there are any.
+    /// Queries the status of restarted instances and their primary, if there are any.
     pub fn query_refills(&mut self, node: usize) {
         let own = &self.nodes[node];
         if self.now < own.refills_queried_at + QUERY_INTERVAL_MS {
--- a/crates/core/tests/replacement/returns.rs
+++ b/crates/core/tests/replacement/returns.rs
@@ -1,4 +1,5 @@
-//! A store that comes back from an older copy: keys of each era, and what nodes remember of those that it lost.
+//! Restoring the store from an older copy: the keys of each store era, and how nodes complete them
+//! with what they remember of keys that the store has lost.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +10,27 @@
 use crate::store::Contents;
 use crate::world::World;
 
-/// Longest time after the return until an instance has written its entry again.
+/// Longest time after a store restore until an instance has written its entry again.
 pub const MAX_REANNOUNCE_DELAY_MS: u64 = 1_500;
 
-/// What stands under the keys of one era.
+/// Values of the keys of one era.
 #[derive(Clone, Debug, Default)]
 pub struct EraKeys {
-    /// Who acts, by node and fence, and until when.
+    /// The coordinator lease: node, fencing token and expiry.
     pub lease: Option<(usize, u64, u64)>,
-    /// Replacements, with the revision at which each was written; none: it is over, and so are those of earlier
-    /// eras.
+    /// Intents, with the revision at which each was written; `None` means that this replacement and
+    /// those of earlier eras have finished.
     pub intents: BTreeMap<GroupName, (u64, Option<Intent>)>,
-    /// What nodes suspect.
+    /// Votes of the nodes.
     pub votes: BTreeMap<usize, NodeVotes>,
-    /// The instance promoted last, and the revision at which it was written.
+    /// The instance promoted last, with the revision at which it was written.
     pub last_promoted: Option<(u64, Successor)>,
 }
 
 /// The keys of all eras.
 pub type Keys = BTreeMap<StoreEra, EraKeys>;
 
-/// Replacements that are under way, or were left unfinished in an earlier era.
+/// Intents of replacements that are active, or were left unfinished in an earlier era.
 pub fn unfinished_intents(keys: &Keys) -> BTreeMap<GroupName, Intent> {
     let mut latest: BTreeMap<GroupName, Option<Intent>> = BTreeMap::new();
     for era_keys in keys.values() {
@@ -45,7 +46,8 @@
     latest.map(|(_, successor)| successor.clone())
 }
 
-/// What `remembered` has beyond what the store has: keys that it lost, and later states of some that it has.
+/// Merges the store's keys with those that a node remembers: keys that the store has lost, and
+/// later values of keys that it still has.
 pub fn merge_keys(keys: &Keys, remembered: &Keys) -> Keys {
     let mut merged = keys.clone();
     for (era, era_keys) in remembered {
@@ -65,30 +67,30 @@
     merged
 }
 
-/// Copies of the store that are put back later, by when that ends.
+/// Copies of the store that are restored later, by the time of the restore.
 #[derive(Clone, Debug, Default)]
 pub struct StoreCopies {
     by_restore_time: BTreeMap<u64, Contents>,
 }
 
 impl StoreCopies {
-    /// A copy that is put back at `until`.
+    /// Adds a copy to be restored at `until`.
     pub fn add(&mut self, until: u64, copy: Contents) {
         self.by_restore_time.insert(until, copy);
     }
 
-    /// The copy to put back now.
+    /// Removes and returns the copy to be restored now.
     pub fn take(&mut self, now: u64) -> Option<Contents> {
         self.by_restore_time.remove(&now)
     }
 }
 
 impl World {
-    /// The store comes back from a copy: instances write their entries again one after the other.
+    /// Restores the store from a copy. Each instance writes its entry again after a random delay.
     pub fn restore_store(&mut self, copy: Contents) {
         self.store.restore_copy(copy);
         let era = self.store.era;
-        self.trace.record(self.now, || format!("the store is back from a copy, era {era}"));
+        self.trace.record(self.now, || format!("the store is restored from a copy, era {era}"));
         for index in 0..self.instances.len() {
             self.announce_later(index);
         }
--- a/crates/core/tests/replacement/serving.rs
+++ b/crates/core/tests/replacement/serving.rs
@@ -1,4 +1,4 @@
-//! What instances make of requests.
+//! How instances serve requests.
 
 use kestrellock_core::position::Term;
 use kestrellock_core::promotion::Command;
@@ -10,7 +10,7 @@
 use crate::world::World;
 
 impl World {
-    /// A request reaches an instance, unless it is cut off.
+    /// Serves a request, unless the link between node and instance is cut.
     pub fn on_request(&mut self, exchange: Exchange) {
         let index = exchange.instance;
         if self.is_cut(exchange.node, index) {
--- a/crates/core/tests/replacement/store.rs
+++ b/crates/core/tests/replacement/store.rs
@@ -1,4 +1,5 @@
-//! The store: linearizable, with leases, and answers that may be lost or come late.
+//! The modelled store: linearizable, with leases. Calls to it and its answers may be lost or
+//! delayed.
 
 use std::collections::BTreeMap;
 
@@ -13,78 +14,78 @@
 use crate::node::{group_name, instance_name};
 use crate::returns::{EraKeys, Keys, last_promoted_in, unfinished_intents};
 
-/// Life of a hold.
+/// Duration of the coordinator lease.
 pub const LEASE_MS: u64 = 3_000;
 
-/// What an instance says of itself in the store.
+/// The entry that an instance writes about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announced {
-    /// Whether it says that it leads.
+    /// Whether it is primary.
     pub leads: bool,
-    /// Whether it says that it leaves.
+    /// Whether it is about to be shut down.
     pub leaving: bool,
-    /// Which start of its process it is.
+    /// Start time of its process, which identifies the process.
     pub incarnation: u64,
 }
 
-/// What the store holds.
+/// Contents of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Contents {
-    /// Grows with each change.
+    /// Increases with each change.
     pub revision: u64,
-    /// How often the store has come back from a copy.
+    /// How often the store has been restored from a copy.
     pub era: StoreEra,
-    /// What nodes have written of replacements, by the era that they knew.
+    /// What nodes have written about replacements, by the era that they knew.
     pub keys: Keys,
-    /// What instances say.
+    /// Entries of the instances.
     pub announced: Vec<Announced>,
-    /// Nodes that have entered themselves.
+    /// Nodes that have registered.
     pub nodes: Vec<NodeName>,
 }
 
-/// A change under a condition.
+/// A request to the store; changes are conditional.
 #[derive(Clone, Debug)]
 pub enum Operation {
-    /// Takes the right to act.
+    /// Acquires the coordinator lease.
     AcquireLease,
-    /// Prolongs it.
+    /// Renews the coordinator lease.
     RenewLease,
-    /// Gives it up.
+    /// Releases the coordinator lease.
     ReleaseLease,
-    /// Replaces what the node suspects.
+    /// Replaces the node's votes.
     Vote(NodeVotes),
     /// Records an intent.
     RecordIntent(Intent),
     /// Records the successor.
     RecordSuccessor(InstanceName),
-    /// Takes the intent of a replacement back.
+    /// Removes the intent of a finished or cancelled replacement.
     Finish(ReplacementId, Option<Successor>),
-    /// Records again what the store has lost of replacements: who was promoted last, and whether the replacement that
-    /// it shows is over.
+    /// Writes records back that the store has lost: the instance promoted last, and whether the
+    /// replacement that the store shows has finished.
     WriteBack(Option<Successor>, bool),
-    /// Changes nothing: tells how new the store is.
+    /// Reads the current position of the store.
     ReadRevision,
-    /// Enters the node.
+    /// Registers the node.
     Register,
-    /// Changes nothing: tells which starts of their processes the instances say.
+    /// Reads the incarnations of the instances from their entries.
     ReadIncarnations,
 }
 
-/// What an operation came to.
+/// Result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// It is done; the store's revision.
+    /// Applied; the position of the store, which for a new coordinator is its fencing token.
     Done(u64),
-    /// An intent is recorded; the nodes that have entered themselves by then.
+    /// The intent is recorded; the nodes that have registered by then.
     Recorded(Vec<NodeName>),
-    /// A condition did not hold.
+    /// A condition was not met.
     Conflict,
-    /// The starts that instances tell.
+    /// The incarnations from the entries of the instances.
     Incarnations(BTreeMap<InstanceName, InstanceIncarnation>),
 }
 
-/// Whether this replacement, or an earlier one that it goes on with, is recorded; what it goes on with may be of an
-/// earlier era.
+/// Whether this replacement, or the earlier one that it continues, is recorded. The earlier one may
+/// have been recorded in an earlier era.
 fn is_recorded(era: StoreEra, keys: &EraKeys, group: &GroupName, intent: &Intent) -> bool {
     match keys.intents.get(group) {
         Some((_, known)) => known.as_ref().is_some_and(|known| known.id <= intent.id),
@@ -98,8 +99,8 @@
 }
 
 impl Contents {
-    /// Carries an operation of `node` out, which knew `era`; `fence` is that of its hold. A lease counts from the
-    /// arrival of the call.
+    /// Applies an operation of `node`, which knew `era` and whose lease has the fencing token
+    /// `fence`. A lease starts when the call arrives.
     pub fn apply(
         &mut self,
         node: usize,
@@ -143,7 +144,7 @@
                 return CallResult::Done(self.position());
             }
             Operation::ReleaseLease => keys.lease = None,
-            // Done late, it must not bring back what has been finished.
+            // A delayed record must not restore the intent of a finished replacement.
             Operation::RecordIntent(intent)
                 if intent.promoting && !is_recorded(era, keys, group, intent) =>
             {
@@ -157,7 +158,7 @@
                 keys.last_promoted = Some((new_revision, successor));
             }
             Operation::Finish(id, successor) => {
-                // Done late, it must not take back the intent of the next replacement.
+                // A delayed finish must not remove the intent of the next replacement.
                 let recorded = keys.intents.get(group).and_then(|(_, intent)| intent.as_ref());
                 if recorded.is_none_or(|intent| intent.id == *id) {
                     keys.intents.insert(group.clone(), (new_revision, None));
@@ -178,12 +179,12 @@
         CallResult::Done(self.position())
     }
 
-    /// Position of the last change in the history of the store.
+    /// Position of the last change in the store's history across eras.
     pub fn position(&self) -> u64 {
-        self.era.position(self.revision).expect("revisions of a run are few")
+        self.era.position(self.revision).expect("a run has few revisions")
     }
 
-    /// Goes back to a copy: revisions are given out again.
+    /// Restores a copy and increases the era; revisions are assigned again.
     pub fn restore_copy(&mut self, copy: Contents) {
         let era = StoreEra(self.era.0 + 1);
         *self = Self { era, ..copy };
@@ -198,7 +199,7 @@
             .collect()
     }
 
-    /// Ends a hold that has run out.
+    /// Removes the coordinator lease if it has expired.
     pub fn expire(&mut self, now: u64) {
         let is_expired = |lease: (usize, u64, u64)| now >= lease.2;
         for keys in self.keys.values_mut() {
@@ -208,7 +209,7 @@
         }
     }
 
-    /// What nodes see of it.
+    /// The part of the contents that nodes watch.
     pub fn view(&self) -> CoordinationView {
         let empty = EraKeys::default();
         let keys = self.keys.get(&self.era).unwrap_or(&empty);
--- a/crates/core/tests/replacement/trace.rs
+++ b/crates/core/tests/replacement/trace.rs
@@ -1,6 +1,6 @@
-//! The story of one seed: what happened to instances, nodes and attempts, line by line.
+//! The trace of one run: events of instances, nodes and attempts, one per line.
 
-/// Lines of a run, if it is traced.
+/// The recorded events of a run, if tracing is enabled.
 #[derive(Debug, Default)]
 pub struct Trace {
     is_enabled: bool,
@@ -8,19 +8,19 @@
 }
 
 impl Trace {
-    /// A trace that keeps what it is told.
+    /// Creates a trace that records events.
     pub fn enabled() -> Self {
         Self { is_enabled: true, lines: Vec::new() }
     }
 
-    /// Something happened at `now`, in milliseconds.
+    /// Records an event at `now`, in milliseconds.
     pub fn record(&mut self, now: u64, line: impl FnOnce() -> String) {
         if self.is_enabled {
             self.lines.push(format!("{now:>6} {}", line()));
         }
     }
 
-    /// What was noted.
+    /// The recorded lines.
     pub fn lines(&self) -> &[String] {
         &self.lines
     }
--- a/crates/core/tests/replacement/traffic.rs
+++ b/crates/core/tests/replacement/traffic.rs
@@ -1,4 +1,5 @@
-//! What callers do at nodes, and what nodes make of answers.
+//! Client traffic at nodes: random reads and writes, when a node may send them to the primary, and
+//! which answers it passes on to clients.
 
 use kestrellock_core::position::Term;
 use kestrellock_core::primary_evidence::ReplicaTerms;
@@ -12,21 +13,21 @@
 use crate::store::Operation;
 use crate::world::World;
 
-/// Time between two requests at a node, on average.
+/// Mean interval between two client requests at a node.
 const MEAN_REQUEST_INTERVAL_MS: f64 = 40.0;
-/// Time between two steps of a node.
+/// Interval between two steps of a node.
 const NODE_STEP_MS: f64 = 5.0;
-/// Time for which a read waits for evidence.
+/// Maximum time for which a read waits for evidence.
 const READ_TIMEOUT_MS: u64 = 400;
-/// Time for which a request waits for its instance.
+/// Timeout of a request to an instance.
 const REQUEST_TIMEOUT_MS: u64 = 700;
-/// Time between two questions for evidence.
+/// Interval between two status queries for evidence.
 const STATUS_QUERY_INTERVAL_MS: u64 = 20;
-/// Time between two looks at the store.
+/// Interval between two replacement checks.
 const CHECK_INTERVAL_MS: u64 = 40;
 
 impl World {
-    /// Requests of callers, and those that wait.
+    /// Creates new client requests and continues the waiting ones.
     pub fn serve_clients(&mut self, node: usize) {
         let now = self.at(self.now);
         self.nodes[node].expire_replacements(now);
@@ -43,8 +44,8 @@
         self.serve_reads(node);
     }
 
-    /// Requests that have waited too long, or for a primary that another one has replaced, are given
-    /// up: whether they ran is not known.
+    /// Abandons requests that have timed out, or whose primary is no longer the leader in this
+    /// node's view. Whether they ran is not known.
     fn drop_expired_requests(&mut self, node: usize) {
         let now = self.at(self.now);
         let leader = self.nodes[node].leader();
@@ -98,7 +99,8 @@
         self.check_for_replacement(node, leader);
     }
 
-    /// Where not all replicas answer, the store has to say that nobody replaces the primary.
+    /// If not all replicas answer, the evidence requires that the store confirms that the primary
+    /// is not being replaced.
     fn check_for_replacement(&mut self, node: usize, leader: usize) {
         let now = self.at(self.now);
         let lifetime = self.evidence_lifetime(node);
@@ -116,7 +118,8 @@
         }
     }
 
-    /// The store has said how new it is: if the node knows all of that, nobody replaces the primary.
+    /// Handles the store's position: if this node's copy is complete up to it and shows no
+    /// replacement, the primary is not being replaced.
     pub fn on_store_revision(&mut self, node: usize, revision: u64, sent: u64) {
         let (sent, now) = (self.at(sent), self.at(self.now));
         let own = &mut self.nodes[node];
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Sends something to an instance.
+    /// Sends a request to an instance.
     pub fn send_request(&mut self, node: usize, instance: usize, request: u64, work: Work) {
         let process = self.nodes[node].process;
         let sent = self.now;
@@ -151,7 +154,7 @@
         }));
     }
 
-    /// An instance has answered, or nothing runs there.
+    /// Handles the answer of an instance, or its refusal if no process runs there.
     pub fn on_answer(&mut self, exchange: Exchange, reply: Reply) {
         let now = self.at(self.now);
         let sent = self.at(exchange.sent);
@@ -219,8 +222,9 @@
         }
     }
 
-    /// A primary has answered a commit: the caller is told if that counts, and once replicas have confirmed it where a
-    /// replacement may be under way of which nobody tells this node.
+    /// Handles a primary's answer to a commit. If the answer counts, the commit is acknowledged to
+    /// the client: at once, or after confirmation by replicas if coordinators may not have notified
+    /// this node of an active replacement.
     fn on_committed(&mut self, exchange: &Exchange, term: Term, is_awaited: bool) {
         let (node, instance) = (exchange.node, exchange.instance);
         let (sent, answered) = (self.at(exchange.sent), self.at(self.now));
@@ -236,14 +240,14 @@
         }
     }
 
-    /// Whether a node passes on at once what an instance answers to a commit.
+    /// Whether a node acknowledges a commit as soon as the instance has answered it.
     pub fn acknowledges_at_once(&self, node: usize, instance: usize) -> bool {
         let is_notified =
             self.coordinator_waits_for(node) || self.planted_fault == PlantedFault::NoConfirmation;
         is_notified && self.answer_counts(node, instance)
     }
 
-    /// Whether what an instance answers to a commit counts by now.
+    /// Whether an instance's answer to a commit still counts at this time.
     fn answer_counts(&self, node: usize, instance: usize) -> bool {
         let (name, now) = (instance_name(instance), self.at(self.now));
         let replacements = &self.nodes[node].replacements;
@@ -251,7 +255,7 @@
         accepts || self.planted_fault == PlantedFault::LateCommitsAccepted
     }
 
-    /// Commits that wait for the word of replicas: the caller is told once they have said it.
+    /// Acknowledges the commits that replicas have confirmed.
     fn confirm_commits(&mut self, node: usize) {
         let now = self.at(self.now);
         let has_timed_out = |commit: &UnconfirmedCommit| {
@@ -260,7 +264,7 @@
         self.nodes[node].unconfirmed_commits.retain(|commit| !has_timed_out(commit));
         for commit in std::mem::take(&mut self.nodes[node].unconfirmed_commits) {
             if !self.answer_counts(node, commit.instance) {
-                // In doubt.
+                // The outcome is in doubt and the client gets no acknowledgement.
                 continue;
             }
             let own = &mut self.nodes[node];
--- a/crates/core/tests/replacement/variations.rs
+++ b/crates/core/tests/replacement/variations.rs
@@ -1,25 +1,28 @@
-//! Plays around a seed: its faults, each moved by a moment, with other draws for everything else.
+//! Variations of a seed: its faults, each shifted in time by a random amount, with other random
+//! draws for everything else.
 //!
-//! A seed that broke a promise once says little after a change of the product, which shifts every draw that
-//! follows. Its plan does: whatever made it break lies near it.
+//! A seed that once violated a guarantee proves little after a change of the code under test, since
+//! the change shifts every random draw that follows. Its fault plan remains useful: the conditions
+//! of the violation lie close to it.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 use crate::plan::{FaultKind, Planned};
 
-/// Longest time by which a fault is moved, either way.
+/// Maximum shift of a fault, earlier or later.
 const MAX_SHIFT_MS: i64 = 60;
-/// Between the seeds of two plays: those of one play do not meet those of the next seed's.
+/// Distance between the derived seeds of two neighbouring seeds, so that their variations do not
+/// overlap.
 const SEED_STRIDE: u64 = 1_000_003;
 
-/// The randomness of one play around a seed.
+/// The random number generator of one variation of a seed.
 pub fn rng(seed: u64, variation: u64) -> StdRng {
     StdRng::seed_from_u64(seed.wrapping_mul(SEED_STRIDE).wrapping_add(variation + 1))
 }
 
-/// Moves each fault; its length stays. Returns of the store follow each other at least as closely as they were
-/// drawn, so they are moved together.
+/// Shifts each fault and keeps its duration. All store restores are shifted by the same time, which
+/// keeps their distance as it was drawn.
 pub fn shift_faults(plan: &mut [Planned], rng: &mut StdRng) {
     let restore_shift = draw_shift(rng);
     for planned in plan {
--- a/crates/core/tests/replacement/world.rs
+++ b/crates/core/tests/replacement/world.rs
@@ -1,4 +1,5 @@
-//! Virtual time: steps of a millisecond, messages with latencies, and faults as planned.
+//! The simulated world: advances virtual time in steps of one millisecond, applies the planned
+//! faults, delivers messages with latencies, and models the platform that promotes instances.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -22,95 +23,95 @@
 use crate::trace::Trace;
 use crate::variations;
 
-/// Length of a run.
+/// Length of a run in virtual time.
 pub const RUN_LENGTH_MS: u64 = 14_000;
 const INSTANCES: usize = 3;
 const NODES: usize = 4;
-/// Time between two receptions of a replica.
+/// Interval at which replicas receive from their primary.
 const REPLICATION_INTERVAL_MS: u64 = 3;
-/// Time between two steps of a node.
+/// Interval between two steps of a node.
 const NODE_STEP_INTERVAL_MS: u64 = 5;
-/// Time after which a node takes a call of the store for lost.
+/// Timeout of a node's call to the store.
 const CALL_TIMEOUT_MS: u64 = 250;
-/// Least time for which an instance that has died is away.
+/// Minimum downtime of a crashed instance.
 const MIN_RESTART_MS: u64 = 600;
-/// Time that the platform takes to promote.
+/// Time that the platform needs for a promotion.
 const PROMOTION_MS: u64 = 300;
-/// Share of what is said on connections that have gone silent, some of which work.
+/// Share of messages that are lost while connections go silent; some connections keep working.
 const SILENT_MESSAGE_SHARE: f64 = 0.7;
-/// Something must have been acknowledged within this time before the end.
+/// The last commit must have been acknowledged within this time before the end of the run.
 const MAX_FINAL_PAUSE_MS: u64 = 1_000;
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
-    /// Commits acknowledged.
+    /// Number of acknowledged commits.
     pub acknowledged: u64,
-    /// Reads judged.
+    /// Number of checked reads.
     pub reads: u64,
-    /// Promotions carried out.
+    /// Number of finished promotions.
     pub promotions: u64,
-    /// The faults.
+    /// The planned faults.
     pub plan: Vec<Planned>,
 }
 
-/// A run.
+/// One simulation run.
 pub struct World {
-    /// Now, in milliseconds.
+    /// Current virtual time, in milliseconds.
     pub now: u64,
     base: Instant,
-    /// The seeded randomness.
+    /// Seeded random number generator.
     pub rng: StdRng,
-    /// The fault of our own.
+    /// Fault in the code under test that the checker must detect.
     pub planted_fault: PlantedFault,
-    /// The faults.
+    /// The planned faults.
     pub plan: Vec<Planned>,
     releases_all: bool,
-    /// Whether nodes hear what holders tell them.
+    /// Whether the coordinator's notifications reach the other nodes.
     pub coordinator_notifies: bool,
-    /// The instances.
+    /// Instances by index.
     pub instances: Vec<Instance>,
-    /// The nodes.
+    /// Nodes by number.
     pub nodes: Vec<Node>,
-    /// Reads that wait at each node, by arrival.
+    /// Arrival times of the reads that wait at each node.
     pub reads: Vec<Vec<u64>>,
-    /// When each node last wrote what it suspects.
+    /// When each node last wrote its votes to the store.
     pub votes_published_at: Vec<u64>,
-    /// Calls of the store that have not been answered.
+    /// Numbers of calls to the store that have not been answered.
     pub pending_calls: BTreeSet<u64>,
-    /// Changes that have to be given again, by node.
+    /// Store operations to retry, with the time of the retry, by node.
     pub retries: BTreeMap<usize, (u64, Operation)>,
     /// The store.
     pub store: Contents,
-    /// Copies of it that are put back later.
+    /// Copies of the store that are restored later.
     pub copies: StoreCopies,
-    /// Which nodes there are.
+    /// How nodes learn which nodes there are.
     pub listing: Listing,
-    /// Revision of the store that each node has been told last.
+    /// Position of the store that was last sent to each node.
     pub sent_positions: Vec<u64>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     messages: BTreeMap<u64, Message>,
-    /// Messages for nodes that do not run.
+    /// Messages for frozen nodes.
     pub deferred: Vec<(usize, Message)>,
     last_number: u64,
-    /// The judge.
+    /// Checks the guarantees.
     pub checker: Checker,
     promotions: Vec<(u64, u32)>,
-    /// What is told of the run.
+    /// Recorded events of the run.
     pub trace: Trace,
 }
 
 impl World {
-    /// A run of a seed.
+    /// Creates the run of a seed.
     pub fn new(seed: u64, faults: Faults, planted_fault: PlantedFault) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let plan = draw(faults, INSTANCES, NODES, &mut rng);
         Self::of_plan(plan, rng, faults, planted_fault)
     }
 
-    /// One of many plays around a seed.
+    /// Creates one of many variations of a seed.
     pub fn variation_of(seed: u64, variation: u64, faults: Faults) -> Self {
         let mut plan = draw(faults, INSTANCES, NODES, &mut StdRng::seed_from_u64(seed));
         let mut rng = variations::rng(seed, variation);
@@ -183,22 +184,22 @@
         }
     }
 
-    /// The same run with a fault of our own.
+    /// Adds a planted fault.
     pub fn with_planted_fault(self, planted_fault: PlantedFault) -> Self {
         Self { planted_fault, ..self }
     }
 
-    /// The same run, with its story kept.
+    /// Enables the trace.
     pub fn traced(self) -> Self {
         Self { trace: Trace::enabled(), ..self }
     }
 
-    /// Plays it.
+    /// Runs the simulation to its end.
     pub fn run(self) -> Outcome {
         self.run_with_trace().0
     }
 
-    /// Plays it, and tells its story.
+    /// Runs the simulation to its end and returns the trace lines as well.
     pub fn run_with_trace(mut self) -> (Outcome, Vec<String>) {
         while self.now < RUN_LENGTH_MS {
             self.step();
@@ -215,24 +216,24 @@
         (outcome, self.trace.lines().to_vec())
     }
 
-    /// A time as the decisions know it.
+    /// Converts a virtual time to the `Instant` that the code under test expects.
     pub fn at(&self, milliseconds: u64) -> Instant {
         instant(self.base, milliseconds)
     }
 
-    /// A number that nothing else has.
+    /// Returns a number that is unique within the run.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Sends a message with the latency of the network.
+    /// Sends a message with the random latency of the network.
     pub fn send(&mut self, message: Message) {
         let latency = self.rng.random_range(1..=5);
         self.send_after(latency, message);
     }
 
-    /// Sends a message that arrives after a time.
+    /// Sends a message that arrives after `delay` milliseconds.
     pub fn send_after(&mut self, delay: u64, message: Message) {
         let number = self.next_number();
         self.queue.push(Reverse((self.now + delay, number)));
@@ -253,7 +254,7 @@
                 break;
             }
             self.queue.pop();
-            let message = self.messages.remove(&number).expect("each is queued once");
+            let message = self.messages.remove(&number).expect("each message is queued once");
             self.deliver(message);
         }
         if self.now.is_multiple_of(REPLICATION_INTERVAL_MS) {
@@ -269,16 +270,16 @@
         }
     }
 
-    /// The instance that leads under the highest term.
+    /// The primary with the highest term.
     pub fn current_primary(&self) -> Option<usize> {
         let leads = |index: &usize| self.instances[*index].role == Role::Primary;
         (0..INSTANCES).filter(leads).max_by_key(|index| self.instances[*index].term)
     }
 
-    /// An instance writes what it is into the store, if it can.
+    /// An available instance writes its changed entry to the store.
     pub fn announce(&mut self, index: usize) {
         let instance = &self.instances[index];
-        // With the planted fault nobody hears of another start.
+        // The planted fault hides restarts.
         let incarnation = if self.planted_fault == PlantedFault::RestartsHidden {
             FIRST_INCARNATION
         } else {
@@ -296,7 +297,7 @@
         }
     }
 
-    /// An instance writes its entry again within a while.
+    /// An instance writes its entry again after a random delay.
     pub fn announce_later(&mut self, index: usize) {
         let delay = self.rng.random_range(10..MAX_REANNOUNCE_DELAY_MS);
         self.send_after(delay, Message::Announce { instance: index });
@@ -336,7 +337,8 @@
         if self.is_cut(pending.node, index) || !self.is_awaited(&pending) {
             return;
         }
-        // Judged as soon as the node would pass it on, though that takes a moment more.
+        // Counts as acknowledged as soon as the node would pass it on, although the answer still
+        // has to travel to the node.
         if self.acknowledges_at_once(pending.node, index) {
             self.checker.on_acknowledged(self.now, pending.entry.id, pending.entry.term);
         }
@@ -359,8 +361,9 @@
         self.send(Message::Answer(exchange, Reply::Committed(term, position)));
     }
 
-    /// Whether the node still waits for the answer to a commit. One that has given the request up has told
-    /// its caller that the outcome is in doubt, and has closed the connection: nobody hears the answer.
+    /// Whether the node still waits for the answer to a commit. A node that has abandoned the
+    /// request has told its client that the outcome is in doubt, and has closed the connection to
+    /// the instance: the answer is lost.
     fn is_awaited(&self, pending: &Pending) -> bool {
         let node = &self.nodes[pending.node];
         node.alive
@@ -368,12 +371,12 @@
             && node.pending_requests.contains_key(&pending.request)
     }
 
-    /// Whether a node and an instance do not reach each other.
+    /// Whether a node and an instance cannot reach each other.
     pub fn is_cut(&self, node: usize, instance: usize) -> bool {
         self.instances[instance].unreachable || self.is_active(FaultKind::CutLink(node, instance))
     }
 
-    /// Whether the store answers nobody.
+    /// Whether the store answers no requests.
     fn is_store_down(&self) -> bool {
         let stops_store = |fault: &Planned| {
             matches!(fault.kind, FaultKind::StoreDown | FaultKind::StoreRestore(_))
@@ -407,7 +410,8 @@
         }
     }
 
-    /// A message arrives; one for a node that stands still waits.
+    /// Delivers a message. Messages to dead processes are dropped, those to a frozen node wait
+    /// until it continues.
     pub fn deliver(&mut self, message: Message) {
         let addressee = match &message {
             Message::Answer(exchange, _) => Some((exchange.node, exchange.process)),
@@ -433,7 +437,7 @@
         self.dispatch(message);
     }
 
-    /// Whether a message rode on a connection that has gone silent.
+    /// Whether a message is lost on a connection that has gone silent.
     fn is_lost_silently(&mut self, message: &Message) -> bool {
         let uses_connection = matches!(
             message,
@@ -519,11 +523,11 @@
         }
     }
 
-    /// Sends a change to the store; one without an answer is taken for lost after a while.
+    /// Sends an operation to the store, with a timeout.
     pub fn call(&mut self, node: usize, fence: u64, operation: Operation) {
         let number = self.next_number();
         let process = self.nodes[node].process;
-        // What is done under a hold belongs to the era of that.
+        // An operation under a coordinator lease belongs to the era of the lease.
         let era = if fence == 0 { self.nodes[node].view.era } else { StoreEra::of(fence) };
         let call = Call { node, process, number, era, fence, operation, sent: self.now };
         self.pending_calls.insert(number);
@@ -541,7 +545,7 @@
             fence
         };
         self.checker.on_fence(node, fence);
-        self.trace.record(self.now, || format!("node {node} has i-{instance} promoted"));
+        self.trace.record(self.now, || format!("node {node} promotes i-{instance}"));
         let answer = if self.instances[instance].alive {
             let incarnation = self.instances[instance].incarnation;
             self.send_after(PROMOTION_MS, Message::PromotionDone { instance, incarnation });
@@ -552,7 +556,8 @@
         self.send(Message::PromotionAnswered { node, process, instance, answer });
     }
 
-    /// The newest term that has been led, also by a process that is gone: the platform knows.
+    /// The newest term that any process has led, including processes that have ended: the platform
+    /// knows that term.
     pub fn newest_term(&self) -> u32 {
         let led = self.promotions.iter().map(|(_, term)| *term);
         led.chain(self.instances.iter().map(|instance| instance.term)).max().unwrap_or(0)
@@ -584,7 +589,7 @@
         let acknowledges =
             self.checker.last_acknowledged().unwrap_or(0) + MAX_FINAL_PAUSE_MS >= RUN_LENGTH_MS;
         if !acknowledges {
-            self.checker.on_not_recovered("no write is acknowledged");
+            self.checker.on_not_recovered("writes are not acknowledged");
         }
         if self
             .instances
@@ -594,7 +599,7 @@
             self.checker.on_not_recovered("a replica stays stopped");
         }
         if !unfinished_intents(&self.store.keys).is_empty() {
-            self.checker.on_not_recovered("an intent stays");
+            self.checker.on_not_recovered("an intent stays in the store");
         }
         if let Some(index) = self.current_primary() {
             let commits = self.instances[index].commits();
