--- a/crates/core/tests/replacement/instances.rs
+++ b/crates/core/tests/replacement/instances.rs
@@ -121,7 +121,7 @@
     }
 
     /// Restarts under the same name without data. The first such restart gets a lower incarnation,
-    /// because the machine's clock was set back.
+    /// as on a machine whose clock was set back.
     pub fn restart_without_data(&mut self) {
         self.incarnation = if self.incarnation == FIRST_INCARNATION {
             FIRST_INCARNATION - 1
--- a/crates/core/tests/replacement/listing.rs
+++ b/crates/core/tests/replacement/listing.rs
@@ -1,6 +1,6 @@
 //! Registration of nodes in the store. A coordinator waits for the reports of the nodes that are
 //! listed when its intent is recorded. A node whose own copy of the store does not list it yet must
-//! not rely on a coordinator that waits for it.
+//! not assume that a coordinator waits for it, and relies on its evidence for a shorter time.
 
 use std::time::Duration;
 
--- a/crates/core/tests/replacement/main.rs
+++ b/crates/core/tests/replacement/main.rs
@@ -376,8 +376,8 @@
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations.first());
 }
 
-/// Seeds that violated a guarantee for longer than the others: an instance restarts without its
-/// data while its primary is replaced.
+/// An instance restarts without its data while the primary is replaced. No commit may be lost, and
+/// the old primary may not acknowledge more commits.
 #[test]
 fn seeds_with_empty_starts_that_still_break_a_promise_hold() {
     let few = Faults::all().with_data_loss();
@@ -451,8 +451,8 @@
     assert_no_violations(many.with_leaving_replicas().with_coordinator_notifications());
 }
 
-/// Planted fault: coordinators send no notifications, so a node that cannot reach the store does
-/// not learn of a replacement.
+/// Without notifications of the coordinator, a node that cannot reach the store does not learn of a
+/// replacement. The checker must detect the lost commits.
 #[test]
 fn detects_missing_replacement_notifications() {
     let faults = Faults::all().with_leaving_replicas();
@@ -490,7 +490,7 @@
     });
     let found = violations(&outcomes);
     let lost = |(_, found): &(u64, Violation)| matches!(found, Violation::LostCommit { .. });
-    assert!(found.iter().any(lost), "it is not detected");
+    assert!(found.iter().any(lost), "the planted fault is not detected");
 }
 
 /// A stopped replica leaves as planned while another one is being promoted. The instance that takes
@@ -555,7 +555,7 @@
             run_worlds(0..variations, |variation| World::variation_of(*seed, variation, faults));
         let found = violations(&outcomes);
         let violating: BTreeSet<u64> = found.iter().map(|(variation, _)| *variation).collect();
-        println!("seed {seed}: {} of {} variations violate", violating.len(), outcomes.len());
+        println!("seed {seed}: {} of {} variations fail", violating.len(), outcomes.len());
         broken.extend(found.into_iter().next().map(|found| (*seed, violating.len(), found)));
     }
     assert!(broken.is_empty(), "{broken:#?}");
@@ -609,7 +609,7 @@
         .collect();
     let found = violations(&outcomes);
     println!(
-        "{} seeds of {} ms each: {} replaced",
+        "{} seeds of {} ms each: {} with a replacement",
         outcomes.len(),
         world::RUN_LENGTH_MS,
         replaced.len()
