--- a/crates/core/tests/replacement/instances.rs
+++ b/crates/core/tests/replacement/instances.rs
@@ -1,4 +1,5 @@
-//! Instances: they replicate, are stopped, promoted and demoted, and never elect.
+//! The modelled instances: they replicate, are stopped, promoted and demoted, and never elect a
+//! primary themselves.
 
 use std::collections::BTreeSet;
 
@@ -7,96 +8,97 @@
 use kestrellock_core::routing::Role;
 
 use crate::checker::CommitId;
-use crate::plan::Plant;
+use crate::plan::PlantedFault;
 
-/// Time for which an old primary goes on that can reach a newer one.
-const STEP_DOWN_AFTER_MS: u64 = 1_000;
+/// Time after which an old primary that can reach a newer one steps down by itself.
+const STEP_DOWN_DELAY_MS: u64 = 1_000;
 
-/// Start of the first processes.
-pub const FIRST_START: u64 = 1_000;
+/// Incarnation of the first process of each instance.
+pub const FIRST_INCARNATION: u64 = 1_000;
 
 /// A commit in a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Term of the primary that made it.
     pub term: u32,
-    /// Names it.
+    /// Its ID.
     pub id: CommitId,
 }
 
-/// A commit that waits for replicas.
+/// A commit of a primary that no replica has received yet.
 #[derive(Clone, Copy, Debug)]
 pub struct Pending {
     /// The commit.
     pub entry: Entry,
-    /// Its place in the log.
+    /// Its index in the log.
     pub place: usize,
-    /// Node that waits.
+    /// Number of the node that waits for the answer.
     pub node: usize,
-    /// Its process.
+    /// Number of the node's process.
     pub process: u64,
-    /// Number of its request there.
+    /// Number of the request at the node.
     pub request: u64,
-    /// When that was sent.
+    /// When the request was sent.
     pub sent: u64,
-    /// When it was made.
+    /// When the commit was written to the log.
     pub made: u64,
 }
 
 /// One instance.
 #[derive(Clone, Debug)]
 pub struct Instance {
-    /// Whether it runs.
+    /// Whether its process is running.
     pub alive: bool,
-    /// Number of its process: connections to earlier ones are broken.
-    pub run: u32,
-    /// Start of its process, by the clock of its machine, which may be set back.
-    pub born: u64,
-    /// Whether it comes back with nothing.
-    pub loses_log: bool,
-    /// Whether nobody reaches it.
-    pub dark: bool,
-    /// Whether it receives nothing.
-    pub deaf: bool,
-    /// Whether it says that it leaves.
+    /// Number of its process; connections to earlier processes are broken.
+    pub process: u32,
+    /// Start time of its process by the clock of its machine, which may be set back.
+    pub incarnation: u64,
+    /// Whether it restarts without its data.
+    pub loses_data_on_restart: bool,
+    /// Whether no node or instance can reach it.
+    pub unreachable: bool,
+    /// Whether it receives no replication.
+    pub replication_stalled: bool,
+    /// Whether it announces that it leaves.
     pub leaving: bool,
     /// Its role.
     pub role: Role,
     /// Its term.
     pub term: u32,
-    /// Term below which it receives nothing; zero if it receives.
-    pub held: u32,
+    /// Lowest term from which it accepts replication while it is stopped; zero if it is not
+    /// stopped.
+    pub min_term: u32,
     /// Its log.
     pub log: Vec<Entry>,
-    /// Commits that wait.
+    /// Commits that wait for a replica.
     pub pending: Vec<Pending>,
-    /// Since when it could reach a newer primary.
-    pub outdated: Option<u64>,
+    /// Since when this old primary has been able to reach a newer one.
+    pub outdated_since: Option<u64>,
 }
 
 impl Instance {
-    /// A replica, or the first primary.
+    /// Creates a replica, or the first primary.
     pub fn new(leads: bool) -> Self {
         Self {
             alive: true,
-            run: 0,
-            born: FIRST_START,
-            loses_log: false,
-            dark: false,
-            deaf: false,
+            process: 0,
+            incarnation: FIRST_INCARNATION,
+            loses_data_on_restart: false,
+            unreachable: false,
+            replication_stalled: false,
             leaving: false,
             role: if leads { Role::Primary } else { Role::Replica },
             term: 1,
-            held: 0,
+            min_term: 0,
             log: Vec::new(),
             pending: Vec::new(),
-            outdated: None,
+            outdated_since: None,
         }
     }
 
-    /// Whether a message can be answered.
-    pub fn answers(&self) -> bool {
-        self.alive && !self.dark
+    /// Whether it is running and reachable.
+    pub fn is_available(&self) -> bool {
+        self.alive && !self.unreachable
     }
 
     /// The commits in its log.
@@ -104,8 +106,8 @@
         self.log.iter().map(|entry| entry.id).collect()
     }
 
-    /// How it stands.
-    pub fn standing(&self) -> ReplicationStatus {
+    /// Its replication status.
+    pub fn status(&self) -> ReplicationStatus {
         let received = Position {
             term: Term(self.log.last().map_or(1, |entry| entry.term)),
             offset: LogOffset(self.log.len() as u64),
@@ -114,55 +116,63 @@
             role: self.role,
             term: Term(self.term),
             received,
-            min_term: Term(self.held),
+            min_term: Term(self.min_term),
         }
     }
 
-    /// It starts again under its name, with nothing. A second start is earlier by its clock.
-    pub fn start_empty(&mut self) {
-        self.born = if self.born == FIRST_START { FIRST_START - 1 } else { self.born + 2 };
+    /// Restarts under the same name without data. The first such restart gets a lower incarnation,
+    /// as on a machine whose clock was set back.
+    pub fn restart_without_data(&mut self) {
+        self.incarnation = if self.incarnation == FIRST_INCARNATION {
+            FIRST_INCARNATION - 1
+        } else {
+            self.incarnation + 2
+        };
         self.alive = true;
         self.role = Role::Replica;
         self.term = 1;
         self.log.clear();
-        self.outdated = None;
+        self.outdated_since = None;
         self.leaving = false;
     }
 
-    /// It dies: what waits is never answered, and a restart forgets that it was stopped.
+    /// Crashes. Pending commits are never answered, and after a restart the instance does not know
+    /// that it was stopped.
     pub fn crash(&mut self) {
         self.alive = false;
-        self.run += 1;
+        self.process += 1;
         self.pending.clear();
-        self.held = 0;
+        self.min_term = 0;
     }
 }
 
-/// Lets replicas receive from the primary that they follow. Returns whether a role has changed.
+/// Lets replicas receive from the primary that they follow, and lets old primaries step down.
+/// Returns whether a role has changed.
 pub fn replicate(
     instances: &mut [Instance],
     now: u64,
     cut_from_replicas: bool,
-    plant: Plant,
+    planted_fault: PlantedFault,
     mut arrives: impl FnMut() -> bool,
 ) -> bool {
     let mut changed = false;
     let leading: Vec<(usize, u32)> = instances
         .iter()
         .enumerate()
-        .filter(|(_, one)| one.answers() && one.role == Role::Primary)
-        .map(|(index, one)| (index, one.term))
+        .filter(|(_, instance)| instance.is_available() && instance.role == Role::Primary)
+        .map(|(index, instance)| (index, instance.term))
         .collect();
     for index in 0..instances.len() {
-        if !instances[index].answers() {
+        if !instances[index].is_available() {
             continue;
         }
         if instances[index].role == Role::Primary {
-            let newer = leading.iter().any(|(_, term)| *term > instances[index].term);
-            let reached = newer && !cut_from_replicas;
-            let outdated = reached.then(|| instances[index].outdated.unwrap_or(now));
-            instances[index].outdated = outdated;
-            if outdated.is_some_and(|since| now >= since + STEP_DOWN_AFTER_MS) {
+            let has_newer = leading.iter().any(|(_, term)| *term > instances[index].term);
+            let reaches_newer = has_newer && !cut_from_replicas;
+            let outdated_since =
+                reaches_newer.then(|| instances[index].outdated_since.unwrap_or(now));
+            instances[index].outdated_since = outdated_since;
+            if outdated_since.is_some_and(|since| now >= since + STEP_DOWN_DELAY_MS) {
                 instances[index].role = Role::Replica;
                 instances[index].pending.clear();
                 changed = true;
@@ -170,23 +180,24 @@
             continue;
         }
         let own = &instances[index];
-        let receives = |term: u32| term >= own.held || plant == Plant::NotStopped;
+        let receives =
+            |term: u32| term >= own.min_term || planted_fault == PlantedFault::StopIgnored;
         let follows = |term: u32| term >= own.term && receives(term);
         let source =
             leading.iter().filter(|(_, term)| follows(*term)).max_by_key(|(_, term)| *term);
         let Some(&(source, term)) = source else { continue };
-        // The cut is of the first primary.
+        // Only the first primary is cut from its replicas.
         let is_cut = cut_from_replicas && term == 1;
-        if instances[index].deaf || is_cut || !arrives() {
+        if instances[index].replication_stalled || is_cut || !arrives() {
             continue;
         }
         let log = instances[source].log.clone();
         let own = &mut instances[index];
         own.term = term;
-        if term >= own.held && plant != Plant::StopForgotten {
-            own.held = 0;
+        if term >= own.min_term && planted_fault != PlantedFault::ReplicasNeverReleased {
+            own.min_term = 0;
         }
-        let common = own.log.iter().zip(&log).take_while(|(one, other)| one == other).count();
+        let common = own.log.iter().zip(&log).take_while(|(own, other)| own == other).count();
         own.log.truncate(common);
         own.log.extend_from_slice(&log[common..]);
     }
--- a/crates/core/tests/replacement/store.rs
+++ b/crates/core/tests/replacement/store.rs
@@ -1,4 +1,5 @@
-//! The store: linearizable, with leases, and answers that may be lost or come late.
+//! The modelled store: linearizable, with leases. Calls to it and its answers may be lost or
+//! delayed.
 
 use std::collections::BTreeMap;
 
@@ -11,81 +12,81 @@
 use kestrellock_core::store_era::StoreEra;
 
 use crate::node::{group_name, instance_name};
-use crate::returns::{EraKeys, Keys, installed_of, intents_of};
+use crate::returns::{EraKeys, Keys, last_promoted_in, unfinished_intents};
 
-/// Life of a hold.
+/// Duration of the coordinator lease.
 pub const LEASE_MS: u64 = 3_000;
 
-/// What an instance says of itself in the store.
+/// The entry that an instance writes about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announced {
-    /// Whether it says that it leads.
+    /// Whether it is primary.
     pub leads: bool,
-    /// Whether it says that it leaves.
+    /// Whether it is about to be shut down.
     pub leaving: bool,
-    /// Which start of its process it is.
-    pub born: u64,
+    /// Start time of its process, which identifies the process.
+    pub incarnation: u64,
 }
 
-/// What the store holds.
+/// Contents of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Contents {
-    /// Grows with each change.
+    /// Increases with each change.
     pub revision: u64,
-    /// How often the store has come back from a copy.
+    /// How often the store has been restored from a copy.
     pub era: StoreEra,
-    /// What nodes have written of replacements, by the era that they knew.
+    /// What nodes have written about replacements, by the era that they knew.
     pub keys: Keys,
-    /// What instances say.
+    /// Entries of the instances.
     pub announced: Vec<Announced>,
-    /// Nodes that have entered themselves.
+    /// Nodes that have registered.
     pub nodes: Vec<NodeName>,
 }
 
-/// A change under a condition.
+/// A request to the store; changes are conditional.
 #[derive(Clone, Debug)]
 pub enum Operation {
-    /// Takes the right to act.
-    Acquire,
-    /// Prolongs it.
-    Renew,
-    /// Gives it up.
-    Release,
-    /// Replaces what the node suspects.
+    /// Acquires the coordinator lease.
+    AcquireLease,
+    /// Renews the coordinator lease.
+    RenewLease,
+    /// Releases the coordinator lease.
+    ReleaseLease,
+    /// Replaces the node's votes.
     Vote(NodeVotes),
     /// Records an intent.
-    Record(Intent),
+    RecordIntent(Intent),
     /// Records the successor.
-    Install(InstanceName),
-    /// Takes the intent of a replacement back.
+    RecordSuccessor(InstanceName),
+    /// Removes the intent of a finished or cancelled replacement.
     Finish(ReplacementId, Option<Successor>),
-    /// Records again what the store has lost of replacements: who was promoted last, and whether the replacement that
-    /// it shows is over.
+    /// Writes records back that the store has lost: the instance promoted last, and whether the
+    /// replacement that the store shows has finished.
     WriteBack(Option<Successor>, bool),
-    /// Changes nothing: tells how new the store is.
-    Look,
-    /// Enters the node.
-    Enter,
-    /// Changes nothing: tells which starts of their processes the instances say.
-    ReadStarts,
+    /// Reads the current position of the store.
+    ReadRevision,
+    /// Registers the node.
+    Register,
+    /// Reads the incarnations of the instances from their entries.
+    ReadIncarnations,
 }
 
-/// What an operation came to.
+/// Result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Done {
-    /// It is done; the store's revision.
-    Yes(u64),
-    /// An intent is recorded; the nodes that have entered themselves by then.
+pub enum CallResult {
+    /// Applied; the position of the store, which for a new coordinator is its fencing token.
+    Done(u64),
+    /// The intent is recorded; the nodes that have registered by then.
     Recorded(Vec<NodeName>),
-    /// A condition did not hold.
+    /// A condition was not met.
     Conflict,
-    /// The starts that instances tell.
-    Starts(BTreeMap<InstanceName, InstanceIncarnation>),
+    /// The incarnations from the entries of the instances.
+    Incarnations(BTreeMap<InstanceName, InstanceIncarnation>),
 }
 
-/// Whether this replacement, or an earlier one that it goes on with, is recorded; what it goes on with may be of an
-/// earlier era.
-fn has_begun(era: StoreEra, keys: &EraKeys, group: &GroupName, intent: &Intent) -> bool {
+/// Whether this replacement, or the earlier one that it continues, is recorded. The earlier one may
+/// have been recorded in an earlier era.
+fn is_recorded(era: StoreEra, keys: &EraKeys, group: &GroupName, intent: &Intent) -> bool {
     match keys.intents.get(group) {
         Some((_, known)) => known.as_ref().is_some_and(|known| known.id <= intent.id),
         None => era > StoreEra::default(),
@@ -98,123 +99,133 @@
 }
 
 impl Contents {
-    /// Carries an operation of `node` out, which knew `era`; `fence` is that of its hold. A lease counts from the
-    /// arrival of the call.
-    pub fn carry_out(
+    /// Applies an operation of `node`, which knew `era` and whose lease has the fencing token
+    /// `fence`. A lease starts when the call arrives.
+    pub fn apply(
         &mut self,
         node: usize,
         (era, fence): (StoreEra, u64),
         group: &GroupName,
         operation: &Operation,
         now: u64,
-    ) -> Done {
+    ) -> CallResult {
         self.expire(now);
-        let written = self.revision + 1;
+        let new_revision = self.revision + 1;
         let keys = self.keys.entry(era).or_default();
-        let holds = keys.holder.is_some_and(|(holder, held, _)| holder == node && held == fence);
+        let holds_lease = keys.lease.is_some_and(|(coordinator, lease_fence, _)| {
+            coordinator == node && lease_fence == fence
+        });
         match operation {
-            Operation::Acquire if keys.holder.is_some() => return Done::Conflict,
+            Operation::AcquireLease if keys.lease.is_some() => return CallResult::Conflict,
             Operation::Vote(votes) => {
                 keys.votes.insert(node, votes.clone());
             }
-            Operation::Look => return Done::Yes(self.position()),
-            Operation::ReadStarts => return Done::Starts(self.starts()),
-            Operation::Acquire => {}
+            Operation::ReadRevision => return CallResult::Done(self.position()),
+            Operation::ReadIncarnations => return CallResult::Incarnations(self.incarnations()),
+            Operation::AcquireLease => {}
             Operation::WriteBack(successor, is_over) => {
-                if let Some(successor) = successor.clone().filter(|_| keys.installed.is_none()) {
-                    keys.installed = Some((written, successor));
+                if let Some(successor) = successor.clone().filter(|_| keys.last_promoted.is_none())
+                {
+                    keys.last_promoted = Some((new_revision, successor));
                 }
                 if *is_over {
-                    keys.intents.entry(group.clone()).or_insert((written, None));
+                    keys.intents.entry(group.clone()).or_insert((new_revision, None));
                 }
             }
-            Operation::Enter => {
+            Operation::Register => {
                 let name = node_name(node);
                 if !self.nodes.contains(&name) {
                     self.nodes.push(name);
                 }
             }
-            _ if !holds => return Done::Conflict,
-            Operation::Renew => {
-                keys.holder = Some((node, fence, now + LEASE_MS));
-                return Done::Yes(self.position());
+            _ if !holds_lease => return CallResult::Conflict,
+            Operation::RenewLease => {
+                keys.lease = Some((node, fence, now + LEASE_MS));
+                return CallResult::Done(self.position());
             }
-            Operation::Release => keys.holder = None,
-            // Done late, it must not bring back what has been finished.
-            Operation::Record(intent)
-                if intent.promoting && !has_begun(era, keys, group, intent) =>
+            Operation::ReleaseLease => keys.lease = None,
+            // A delayed record must not restore the intent of a finished replacement.
+            Operation::RecordIntent(intent)
+                if intent.promoting && !is_recorded(era, keys, group, intent) =>
             {
-                return Done::Conflict;
+                return CallResult::Conflict;
             }
-            Operation::Record(intent) => {
-                keys.intents.insert(group.clone(), (written, Some(intent.clone())));
+            Operation::RecordIntent(intent) => {
+                keys.intents.insert(group.clone(), (new_revision, Some(intent.clone())));
             }
-            Operation::Install(successor) => {
+            Operation::RecordSuccessor(successor) => {
                 let successor = Successor { instance: successor.clone(), term: None };
-                keys.installed = Some((written, successor));
+                keys.last_promoted = Some((new_revision, successor));
             }
             Operation::Finish(id, successor) => {
-                // Done late, it must not take back the intent of the next replacement.
-                let other = keys.intents.get(group).and_then(|(_, intent)| intent.as_ref());
-                if other.is_none_or(|intent| intent.id == *id) {
-                    keys.intents.insert(group.clone(), (written, None));
+                // A delayed finish must not remove the intent of the next replacement.
+                let recorded = keys.intents.get(group).and_then(|(_, intent)| intent.as_ref());
+                if recorded.is_none_or(|intent| intent.id == *id) {
+                    keys.intents.insert(group.clone(), (new_revision, None));
                 }
-                let successor = successor.clone().map(|successor| (written, successor));
-                keys.installed = successor.or(keys.installed.take());
+                let successor = successor.clone().map(|successor| (new_revision, successor));
+                keys.last_promoted = successor.or(keys.last_promoted.take());
             }
         }
-        self.revision = written;
-        if matches!(operation, Operation::Record(_)) {
-            return Done::Recorded(self.nodes.clone());
+        self.revision = new_revision;
+        if matches!(operation, Operation::RecordIntent(_)) {
+            return CallResult::Recorded(self.nodes.clone());
         }
-        if matches!(operation, Operation::Acquire) {
+        if matches!(operation, Operation::AcquireLease) {
             let fence = self.position();
             let keys = self.keys.entry(era).or_default();
-            keys.holder = Some((node, fence, now + LEASE_MS));
+            keys.lease = Some((node, fence, now + LEASE_MS));
         }
-        Done::Yes(self.position())
+        CallResult::Done(self.position())
     }
 
-    /// Position of the last change in the history of the store.
+    /// Position of the last change in the store's history across eras.
     pub fn position(&self) -> u64 {
-        self.era.position(self.revision).expect("revisions of a run are few")
+        self.era.position(self.revision).expect("a run has few revisions")
     }
 
-    /// Goes back to a copy: revisions are given out again.
-    pub fn put_back(&mut self, copy: Contents) {
+    /// Restores a copy and increases the era; revisions are assigned again.
+    pub fn restore_copy(&mut self, copy: Contents) {
         let era = StoreEra(self.era.0 + 1);
         *self = Self { era, ..copy };
     }
 
-    fn starts(&self) -> BTreeMap<InstanceName, InstanceIncarnation> {
-        let told = self.announced.iter().enumerate();
-        told.map(|(one, told)| (instance_name(one), InstanceIncarnation(told.born))).collect()
+    fn incarnations(&self) -> BTreeMap<InstanceName, InstanceIncarnation> {
+        let announced = self.announced.iter().enumerate();
+        announced
+            .map(|(index, announced)| {
+                (instance_name(index), InstanceIncarnation(announced.incarnation))
+            })
+            .collect()
     }
 
-    /// Ends a hold that has run out.
+    /// Removes the coordinator lease if it has expired.
     pub fn expire(&mut self, now: u64) {
-        let is_over = |holder: (usize, u64, u64)| now >= holder.2;
+        let is_expired = |lease: (usize, u64, u64)| now >= lease.2;
         for keys in self.keys.values_mut() {
-            if keys.holder.take_if(|holder| is_over(*holder)).is_some() {
+            if keys.lease.take_if(|lease| is_expired(*lease)).is_some() {
                 self.revision += 1;
             }
         }
     }
 
-    /// What nodes see of it.
+    /// The part of the contents that nodes watch.
     pub fn view(&self) -> CoordinationView {
-        let none = EraKeys::default();
-        let keys = self.keys.get(&self.era).unwrap_or(&none);
+        let empty = EraKeys::default();
+        let keys = self.keys.get(&self.era).unwrap_or(&empty);
         let votes = keys.votes.iter().map(|(node, votes)| (node_name(*node), votes.clone()));
         CoordinationView {
             era: self.era,
             revision: self.position(),
             coordinator: keys
-                .holder
+                .lease
                 .map(|(node, fence, _)| Coordinator { node: node_name(node), fence }),
-            intents: intents_of(&self.keys),
+            intents: unfinished_intents(&self.keys),
             votes: votes.collect(),
-            promoted: installed_of(&self.keys).map(|one| (group_name(), one)).into_iter().collect(),
+            promoted: last_promoted_in(&self.keys)
+                .map(|successor| (group_name(), successor))
+                .into_iter()
+                .collect(),
             nodes: self.nodes.clone(),
         }
     }
