--- a/crates/lab/src/bench/deployment/sample.rs
+++ b/crates/lab/src/bench/deployment/sample.rs
@@ -43,7 +43,7 @@
         let connections = instance.connections.count();
         sample.connections += connections;
         sample.most_connections = sample.most_connections.max(connections);
-        sample.present += instance.service.present();
+        sample.present += instance.service.in_progress();
         lags.extend(lag_of(instance));
     }
     lags.sort();
--- a/crates/lab/src/platform/mod.rs
+++ b/crates/lab/src/platform/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::standin::instances::{InstanceGroup, InstanceOptions, PromotionService};
 use crate::standin::network::Network;
-use crate::standin::store::{Dialect, PlatformStore, StoreCopy};
+use crate::standin::store::{Dialect, PlatformStore, StoreSnapshot};
 
 /// Zones; each has one node and one instance of each group.
 pub const ZONES: [&str; 3] = ["casa-ain", "casa-sidi", "casa-bouskoura"];
@@ -190,12 +190,12 @@
     }
 
     /// The store is away for a time, and comes back from a copy; the instances write their entries again.
-    pub fn put_store_back(&self, copy: &StoreCopy, away: Duration) {
+    pub fn put_store_back(&self, copy: &StoreSnapshot, away: Duration) {
         self.store.set_outage(true);
         std::thread::sleep(away);
-        self.store.put_back(copy);
+        self.store.restore(copy);
         self.store.set_outage(false);
-        self.groups.iter().for_each(InstanceGroup::announce_again);
+        self.groups.iter().for_each(InstanceGroup::republish_entries);
     }
 
     /// Writes a configuration with a route of each type to each group, but for the databases named.
--- a/crates/lab/src/standin/group/plan.rs
+++ b/crates/lab/src/standin/group/analysis.rs
@@ -10,12 +10,10 @@
 
 use super::evaluate::SqlError;
 use super::tables::Column;
-use super::values::{
-    BIGINT, BOOLEAN, DOUBLE, INTEGER, TEXT, TIMESTAMP, UNKNOWN, VOID, type_number,
-};
+use super::values::{BIGINT, BOOLEAN, DOUBLE, INTEGER, TEXT, TIMESTAMP, UNKNOWN, VOID, type_oid};
 
 /// Columns of a table by its name.
-pub type Lookup<'a> = &'a dyn Fn(&str) -> Result<Arc<[Column]>, SqlError>;
+pub type ColumnLookup<'a> = &'a dyn Fn(&str) -> Result<Arc<[Column]>, SqlError>;
 
 /// Name of a table as statements are compared by it.
 pub fn table_name(name: &impl ToString) -> String {
@@ -68,7 +66,7 @@
         Expr::Nested(inner) | Expr::UnaryOp { expr: inner, .. } => expression_type(inner, columns),
         Expr::Identifier(name) => column(&name.value),
         Expr::CompoundIdentifier(parts) => column(parts.last().map_or("", |part| &part.value)),
-        Expr::Cast { data_type, .. } => type_number(data_type),
+        Expr::Cast { data_type, .. } => type_oid(data_type),
         Expr::Value(literal) => literal_type(&literal.value),
         Expr::BinaryOp { left, op, right } => match op {
             BinaryOperator::Plus
@@ -76,7 +74,7 @@
             | BinaryOperator::Multiply
             | BinaryOperator::Divide
             | BinaryOperator::Modulo => {
-                wider(expression_type(left, columns), expression_type(right, columns))
+                arithmetic_type(expression_type(left, columns), expression_type(right, columns))
             }
             BinaryOperator::StringConcat => TEXT,
             _ => BOOLEAN,
@@ -101,7 +99,7 @@
     }
 }
 
-fn wider(left: u32, right: u32) -> u32 {
+fn arithmetic_type(left: u32, right: u32) -> u32 {
     match (left, right) {
         (UNKNOWN, other) | (other, UNKNOWN) => other,
         (INTEGER, other) => other,
@@ -145,11 +143,11 @@
 
 /// Columns that a select list yields over rows of `columns`.
 pub fn result_columns(items: &[SelectItem], columns: &[Column]) -> Result<Vec<Column>, SqlError> {
-    let mut described = Vec::new();
+    let mut result = Vec::new();
     for item in items {
         let (expression, name) = match item {
             SelectItem::Wildcard(_) | SelectItem::QualifiedWildcard(..) => {
-                described.extend(columns.iter().cloned());
+                result.extend(columns.iter().cloned());
                 continue;
             }
             SelectItem::UnnamedExpr(expression) => (expression, output_name(expression)),
@@ -160,9 +158,9 @@
             UNKNOWN => TEXT,
             known => known,
         };
-        described.push(Column { name, type_id, ..Column::default() });
+        result.push(Column { name, type_id, ..Column::default() });
     }
-    Ok(described)
+    Ok(result)
 }
 
 fn output_name(expression: &Expr) -> String {
@@ -179,7 +177,10 @@
 }
 
 /// Columns of the rows that a statement returns, or `None` if it returns none.
-pub fn describe(statement: &Statement, lookup: Lookup) -> Result<Option<Vec<Column>>, SqlError> {
+pub fn describe(
+    statement: &Statement,
+    lookup: ColumnLookup,
+) -> Result<Option<Vec<Column>>, SqlError> {
     let columns = match table_of(statement) {
         Some(table) => lookup(&table)?,
         None => Arc::default(),
@@ -212,35 +213,35 @@
 pub fn parameter_types(
     statement: &Statement,
     declared: &[u32],
-    lookup: Lookup,
+    lookup: ColumnLookup,
 ) -> Result<Vec<u32>, SqlError> {
     let columns = match table_of(statement) {
         Some(table) => lookup(&table)?,
         None => Arc::default(),
     };
     let types = declared.iter().map(|declared| Some(*declared).filter(|number| *number != 0));
-    let mut collector = Collector { types: types.collect(), columns: &columns };
+    let mut collector = ParameterTypeCollector { types: types.collect(), columns: &columns };
     collector.statement(statement);
     Ok(collector.types.into_iter().map(|known| known.unwrap_or(TEXT)).collect())
 }
 
-struct Collector<'a> {
+struct ParameterTypeCollector<'a> {
     types: Vec<Option<u32>>,
     columns: &'a [Column],
 }
 
-impl Collector<'_> {
+impl ParameterTypeCollector<'_> {
     fn statement(&mut self, statement: &Statement) {
         match statement {
             Statement::Query(query) => self.query(query),
             Statement::Insert(insert) => self.insert(insert),
             Statement::Update(update) => {
                 self.assignments(&update.assignments);
-                self.optional(update.selection.as_ref(), BOOLEAN);
+                self.visit_optional(update.selection.as_ref(), BOOLEAN);
                 self.items(update.returning.as_deref().unwrap_or_default());
             }
             Statement::Delete(delete) => {
-                self.optional(delete.selection.as_ref(), BOOLEAN);
+                self.visit_optional(delete.selection.as_ref(), BOOLEAN);
                 self.items(delete.returning.as_deref().unwrap_or_default());
             }
             _ => {}
@@ -250,11 +251,11 @@
     fn query(&mut self, query: &Query) {
         if let SetExpr::Select(select) = query.body.as_ref() {
             self.items(&select.projection);
-            self.optional(select.selection.as_ref(), BOOLEAN);
+            self.visit_optional(select.selection.as_ref(), BOOLEAN);
         }
         if let Some(LimitClause::LimitOffset { limit, offset, .. }) = &query.limit_clause {
-            self.optional(limit.as_ref(), BIGINT);
-            self.optional(offset.as_ref().map(|offset| &offset.value), BIGINT);
+            self.visit_optional(limit.as_ref(), BIGINT);
+            self.visit_optional(offset.as_ref().map(|offset| &offset.value), BIGINT);
         }
     }
 
@@ -273,7 +274,7 @@
             && let OnConflictAction::DoUpdate(update) = &conflict.action
         {
             self.assignments(&update.assignments);
-            self.optional(update.selection.as_ref(), BOOLEAN);
+            self.visit_optional(update.selection.as_ref(), BOOLEAN);
         }
         self.items(insert.returning.as_deref().unwrap_or_default());
     }
@@ -308,7 +309,7 @@
         }
     }
 
-    fn optional(&mut self, expression: Option<&Expr>, expected: u32) {
+    fn visit_optional(&mut self, expression: Option<&Expr>, expected: u32) {
         if let Some(expression) = expression {
             self.visit(expression, expected);
         }
@@ -318,22 +319,22 @@
         match expression {
             Expr::Value(literal) => {
                 if let Literal::Placeholder(name) = &literal.value {
-                    self.note(name, expected);
+                    self.record_type(name, expected);
                 }
             }
             Expr::Nested(inner) | Expr::UnaryOp { expr: inner, .. } => self.visit(inner, expected),
-            Expr::Cast { expr, data_type, .. } => self.visit(expr, type_number(data_type)),
+            Expr::Cast { expr, data_type, .. } => self.visit(expr, type_oid(data_type)),
             Expr::IsNull(inner) | Expr::IsNotNull(inner) => self.visit(inner, TEXT),
             Expr::BinaryOp { left, op: BinaryOperator::And | BinaryOperator::Or, right } => {
                 self.visit(left, BOOLEAN);
                 self.visit(right, BOOLEAN);
             }
             Expr::BinaryOp { left, right, .. } => {
-                let otherwise = if expected == BOOLEAN { TEXT } else { expected };
-                let of_left = self.type_or(left, otherwise);
-                let of_right = self.type_or(right, otherwise);
-                self.visit(left, of_right);
-                self.visit(right, of_left);
+                let fallback = if expected == BOOLEAN { TEXT } else { expected };
+                let left_type = self.type_or(left, fallback);
+                let right_type = self.type_or(right, fallback);
+                self.visit(left, right_type);
+                self.visit(right, left_type);
             }
             Expr::In { expr, target: InTarget::List(list), .. } => {
                 let expected = self.type_or(expr, TEXT);
@@ -353,14 +354,14 @@
                     self.visit(&when.condition, BOOLEAN);
                     self.visit(&when.result, expected);
                 }
-                self.optional(else_result.as_deref(), expected);
+                self.visit_optional(else_result.as_deref(), expected);
             }
             Expr::Function(function) => {
-                let sleeps = function.name.to_string().eq_ignore_ascii_case("pg_sleep");
+                let is_sleep = function.name.to_string().eq_ignore_ascii_case("pg_sleep");
                 if let FunctionArguments::List(list) = &function.args {
                     for argument in &list.args {
                         if let FunctionArg::Unnamed(FunctionArgExpr::Expr(inner)) = argument {
-                            self.visit(inner, if sleeps { DOUBLE } else { expected });
+                            self.visit(inner, if is_sleep { DOUBLE } else { expected });
                         }
                     }
                 }
@@ -369,14 +370,14 @@
         }
     }
 
-    fn type_or(&self, expression: &Expr, otherwise: u32) -> u32 {
+    fn type_or(&self, expression: &Expr, fallback: u32) -> u32 {
         match expression_type(expression, self.columns) {
-            UNKNOWN => otherwise,
+            UNKNOWN => fallback,
             known => known,
         }
     }
 
-    fn note(&mut self, name: &str, expected: u32) {
+    fn record_type(&mut self, name: &str, expected: u32) {
         let Some(number) = parameter_number(name) else { return };
         if self.types.len() < number {
             self.types.resize(number, None);
--- a/crates/lab/src/standin/group/arrivals.rs
+++ b/crates/lab/src/standin/group/arrivals.rs
@@ -8,7 +8,7 @@
 use super::connections::ConnectionNumber;
 
 /// Longest part of a text that is kept, in bytes.
-const KEPT_BYTES: usize = 160;
+const TEXT_LIMIT_BYTES: usize = 160;
 
 /// A simple query, or an execution of a prepared statement, that reached an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 
     /// Keeps an arrival that happens now.
     pub fn add(&self, connection: ConnectionNumber, primary: bool, text: &str) {
-        let end = text.floor_char_boundary(KEPT_BYTES);
+        let end = text.floor_char_boundary(TEXT_LIMIT_BYTES);
         let text = text[..end].to_owned();
         let arrival = StatementArrival { at: Instant::now(), connection, primary, text };
         self.arrivals.lock().expect("a holder of the arrivals lock panicked").push(arrival);
--- a/crates/lab/src/standin/group/connections.rs
+++ b/crates/lab/src/standin/group/connections.rs
@@ -107,7 +107,7 @@
     /// or are refused take no place.
     pub fn admit(&self, control: &Control, limit: usize) -> bool {
         let open = self.locked();
-        let is_admitted = |known: &&Arc<Control>| known.admitted.load(Ordering::Acquire);
+        let is_admitted = |control: &&Arc<Control>| control.admitted.load(Ordering::Acquire);
         let fits = open.values().filter(is_admitted).count() < limit;
         control.admitted.store(fits, Ordering::Release);
         fits
@@ -116,12 +116,14 @@
     /// How many are admitted.
     pub fn count(&self) -> usize {
         let open = self.locked();
-        open.values().filter(|known| known.admitted.load(Ordering::Acquire)).count()
+        open.values().filter(|control| control.admitted.load(Ordering::Acquire)).count()
     }
 
     /// Cancels the statement that the connection runs, if the secret is right.
     pub fn cancel(&self, process: i32, secret: i32) {
-        if let Some(control) = self.locked().get(&process).filter(|known| known.secret == secret) {
+        if let Some(control) =
+            self.locked().get(&process).filter(|control| control.secret == secret)
+        {
             control.cancelled.store(true, Ordering::Release);
         }
     }
--- a/crates/lab/src/standin/group/define.rs
+++ b/crates/lab/src/standin/group/ddl.rs
@@ -5,38 +5,44 @@
     Statement, TableConstraint,
 };
 
+use super::analysis::table_name;
 use super::evaluate::SqlError;
 use super::locks::LockKey;
-use super::plan::table_name;
 use super::rows::column_index;
 use super::tables::{Change, Column, Table};
-use super::transaction::{Answer, Attempt, Halt};
-use super::values::type_number;
+use super::transaction::{ExecutionContext, ExecutionError, StatementResult};
+use super::values::type_oid;
 
 /// Runs a statement that changes definitions.
-pub fn run(attempt: &mut Attempt, statement: &Statement) -> Result<Answer, Halt> {
+pub fn run(
+    context: &mut ExecutionContext,
+    statement: &Statement,
+) -> Result<StatementResult, ExecutionError> {
     match statement {
-        Statement::CreateTable(create) => create_table(attempt, create),
-        Statement::CreateIndex(create) => create_index(attempt, create),
+        Statement::CreateTable(create) => create_table(context, create),
+        Statement::CreateIndex(create) => create_index(context, create),
         Statement::Drop { object_type: ObjectType::Table, if_exists, names, .. } => {
             for name in names {
-                drop_table(attempt, table_name(name), *if_exists)?;
+                drop_table(context, table_name(name), *if_exists)?;
             }
-            Ok(Answer::tagged("DROP TABLE"))
+            Ok(StatementResult::with_tag("DROP TABLE"))
         }
         other => Err(SqlError::unsupported(other).into()),
     }
 }
 
-fn create_table(attempt: &mut Attempt, create: &CreateTable) -> Result<Answer, Halt> {
+fn create_table(
+    context: &mut ExecutionContext,
+    create: &CreateTable,
+) -> Result<StatementResult, ExecutionError> {
     if create.temporary || create.query.is_some() {
         return Err(SqlError::unsupported("temporary tables and CREATE TABLE AS").into());
     }
     let name = table_name(&create.name);
-    attempt.lock(LockKey::Table(name.clone()))?;
-    if attempt.overlay.table(attempt.state, &name).is_ok() {
+    context.lock(LockKey::Table(name.clone()))?;
+    if context.overlay.table(context.state, &name).is_ok() {
         if create.if_not_exists {
-            return Ok(Answer::tagged("CREATE TABLE"));
+            return Ok(StatementResult::with_tag("CREATE TABLE"));
         }
         return Err(SqlError::new("42P07", format!("relation {name:?} already exists")).into());
     }
@@ -59,8 +65,8 @@
         }
         keys.push(key);
     }
-    attempt.overlay.create(name, columns.into(), keys);
-    Ok(Answer::tagged("CREATE TABLE"))
+    context.overlay.create(name, columns.into(), keys);
+    Ok(StatementResult::with_tag("CREATE TABLE"))
 }
 
 fn is_key(option: &ColumnOption) -> bool {
@@ -84,7 +90,7 @@
     let data_type = if serial { DataType::BigInt(None) } else { definition.data_type.clone() };
     Column {
         name: definition.name.value.to_lowercase(),
-        type_id: type_number(&data_type),
+        type_id: type_oid(&data_type),
         not_null: options()
             .any(|option| matches!(option, ColumnOption::NotNull | ColumnOption::PrimaryKey(_))),
         serial,
@@ -95,20 +101,27 @@
     }
 }
 
-fn create_index(attempt: &mut Attempt, create: &CreateIndex) -> Result<Answer, Halt> {
+fn create_index(
+    context: &mut ExecutionContext,
+    create: &CreateIndex,
+) -> Result<StatementResult, ExecutionError> {
     let name = table_name(&create.table_name);
-    attempt.lock(LockKey::Table(name.clone()))?;
-    let columns = positions(attempt.overlay.table(attempt.state, &name)?, &create.columns)?;
+    context.lock(LockKey::Table(name.clone()))?;
+    let columns = positions(context.overlay.table(context.state, &name)?, &create.columns)?;
     if create.unique {
-        attempt.overlay.changes.push(Change::AddKey { table: name, columns });
+        context.overlay.changes.push(Change::AddKey { table: name, columns });
     }
-    Ok(Answer::tagged("CREATE INDEX"))
+    Ok(StatementResult::with_tag("CREATE INDEX"))
 }
 
-fn drop_table(attempt: &mut Attempt, name: String, if_exists: bool) -> Result<(), Halt> {
-    attempt.lock(LockKey::Table(name.clone()))?;
-    match attempt.overlay.table(attempt.state, &name) {
-        Ok(_) => attempt.overlay.drop_table(name),
+fn drop_table(
+    context: &mut ExecutionContext,
+    name: String,
+    if_exists: bool,
+) -> Result<(), ExecutionError> {
+    context.lock(LockKey::Table(name.clone()))?;
+    match context.overlay.table(context.state, &name) {
+        Ok(_) => context.overlay.drop_table(name),
         Err(_) if if_exists => {}
         Err(error) => return Err(error.into()),
     }
--- a/crates/lab/src/standin/group/modify.rs
+++ b/crates/lab/src/standin/group/dml.rs
@@ -7,38 +7,46 @@
     OnInsert, SelectItem, SetExpr, Statement, TableObject, Update,
 };
 
-use super::define;
+use super::analysis::{relation_name, result_columns, table_name};
+use super::ddl;
 use super::evaluate::{Scope, SqlError, is_true};
 use super::locks::LockKey;
 use super::overlay::NumberedRow;
-use super::plan::{relation_name, result_columns, table_name};
-use super::rows::{column_index, matching, type_at};
+use super::rows::{column_index, matching_rows, type_at};
 use super::select::project_items;
 use super::tables::{Row, Table, Value};
-use super::transaction::{Answer, Attempt, Halt};
+use super::transaction::{ExecutionContext, ExecutionError, StatementResult};
 use super::values::coerce;
 
 /// Runs a statement that changes something.
-pub fn run(attempt: &mut Attempt, statement: &Statement) -> Result<Answer, Halt> {
+pub fn run(
+    context: &mut ExecutionContext,
+    statement: &Statement,
+) -> Result<StatementResult, ExecutionError> {
     match statement {
-        Statement::Insert(insert) => run_insert(attempt, insert),
-        Statement::Update(update) => run_update(attempt, update),
-        Statement::Delete(delete) => run_delete(attempt, delete),
-        other => define::run(attempt, other),
+        Statement::Insert(insert) => run_insert(context, insert),
+        Statement::Update(update) => run_update(context, update),
+        Statement::Delete(delete) => run_delete(context, delete),
+        other => ddl::run(context, other),
     }
 }
 
 /// An empty copy of a table's definition, to work with while the overlay changes.
-fn definition(attempt: &Attempt, name: &str) -> Result<Table, SqlError> {
-    let table = attempt.overlay.table(attempt.state, name)?;
+fn definition(context: &ExecutionContext, name: &str) -> Result<Table, SqlError> {
+    let table = context.overlay.table(context.state, name)?;
     let keys: Vec<Vec<usize>> = table.keys.iter().map(|key| key.columns.clone()).collect();
     Ok(Table::new(table.columns.clone(), &keys))
 }
 
-fn lock_keys(attempt: &mut Attempt, name: &str, table: &Table, row: &[Value]) -> Result<(), Halt> {
+fn lock_keys(
+    context: &mut ExecutionContext,
+    name: &str,
+    table: &Table,
+    row: &[Value],
+) -> Result<(), ExecutionError> {
     for (key, unique) in table.keys.iter().enumerate() {
         if let Some(values) = unique.values_of(row) {
-            attempt.lock(LockKey::Key { table: name.to_owned(), key, values })?;
+            context.lock(LockKey::Key { table: name.to_owned(), key, values })?;
         }
     }
     Ok(())
@@ -46,16 +54,16 @@
 
 /// A row, other than the one numbered `own`, that has a unique key in common with `row`.
 fn conflicting(
-    attempt: &Attempt,
+    context: &ExecutionContext,
     name: &str,
     table: &Table,
     own: Option<u64>,
     row: &[Value],
 ) -> Result<Option<NumberedRow>, SqlError> {
-    let current = attempt.overlay.table(attempt.state, name)?;
+    let current = context.overlay.table(context.state, name)?;
     for (index, key) in table.keys.iter().enumerate() {
         let Some(values) = key.values_of(row) else { continue };
-        let found = attempt.overlay.find(current, name, index, &values);
+        let found = context.overlay.find(current, name, index, &values);
         if let Some(found) = found.filter(|found| Some(found.number) != own) {
             return Ok(Some(found));
         }
@@ -78,31 +86,36 @@
     Ok(())
 }
 
-fn answer(
-    attempt: &Attempt,
+fn statement_result(
+    context: &ExecutionContext,
     returning: Option<&[SelectItem]>,
     table: &Table,
     rows: &[Row],
     tag: String,
-) -> Result<Answer, Halt> {
-    let Some(items) = returning else { return Ok(Answer { tag, ..Answer::default() }) };
+) -> Result<StatementResult, ExecutionError> {
+    let Some(items) = returning else {
+        return Ok(StatementResult { tag, ..StatementResult::default() });
+    };
     let columns = Some(result_columns(items, &table.columns)?);
     let rows = rows
         .iter()
-        .map(|row| project_items(&Scope::over(attempt, &table.columns, row), items))
+        .map(|row| project_items(&Scope::for_row(context, &table.columns, row), items))
         .collect::<Result<Vec<Row>, SqlError>>()?;
-    Ok(Answer { columns, rows, tag })
+    Ok(StatementResult { columns, rows, tag })
 }
 
-fn run_insert(attempt: &mut Attempt, insert: &Insert) -> Result<Answer, Halt> {
+fn run_insert(
+    context: &mut ExecutionContext,
+    insert: &Insert,
+) -> Result<StatementResult, ExecutionError> {
     let TableObject::TableName(name) = &insert.table else {
         return Err(SqlError::unsupported(insert).into());
     };
     let name = table_name(name);
-    let table = definition(attempt, &name)?;
-    let proposed = proposed_rows(attempt, insert, &table)?;
+    let table = definition(context, &name)?;
+    let proposed = proposed_rows(context, insert, &table)?;
     for row in &proposed {
-        lock_keys(attempt, &name, &table, row)?;
+        lock_keys(context, &name, &table, row)?;
     }
     let conflict = match &insert.on {
         None => None,
@@ -111,59 +124,59 @@
     };
     if let Some(OnConflictAction::DoUpdate(_)) = conflict {
         for row in &proposed {
-            if let Some(found) = conflicting(attempt, &name, &table, None, row)? {
-                attempt.lock(LockKey::Row { table: name.clone(), number: found.number })?;
+            if let Some(found) = conflicting(context, &name, &table, None, row)? {
+                context.lock(LockKey::Row { table: name.clone(), number: found.number })?;
             }
         }
     }
     let mut written = Vec::new();
     for row in proposed {
-        match (conflicting(attempt, &name, &table, None, &row)?, conflict) {
+        match (conflicting(context, &name, &table, None, &row)?, conflict) {
             (None, _) => {
-                let number = attempt.state.tables.draw_row_number();
-                attempt.overlay.put(&name, &table.keys, number, row.clone());
+                let number = context.state.tables.allocate_row_number();
+                context.overlay.put(&name, &table.keys, number, row.clone());
                 written.push(row);
             }
             (Some(_), None) => return Err(duplicate(&name).into()),
             (Some(_), Some(OnConflictAction::DoNothing)) => {}
             (Some(found), Some(OnConflictAction::DoUpdate(update))) => {
-                written.extend(update_conflicting(attempt, &name, &table, update, found, &row)?);
+                written.extend(update_conflicting(context, &name, &table, update, found, &row)?);
             }
         }
     }
     let tag = format!("INSERT 0 {}", written.len());
-    answer(attempt, insert.returning.as_deref(), &table, &written, tag)
+    statement_result(context, insert.returning.as_deref(), &table, &written, tag)
 }
 
 fn update_conflicting(
-    attempt: &mut Attempt,
+    context: &mut ExecutionContext,
     name: &str,
     table: &Table,
     update: &DoUpdate,
     found: NumberedRow,
     proposed: &[Value],
-) -> Result<Option<Row>, Halt> {
+) -> Result<Option<Row>, ExecutionError> {
     let scope =
-        Scope { excluded: Some(proposed), ..Scope::over(attempt, &table.columns, &found.row) };
+        Scope { excluded: Some(proposed), ..Scope::for_row(context, &table.columns, &found.row) };
     if let Some(condition) = &update.selection
         && !is_true(&scope.evaluate(condition)?)
     {
         return Ok(None);
     }
     let row = assign(&scope, table, &update.assignments)?;
-    if conflicting(attempt, name, table, Some(found.number), &row)?.is_some() {
+    if conflicting(context, name, table, Some(found.number), &row)?.is_some() {
         return Err(duplicate(name).into());
     }
-    attempt.overlay.put(name, &table.keys, found.number, row.clone());
+    context.overlay.put(name, &table.keys, found.number, row.clone());
     Ok(Some(row))
 }
 
 fn proposed_rows(
-    attempt: &mut Attempt,
+    context: &mut ExecutionContext,
     insert: &Insert,
     table: &Table,
 ) -> Result<Vec<Row>, SqlError> {
-    let named = insert
+    let target_columns = insert
         .columns
         .iter()
         .map(|column| column_index(table, &column.to_string()))
@@ -174,8 +187,9 @@
     };
     let mut rows = Vec::with_capacity(values.rows.len());
     for expressions in &values.rows {
-        let given = expressions.iter();
-        let row = proposed_row(attempt, table, &named, &given.collect::<Vec<&Expr>>())?;
+        let expressions = expressions.iter();
+        let row =
+            proposed_row(context, table, &target_columns, &expressions.collect::<Vec<&Expr>>())?;
         check_not_null(table, &row)?;
         rows.push(row);
     }
@@ -183,25 +197,27 @@
 }
 
 fn proposed_row(
-    attempt: &mut Attempt,
+    context: &mut ExecutionContext,
     table: &Table,
-    named: &[usize],
-    given: &[&Expr],
+    target_columns: &[usize],
+    expressions: &[&Expr],
 ) -> Result<Row, SqlError> {
-    let expected = if named.is_empty() { table.columns.len() } else { named.len() };
-    if given.len() > expected || (!named.is_empty() && given.len() < expected) {
+    let expected =
+        if target_columns.is_empty() { table.columns.len() } else { target_columns.len() };
+    if expressions.len() > expected || (!target_columns.is_empty() && expressions.len() < expected)
+    {
         let message = "INSERT has more or fewer expressions than target columns";
         return Err(SqlError::new("42601", message));
     }
     let mut row: Row = vec![None; table.columns.len()];
     let mut is_given = vec![false; table.columns.len()];
-    for (position, expression) in given.iter().enumerate() {
-        let column = named.get(position).copied().unwrap_or(position);
+    for (position, expression) in expressions.iter().enumerate() {
+        let column = target_columns.get(position).copied().unwrap_or(position);
         if matches!(expression, Expr::Identifier(name) if name.value.eq_ignore_ascii_case("default"))
         {
             continue;
         }
-        let value = Scope::over(attempt, &[], &[]).evaluate(expression)?;
+        let value = Scope::for_row(context, &[], &[]).evaluate(expression)?;
         row[column] = coerce(value, type_at(table, column))?;
         is_given[column] = true;
     }
@@ -210,9 +226,9 @@
             continue;
         }
         if column.serial {
-            row[position] = Some(attempt.state.tables.draw_row_number().to_string());
+            row[position] = Some(context.state.tables.allocate_row_number().to_string());
         } else if let Some(default) = &column.default {
-            let value = Scope::over(attempt, &[], &[]).evaluate(default)?;
+            let value = Scope::for_row(context, &[], &[]).evaluate(default)?;
             row[position] = coerce(value, column.type_id)?;
         }
     }
@@ -233,20 +249,23 @@
     Ok(changed)
 }
 
-fn run_update(attempt: &mut Attempt, update: &Update) -> Result<Answer, Halt> {
+fn run_update(
+    context: &mut ExecutionContext,
+    update: &Update,
+) -> Result<StatementResult, ExecutionError> {
     let name = relation_name(&update.table.relation);
-    let table = definition(attempt, &name)?;
-    let found = matching(attempt, &name, update.selection.as_ref())?;
+    let table = definition(context, &name)?;
+    let found = matching_rows(context, &name, update.selection.as_ref())?;
     let mut changed = Vec::with_capacity(found.len());
     for NumberedRow { number, row } in found {
-        attempt.lock(LockKey::Row { table: name.clone(), number })?;
-        let scope = Scope::over(attempt, &table.columns, &row);
+        context.lock(LockKey::Row { table: name.clone(), number })?;
+        let scope = Scope::for_row(context, &table.columns, &row);
         let new = assign(&scope, &table, &update.assignments)?;
         for (key, unique) in table.keys.iter().enumerate() {
             let (old, new) = (unique.values_of(&row), unique.values_of(&new));
             if old != new {
                 for values in [old, new].into_iter().flatten() {
-                    attempt.lock(LockKey::Key { table: name.clone(), key, values })?;
+                    context.lock(LockKey::Key { table: name.clone(), key, values })?;
                 }
             }
         }
@@ -254,30 +273,33 @@
     }
     let mut rows = Vec::with_capacity(changed.len());
     for NumberedRow { number, row } in changed {
-        if conflicting(attempt, &name, &table, Some(number), &row)?.is_some() {
+        if conflicting(context, &name, &table, Some(number), &row)?.is_some() {
             return Err(duplicate(&name).into());
         }
-        attempt.overlay.put(&name, &table.keys, number, row.clone());
+        context.overlay.put(&name, &table.keys, number, row.clone());
         rows.push(row);
     }
     let tag = format!("UPDATE {}", rows.len());
-    answer(attempt, update.returning.as_deref(), &table, &rows, tag)
+    statement_result(context, update.returning.as_deref(), &table, &rows, tag)
 }
 
-fn run_delete(attempt: &mut Attempt, delete: &Delete) -> Result<Answer, Halt> {
+fn run_delete(
+    context: &mut ExecutionContext,
+    delete: &Delete,
+) -> Result<StatementResult, ExecutionError> {
     let (FromTable::WithFromKeyword(from) | FromTable::WithoutKeyword(from)) = &delete.from;
     let Some(from) = from.first() else { return Err(SqlError::unsupported(delete).into()) };
     let name = relation_name(&from.relation);
-    let table = definition(attempt, &name)?;
-    let found = matching(attempt, &name, delete.selection.as_ref())?;
+    let table = definition(context, &name)?;
+    let found = matching_rows(context, &name, delete.selection.as_ref())?;
     for NumberedRow { number, row } in &found {
-        attempt.lock(LockKey::Row { table: name.clone(), number: *number })?;
-        lock_keys(attempt, &name, &table, row)?;
+        context.lock(LockKey::Row { table: name.clone(), number: *number })?;
+        lock_keys(context, &name, &table, row)?;
     }
     for row in &found {
-        attempt.overlay.delete(&name, &table.keys, row.number);
+        context.overlay.delete(&name, &table.keys, row.number);
     }
     let rows: Vec<Row> = found.into_iter().map(|found| found.row).collect();
     let tag = format!("DELETE {}", rows.len());
-    answer(attempt, delete.returning.as_deref(), &table, &rows, tag)
+    statement_result(context, delete.returning.as_deref(), &table, &rows, tag)
 }
--- a/crates/lab/src/standin/group/evaluate.rs
+++ b/crates/lab/src/standin/group/evaluate.rs
@@ -5,12 +5,12 @@
     SelectItem, SetExpr, UnaryOperator, Value as Literal,
 };
 
+use super::analysis::{expression_type, first_argument, parameter_number, relation_name};
 use super::functions;
-use super::plan::{expression_type, first_argument, parameter_number, relation_name};
 use super::state::State;
 use super::tables::{Column, Row, Value};
-use super::transaction::Attempt;
-use super::values::{INTEGER, TEXT, coerce, type_number};
+use super::transaction::ExecutionContext;
+use super::values::{INTEGER, TEXT, coerce, type_oid};
 
 /// An SQL error with its SQLSTATE.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 }
 
 /// Text of a truth value.
-pub fn truth(value: bool) -> Value {
+pub fn boolean(value: bool) -> Value {
     Some(if value { "t" } else { "f" }.to_owned())
 }
 
@@ -63,15 +63,15 @@
 
 impl<'a> Scope<'a> {
     /// A scope over one row.
-    pub fn over(attempt: &'a Attempt, columns: &'a [Column], row: &'a [Value]) -> Self {
+    pub fn for_row(context: &'a ExecutionContext, columns: &'a [Column], row: &'a [Value]) -> Self {
         Self {
-            state: attempt.state,
+            state: context.state,
             columns,
             row,
-            parameters: attempt.parameters,
+            parameters: context.parameters,
             group: None,
             excluded: None,
-            process: attempt.process,
+            process: context.process,
         }
     }
 
@@ -79,18 +79,16 @@
     pub fn evaluate(&self, expression: &Expr) -> Result<Value, SqlError> {
         match expression {
             Expr::Nested(inner) => self.evaluate(inner),
-            Expr::Cast { expr, data_type, .. } => {
-                coerce(self.evaluate(expr)?, type_number(data_type))
-            }
+            Expr::Cast { expr, data_type, .. } => coerce(self.evaluate(expr)?, type_oid(data_type)),
             Expr::Identifier(name) => self.column(&name.value),
             Expr::CompoundIdentifier(parts) => self.qualified(parts),
             Expr::Value(literal) => match &literal.value {
                 Literal::Placeholder(name) => self.parameter(name),
                 other => literal_value(other),
             },
-            Expr::IsNull(inner) => Ok(truth(self.evaluate(inner)?.is_none())),
-            Expr::IsNotNull(inner) => Ok(truth(self.evaluate(inner)?.is_some())),
-            Expr::IsTrue(inner) => Ok(truth(is_true(&self.evaluate(inner)?))),
+            Expr::IsNull(inner) => Ok(boolean(self.evaluate(inner)?.is_none())),
+            Expr::IsNotNull(inner) => Ok(boolean(self.evaluate(inner)?.is_some())),
+            Expr::IsTrue(inner) => Ok(boolean(is_true(&self.evaluate(inner)?))),
             Expr::UnaryOp { op, expr } => unary(op, self.evaluate(expr)?),
             Expr::BinaryOp { left, op, right } => self.binary(left, op, right),
             Expr::In { expr, target: InTarget::List(list), negated, .. } => {
@@ -99,14 +97,14 @@
             Expr::Between { expr, negated, low, high } => {
                 let above = is_true(&self.binary(expr, &BinaryOperator::GtEq, low)?);
                 let below = is_true(&self.binary(expr, &BinaryOperator::LtEq, high)?);
-                Ok(truth((above && below) != *negated))
+                Ok(boolean((above && below) != *negated))
             }
             Expr::Like { negated, expr, pattern, .. } => {
                 let (Some(text), Some(pattern)) = (self.evaluate(expr)?, self.evaluate(pattern)?)
                 else {
                     return Ok(None);
                 };
-                Ok(truth(functions::like(&text, &pattern) != *negated))
+                Ok(boolean(functions::like(&text, &pattern) != *negated))
             }
             Expr::Case { operand: None, conditions, else_result, .. } => {
                 for when in conditions {
@@ -170,10 +168,10 @@
     fn in_list(&self, expr: &Expr, list: &[Expr], negated: bool) -> Result<Value, SqlError> {
         for item in list {
             if is_true(&self.binary(expr, &BinaryOperator::Eq, item)?) {
-                return Ok(truth(!negated));
+                return Ok(boolean(!negated));
             }
         }
-        Ok(truth(negated))
+        Ok(boolean(negated))
     }
 
     fn binary(
@@ -183,10 +181,10 @@
         right: &Expr,
     ) -> Result<Value, SqlError> {
         match operator {
-            BinaryOperator::And if !is_true(&self.evaluate(left)?) => return Ok(truth(false)),
-            BinaryOperator::Or if is_true(&self.evaluate(left)?) => return Ok(truth(true)),
+            BinaryOperator::And if !is_true(&self.evaluate(left)?) => return Ok(boolean(false)),
+            BinaryOperator::Or if is_true(&self.evaluate(left)?) => return Ok(boolean(true)),
             BinaryOperator::And | BinaryOperator::Or => {
-                return Ok(truth(is_true(&self.evaluate(right)?)));
+                return Ok(boolean(is_true(&self.evaluate(right)?)));
             }
             _ => {}
         }
@@ -239,7 +237,7 @@
 fn unary(operator: &UnaryOperator, value: Value) -> Result<Value, SqlError> {
     let Some(text) = value else { return Ok(None) };
     match operator {
-        UnaryOperator::Not => Ok(truth(!is_true(&Some(text)))),
+        UnaryOperator::Not => Ok(boolean(!is_true(&Some(text)))),
         UnaryOperator::Minus => Ok(Some(match text.strip_prefix('-') {
             Some(positive) => positive.to_owned(),
             None => format!("-{text}"),
@@ -252,7 +250,7 @@
 fn literal_value(literal: &Literal) -> Result<Value, SqlError> {
     match literal {
         Literal::Null => Ok(None),
-        Literal::Boolean(value) => Ok(truth(*value)),
+        Literal::Boolean(value) => Ok(boolean(*value)),
         Literal::Number(text, _) => Ok(Some(text.clone())),
         Literal::SingleQuotedString(text) | Literal::EscapedStringLiteral(text) => {
             Ok(Some(text.clone()))
--- a/crates/lab/src/standin/group/functions.rs
+++ b/crates/lab/src/standin/group/functions.rs
@@ -5,12 +5,12 @@
 
 use sqlparser::ast::BinaryOperator;
 
-use super::evaluate::{Scope, SqlError, truth};
+use super::evaluate::{Scope, SqlError, boolean};
 use super::tables::Value;
 use super::values::timestamp_text;
 
 /// Seconds from 1970-01-01 to 2000-01-01.
-const EPOCH_SECONDS: u64 = 946_684_800;
+const POSTGRES_EPOCH_UNIX_SECONDS: u64 = 946_684_800;
 
 /// Compares two values: as numbers where both are, unless they are known to be text.
 pub fn compare(left: &str, right: &str, textual: bool) -> Ordering {
@@ -41,12 +41,12 @@
 ) -> Result<Value, SqlError> {
     let ordering = || compare(left, right, textual);
     match operator {
-        BinaryOperator::Eq => Ok(truth(ordering().is_eq())),
-        BinaryOperator::NotEq => Ok(truth(ordering().is_ne())),
-        BinaryOperator::Lt => Ok(truth(ordering().is_lt())),
-        BinaryOperator::LtEq => Ok(truth(ordering().is_le())),
-        BinaryOperator::Gt => Ok(truth(ordering().is_gt())),
-        BinaryOperator::GtEq => Ok(truth(ordering().is_ge())),
+        BinaryOperator::Eq => Ok(boolean(ordering().is_eq())),
+        BinaryOperator::NotEq => Ok(boolean(ordering().is_ne())),
+        BinaryOperator::Lt => Ok(boolean(ordering().is_lt())),
+        BinaryOperator::LtEq => Ok(boolean(ordering().is_le())),
+        BinaryOperator::Gt => Ok(boolean(ordering().is_gt())),
+        BinaryOperator::GtEq => Ok(boolean(ordering().is_ge())),
         BinaryOperator::StringConcat => Ok(Some(format!("{left}{right}"))),
         _ => arithmetic(number(left)?, operator, number(right)?),
     }
@@ -117,7 +117,7 @@
 pub fn call(scope: &Scope, name: &str, arguments: &[Value]) -> Result<Value, SqlError> {
     let state = scope.state;
     match (name, arguments) {
-        ("pg_is_in_recovery", []) => Ok(truth(!state.primary)),
+        ("pg_is_in_recovery", []) => Ok(boolean(!state.primary)),
         ("pg_current_wal_lsn" | "pg_current_wal_flush_lsn", []) if !state.primary => {
             Err(SqlError::new("55000", "recovery is in progress"))
         }
@@ -149,7 +149,7 @@
 
 fn now_micros() -> i64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.saturating_sub(Duration::from_secs(EPOCH_SECONDS)).as_micros() as i64
+    since.saturating_sub(Duration::from_secs(POSTGRES_EPOCH_UNIX_SECONDS)).as_micros() as i64
 }
 
 fn offset(value: u64) -> Value {
--- a/crates/lab/src/standin/group/instance.rs
+++ b/crates/lab/src/standin/group/instance.rs
@@ -10,16 +10,16 @@
 use super::connections::Connections;
 use super::events::{EventLog, GroupEventKind, Signal};
 use super::lag::{Lag, LagSource};
-use super::service::Service;
+use super::service::ServiceQueue;
 use super::state::{LogEntry, Record, State};
 use super::tables::Change;
 
 /// Time between two looks at whether a paused instance goes on.
-const GATE_INTERVAL: Duration = Duration::from_micros(500);
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_micros(500);
 
 /// What becomes of the answer to a commit that has taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LostAnswer {
+pub enum LostResponse {
     /// Nothing is sent, and the connection stays open.
     Silent,
     /// The connection is reset.
@@ -38,7 +38,7 @@
     /// What reached it.
     pub arrivals: ArrivalLog,
     /// Its slots.
-    pub service: Service,
+    pub service: ServiceQueue,
     /// Most client connections it accepts.
     pub connection_limit: usize,
     /// How long it takes to set a connection up.
@@ -50,20 +50,20 @@
     paused: AtomicBool,
     isolated: AtomicBool,
     receiving: AtomicBool,
-    lost_answers: Mutex<Vec<LostAnswer>>,
+    lost_responses: Mutex<Vec<LostResponse>>,
     events: Arc<EventLog>,
     signal: Arc<Signal>,
 }
 
 /// What an instance is made of.
 #[derive(Debug)]
-pub struct InstanceParts {
+pub struct InstanceConfig {
     /// Its position in the group; the first begins as primary.
     pub index: usize,
     /// Its zone.
     pub zone: ZoneName,
     /// Its slots.
-    pub service: Service,
+    pub service: ServiceQueue,
     /// Most client connections it accepts.
     pub connection_limit: usize,
     /// How long it takes to set a connection up.
@@ -78,7 +78,7 @@
 
 impl Instance {
     /// An empty instance at term 1.
-    pub fn new(parts: InstanceParts) -> Self {
+    pub fn new(parts: InstanceConfig) -> Self {
         let state = State::new(parts.index == 0);
         Self {
             index: parts.index,
@@ -95,7 +95,7 @@
             paused: AtomicBool::new(false),
             isolated: AtomicBool::new(false),
             receiving: AtomicBool::new(true),
-            lost_answers: Mutex::default(),
+            lost_responses: Mutex::default(),
             events: parts.events,
             signal: parts.signal,
         }
@@ -162,7 +162,7 @@
         let mut state = self.state();
         let lag = self.lag();
         while let Some(entry) = state.log.get(state.applied) {
-            let due = entry.received.checked_add(lag.of(entry));
+            let due = entry.received.checked_add(lag.for_entry(entry));
             match due {
                 Some(due) if due <= now => state.apply_next(),
                 other => return other,
@@ -195,7 +195,7 @@
     pub fn kill(&self) {
         let mut state = self.state();
         self.alive.store(false, Ordering::Release);
-        state.end_life();
+        state.start_new_generation();
         drop(state);
         self.connections.reset_all();
         self.signal.raise();
@@ -233,25 +233,25 @@
     }
 
     /// The answer to the next commit is lost after the commit has taken effect.
-    pub fn lose_answer(&self, lost: LostAnswer) {
-        self.lost_answers.lock().expect("a holder of the faults lock panicked").push(lost);
+    pub fn lose_next_response(&self, lost: LostResponse) {
+        self.lost_responses.lock().expect("a holder of the faults lock panicked").push(lost);
     }
 
     /// What becomes of the answer to the commit just made.
-    pub fn take_lost_answer(&self) -> Option<LostAnswer> {
-        self.lost_answers.lock().expect("a holder of the faults lock panicked").pop()
+    pub fn take_lost_response(&self) -> Option<LostResponse> {
+        self.lost_responses.lock().expect("a holder of the faults lock panicked").pop()
     }
 
     /// Waits while the process is paused, or while `outside` and cut off. False once it is dead.
-    pub fn pass_gate(&self, outside: bool) -> bool {
+    pub fn wait_until_reachable(&self, cross_zone: bool) -> bool {
         loop {
             if !self.is_alive() {
                 return false;
             }
-            if self.is_running() && !(outside && self.is_isolated()) {
+            if self.is_running() && !(cross_zone && self.is_isolated()) {
                 return true;
             }
-            std::thread::sleep(GATE_INTERVAL);
+            std::thread::sleep(PAUSE_POLL_INTERVAL);
         }
     }
 }
--- a/crates/lab/src/standin/group/lag.rs
+++ b/crates/lab/src/standin/group/lag.rs
@@ -13,7 +13,7 @@
     /// The same for every record; [`Duration::MAX`] stops application.
     Fixed(Duration),
     /// Drawn for each record, evenly between two bounds. Records stay in order.
-    Drawn {
+    Uniform {
         /// Lower bound.
         shortest: Duration,
         /// Upper bound.
@@ -44,7 +44,7 @@
     pub fn draw(&mut self) -> Option<Duration> {
         match self.lag {
             Lag::Fixed(_) => None,
-            Lag::Drawn { shortest, longest } => {
+            Lag::Uniform { shortest, longest } => {
                 let spread = longest.saturating_sub(shortest);
                 Some(shortest + spread.mul_f64(self.random.random::<f64>()))
             }
@@ -52,10 +52,10 @@
     }
 
     /// The lag of a record.
-    pub fn of(&self, entry: &LogEntry) -> Duration {
+    pub fn for_entry(&self, entry: &LogEntry) -> Duration {
         match self.lag {
             Lag::Fixed(lag) => lag,
-            Lag::Drawn { shortest, .. } => entry.lag.unwrap_or(shortest),
+            Lag::Uniform { shortest, .. } => entry.lag.unwrap_or(shortest),
         }
     }
 }
--- a/crates/lab/src/standin/group/mod.rs
+++ b/crates/lab/src/standin/group/mod.rs
@@ -1,18 +1,18 @@
 //! A database group: instances that speak PostgreSQL v3 and replicate one log.
 
+pub mod analysis;
 pub mod arrivals;
 pub mod connections;
-pub mod define;
+pub mod ddl;
+pub mod dml;
 pub mod evaluate;
 pub mod events;
 pub mod functions;
 pub mod instance;
 pub mod lag;
 pub mod locks;
-pub mod modify;
 pub mod options;
 pub mod overlay;
-pub mod plan;
 pub mod replication;
 pub mod rows;
 pub mod select;
@@ -30,13 +30,13 @@
 use std::time::{Duration, Instant};
 
 use self::events::{EventLog, GroupEvent, Signal};
-use self::instance::{Instance, InstanceParts, LostAnswer};
+use self::instance::{Instance, InstanceConfig, LostResponse};
 use self::lag::{Lag, LagSource};
 use self::options::GroupOptions;
-use self::replication::Coordinator;
-use self::service::Service;
+use self::replication::Replicator;
+use self::service::ServiceQueue;
 use self::tables::{Change, Row};
-use super::door::Door;
+use super::listener::RestartableListener;
 
 /// Time between two looks while waiting for a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -58,10 +58,10 @@
     pub instances: Vec<Arc<Instance>>,
     /// Where callers reach each instance.
     pub addresses: Vec<SocketAddr>,
-    doors: Vec<Door>,
+    listeners: Vec<RestartableListener>,
     events: Arc<EventLog>,
     stopping: Arc<AtomicBool>,
-    coordinator: Option<JoinHandle<()>>,
+    replicator: Option<JoinHandle<()>>,
 }
 
 impl DatabaseGroup {
@@ -72,39 +72,39 @@
         let signal = Arc::new(Signal::default());
         let mut instances = Vec::new();
         let mut addresses = Vec::new();
-        let mut doors = Vec::new();
+        let mut listeners = Vec::new();
         for (index, zone) in options.zones.iter().enumerate() {
             let seed = options.seed.wrapping_add(index as u64);
-            let instance = Arc::new(Instance::new(InstanceParts {
+            let instance = Arc::new(Instance::new(InstanceConfig {
                 index,
                 zone: zone.clone(),
-                service: Service::new(options.slots, options.service_times, seed),
+                service: ServiceQueue::new(options.slots, options.service_times, seed),
                 connection_limit: options.connections,
                 connection_setup: options.connection_setup,
                 lag: LagSource::new(options.replica_lag, seed),
                 events: events.clone(),
                 signal: signal.clone(),
             }));
-            let door = Door::open()?;
-            let address = door.address();
+            let listener = RestartableListener::bind()?;
+            let address = listener.address();
             let network = options.network.clone();
-            wire::listen(door.clone(), instance.clone(), network.clone());
+            wire::listen(listener.clone(), instance.clone(), network.clone());
             addresses.push(match &network {
                 Some(network) => network.expose_tcp(zone, address)?,
                 None => address,
             });
-            doors.push(door);
+            listeners.push(listener);
             instances.push(instance);
         }
-        let coordinator = Coordinator::new(&instances, options, events.clone(), signal);
+        let replicator = Replicator::new(&instances, options, events.clone(), signal);
         let stop = stopping.clone();
-        let coordinator = Some(thread::spawn(move || coordinator.run(&stop)));
-        Ok(Self { instances, addresses, doors, events, stopping, coordinator })
+        let replicator = Some(thread::spawn(move || replicator.run(&stop)));
+        Ok(Self { instances, addresses, listeners, events, stopping, replicator })
     }
 
     /// Ends an instance's process; its log stays.
     pub fn kill(&self, index: usize) {
-        self.doors[index].shut();
+        self.listeners[index].close();
         self.instances[index].kill();
     }
 
@@ -112,7 +112,7 @@
     /// newer term does not have is dropped when it follows that primary.
     pub fn restart(&self, index: usize) {
         self.instances[index].restart();
-        self.doors[index].reopen();
+        self.listeners[index].reopen();
     }
 
     /// Stops an instance's process at whatever point it is; its connections stay open.
@@ -149,7 +149,7 @@
         longest: Duration,
         seed: u64,
     ) {
-        self.instances[index].set_lag(Lag::Drawn { shortest, longest }, seed);
+        self.instances[index].set_lag(Lag::Uniform { shortest, longest }, seed);
     }
 
     /// Stops or continues the flow of log to a replica, which still hears the primary.
@@ -159,12 +159,12 @@
 
     /// The next commit takes effect and is never answered.
     pub fn hang_after_commit(&self, index: usize) {
-        self.instances[index].lose_answer(LostAnswer::Silent);
+        self.instances[index].lose_next_response(LostResponse::Silent);
     }
 
     /// The next commit takes effect and its connection is reset instead of an answer.
     pub fn reset_after_commit(&self, index: usize) {
-        self.instances[index].lose_answer(LostAnswer::Reset);
+        self.instances[index].lose_next_response(LostResponse::Reset);
     }
 
     /// Breaks every client connection of an instance off.
@@ -252,13 +252,13 @@
 impl Drop for DatabaseGroup {
     fn drop(&mut self) {
         self.stopping.store(true, Ordering::Release);
-        for (instance, door) in self.instances.iter().zip(&self.doors) {
-            door.stop();
+        for (instance, listener) in self.instances.iter().zip(&self.listeners) {
+            listener.stop();
             instance.kill();
         }
-        if let Some(coordinator) = self.coordinator.take() {
+        if let Some(replicator) = self.replicator.take() {
             // A coordinator that panicked has said so itself.
-            let _ = coordinator.join();
+            let _ = replicator.join();
         }
     }
 }
--- a/crates/lab/src/standin/group/overlay.rs
+++ b/crates/lab/src/standin/group/overlay.rs
@@ -68,7 +68,7 @@
     /// Inserts or replaces a row.
     pub fn put(&mut self, table: &str, keys: &[UniqueKey], number: u64, row: Row) {
         let overlay = self.tables.entry(table.to_owned()).or_default();
-        overlay.forget_keys(keys, number);
+        overlay.remove_keys(keys, number);
         for (index, key) in keys.iter().enumerate() {
             if let Some(values) = key.values_of(&row) {
                 overlay.keys.insert((index, values), number);
@@ -81,7 +81,7 @@
     /// Deletes a row.
     pub fn delete(&mut self, table: &str, keys: &[UniqueKey], number: u64) {
         let overlay = self.tables.entry(table.to_owned()).or_default();
-        overlay.forget_keys(keys, number);
+        overlay.remove_keys(keys, number);
         overlay.rows.insert(number, None);
         self.changes.push(Change::Delete { table: table.to_owned(), number });
     }
@@ -137,7 +137,7 @@
 }
 
 impl TableOverlay {
-    fn forget_keys(&mut self, keys: &[UniqueKey], number: u64) {
+    fn remove_keys(&mut self, keys: &[UniqueKey], number: u64) {
         let Some(Some(old)) = self.rows.get(&number) else { return };
         for (index, key) in keys.iter().enumerate() {
             if let Some(values) = key.values_of(old) {
--- a/crates/lab/src/standin/group/replication.rs
+++ b/crates/lab/src/standin/group/replication.rs
@@ -19,18 +19,18 @@
 use super::state::{Generation, Record, State};
 
 /// Longest time between two looks at the group.
-const TICK: Duration = Duration::from_millis(1);
+const TICK_INTERVAL: Duration = Duration::from_millis(1);
 /// Share of the election timeout by which a member's own timeout may be longer.
-const TIMEOUT_SPREAD: f64 = 0.2;
+const ELECTION_TIMEOUT_SPREAD: f64 = 0.2;
 
 /// What the coordinator remembers of a member.
 #[derive(Debug)]
 struct Member {
     instance: Arc<Instance>,
-    last_heard: Instant,
+    last_contact: Instant,
     timeout: Duration,
     /// Since when it has known that a higher term than the one it leads exists.
-    outdated_since: Option<Instant>,
+    newer_term_since: Option<Instant>,
     generation: Generation,
 }
 
@@ -39,11 +39,11 @@
 struct Leader {
     index: usize,
     term: u32,
-    lost: bool,
+    is_lost: bool,
 }
 
 /// Carries log and votes between the members of one group.
-pub struct Coordinator {
+pub struct Replicator {
     members: Vec<Member>,
     options: GroupOptions,
     events: Arc<EventLog>,
@@ -52,7 +52,7 @@
     leader: Leader,
 }
 
-impl Coordinator {
+impl Replicator {
     /// A coordinator for instances of which the first is primary at term 1.
     pub fn new(
         instances: &[Arc<Instance>],
@@ -66,13 +66,13 @@
             .iter()
             .map(|instance| Member {
                 instance: instance.clone(),
-                last_heard: now,
+                last_contact: now,
                 timeout: draw_timeout(options.election_timeout, &mut random),
-                outdated_since: None,
+                newer_term_since: None,
                 generation: instance.state().generation,
             })
             .collect();
-        let leader = Leader { index: 0, term: 1, lost: false };
+        let leader = Leader { index: 0, term: 1, is_lost: false };
         Self { members, options, events, signal, random, leader }
     }
 
@@ -80,16 +80,17 @@
     pub fn run(mut self, stopping: &AtomicBool) {
         while !stopping.load(Ordering::Acquire) {
             let next = self.tick(Instant::now());
-            let left = next.map_or(TICK, |next| next.saturating_duration_since(Instant::now()));
-            self.signal.wait(left.min(TICK));
+            let timeout =
+                next.map_or(TICK_INTERVAL, |next| next.saturating_duration_since(Instant::now()));
+            self.signal.wait(timeout.min(TICK_INTERVAL));
         }
     }
 
     /// Does what is due. Returns when a record will next be old enough to be applied.
     pub fn tick(&mut self, now: Instant) -> Option<Instant> {
-        self.note_restarts(now);
+        self.detect_restarts(now);
         self.ship_all(now);
-        self.note_contact();
+        self.update_leader_contact();
         self.step_down_outdated(now);
         self.elect(now);
         self.members
@@ -100,13 +101,13 @@
     }
 
     /// Members that begin a new life know nothing of a primary or of higher terms.
-    fn note_restarts(&mut self, now: Instant) {
+    fn detect_restarts(&mut self, now: Instant) {
         for member in &mut self.members {
             let generation = member.instance.state().generation;
             if member.generation != generation {
                 member.generation = generation;
-                member.last_heard = now;
-                member.outdated_since = None;
+                member.last_contact = now;
+                member.newer_term_since = None;
             }
         }
     }
@@ -128,8 +129,9 @@
     }
 
     /// Whether two members can talk, both ways.
-    fn can_talk(&self, one: usize, other: usize) -> bool {
-        one == other || (self.delay(one, other).is_some() && self.delay(other, one).is_some())
+    fn can_communicate(&self, first: usize, second: usize) -> bool {
+        first == second
+            || (self.delay(first, second).is_some() && self.delay(second, first).is_some())
     }
 
     fn primaries(&self) -> Vec<usize> {
@@ -144,7 +146,7 @@
     fn ship_all(&mut self, now: Instant) {
         for source in self.primaries() {
             for target in 0..self.members.len() {
-                if target != source && self.can_talk(source, target) {
+                if target != source && self.can_communicate(source, target) {
                     self.ship(source, target, now);
                 }
             }
@@ -159,51 +161,53 @@
         let mut state = replica.state();
         if state.promised > term {
             drop(state);
-            self.members[source].outdated_since.get_or_insert(now);
+            self.members[source].newer_term_since.get_or_insert(now);
             return;
         }
         if state.primary {
             drop(state);
-            self.members[target].outdated_since.get_or_insert(now);
+            self.members[target].newer_term_since.get_or_insert(now);
             return;
         }
         if !replica.is_receiving() {
             drop(state);
-            self.members[target].last_heard = now;
+            self.members[target].last_contact = now;
             return;
         }
         let follows = state.term == term && state.promised == term;
-        let have = state.log.len();
+        let log_length = state.log.len();
         drop(state);
-        let (common, missing) = missing_records(&primary, &replica, follows.then_some(have));
+        let (common_length, missing) =
+            missing_records(&primary, &replica, follows.then_some(log_length));
         let arrived = |record: &&Arc<Record>| record.committed + delay <= now;
         state = replica.state();
         // Only this thread changes the log of a replica, and a restart keeps it.
-        state.truncate(common);
+        state.truncate(common_length);
         state.term = term;
         state.promised = term;
         for record in missing.iter().take_while(arrived) {
             replica.receive(&mut state, record.clone(), now);
         }
         drop(state);
-        self.members[target].last_heard = now;
+        self.members[target].last_contact = now;
     }
 
     /// Notes when the elected primary loses or regains a majority.
-    fn note_contact(&mut self) {
-        let Leader { index, term, lost } = self.leader;
+    fn update_leader_contact(&mut self) {
+        let Leader { index, term, is_lost } = self.leader;
         let leads = {
             let state = self.instance(index).state();
             state.primary && state.term == term
         };
-        let reached = (0..self.members.len()).filter(|other| self.can_talk(index, *other)).count();
+        let reached =
+            (0..self.members.len()).filter(|other| self.can_communicate(index, *other)).count();
         let runs = leads && self.instance(index).is_running();
         let has_majority = runs && reached >= self.majority();
-        if !has_majority && !lost {
-            self.leader.lost = true;
+        if !has_majority && !is_lost {
+            self.leader.is_lost = true;
             self.events.add(GroupEventKind::PrimaryLost { index, term });
-        } else if has_majority && lost {
-            self.leader.lost = false;
+        } else if has_majority && is_lost {
+            self.leader.is_lost = false;
             self.events.add(GroupEventKind::PrimaryRegained { index, term });
         }
     }
@@ -215,13 +219,13 @@
     /// Ends the leadership of members that have known of a higher term for long enough.
     fn step_down_outdated(&mut self, now: Instant) {
         for index in 0..self.members.len() {
-            let Some(since) = self.members[index].outdated_since else { continue };
+            let Some(since) = self.members[index].newer_term_since else { continue };
             let instance = self.instance(index).clone();
             if now < since + self.options.step_down_delay || !instance.is_running() {
                 continue;
             }
-            self.members[index].outdated_since = None;
-            self.members[index].last_heard = now;
+            self.members[index].newer_term_since = None;
+            self.members[index].last_contact = now;
             let mut state = instance.state();
             if !state.primary {
                 continue;
@@ -241,7 +245,7 @@
                 let member = &self.members[*index];
                 member.instance.is_running()
                     && !member.instance.is_primary()
-                    && now.duration_since(member.last_heard) >= member.timeout
+                    && now.duration_since(member.last_contact) >= member.timeout
             })
             .collect();
         let mut candidates = waiting.clone();
@@ -250,56 +254,59 @@
             std::cmp::Reverse((state.last_term(), state.flushed()))
         });
         for candidate in candidates {
-            let voters: Vec<usize> =
-                waiting.iter().copied().filter(|other| self.can_talk(candidate, *other)).collect();
+            let voters: Vec<usize> = waiting
+                .iter()
+                .copied()
+                .filter(|other| self.can_communicate(candidate, *other))
+                .collect();
             if voters.len() >= self.majority() {
-                return self.install(candidate, &voters, now);
+                return self.promote_winner(candidate, &voters, now);
             }
         }
     }
 
-    fn install(&mut self, winner: usize, voters: &[usize], now: Instant) {
+    fn promote_winner(&mut self, winner: usize, voters: &[usize], now: Instant) {
         let promised = voters.iter().map(|voter| self.instance(*voter).state().promised);
         let term = promised.max().unwrap_or(0) + 1;
         for voter in voters {
             self.instance(*voter).state().promised = term;
             let timeout = draw_timeout(self.options.election_timeout, &mut self.random);
             self.members[*voter].timeout = timeout;
-            self.members[*voter].last_heard = now;
+            self.members[*voter].last_contact = now;
         }
         self.instance(winner).state().promote(term);
-        self.leader = Leader { index: winner, term, lost: false };
+        self.leader = Leader { index: winner, term, is_lost: false };
         self.events.add(GroupEventKind::Elected { index: winner, term });
     }
 }
 
 fn draw_timeout(base: Duration, random: &mut StdRng) -> Duration {
-    base.mul_f64(1.0 + TIMEOUT_SPREAD * random.random::<f64>())
+    base.mul_f64(1.0 + ELECTION_TIMEOUT_SPREAD * random.random::<f64>())
 }
 
 /// How many first records of the replica's log the primary has too, and what follows them there.
 fn missing_records(
     primary: &Instance,
     replica: &Instance,
-    known_common: Option<usize>,
+    known_common_length: Option<usize>,
 ) -> (usize, Vec<Arc<Record>>) {
-    let records_after = |state: &State, common: usize| {
-        state.log[common..].iter().map(|entry| entry.record.clone()).collect()
+    let records_after = |state: &State, common_length: usize| {
+        state.log[common_length..].iter().map(|entry| entry.record.clone()).collect()
     };
-    if let Some(common) = known_common {
+    if let Some(common_length) = known_common_length {
         let state = primary.state();
-        return (common, records_after(&state, common.min(state.log.len())));
+        return (common_length, records_after(&state, common_length.min(state.log.len())));
     }
     let source: Vec<Arc<Record>> = records_after(&primary.state(), 0);
     let target = replica.state();
     let shorter = source.len().min(target.log.len());
     // Equal (term, end) means equal logs up to there: a term has one primary.
-    let common = (0..shorter)
+    let common_length = (0..shorter)
         .rev()
         .find(|index| {
-            let (one, other) = (&source[*index], &target.log[*index].record);
-            (one.term, one.end) == (other.term, other.end)
+            let (source_record, target_record) = (&source[*index], &target.log[*index].record);
+            (source_record.term, source_record.end) == (target_record.term, target_record.end)
         })
         .map_or(0, |index| index + 1);
-    (common, source[common..].to_vec())
+    (common_length, source[common_length..].to_vec())
 }
--- a/crates/lab/src/standin/group/rows.rs
+++ b/crates/lab/src/standin/group/rows.rs
@@ -5,57 +5,57 @@
 use super::evaluate::{Scope, SqlError, is_true};
 use super::overlay::NumberedRow;
 use super::tables::{Column, KeyValues, Table, Value};
-use super::transaction::Attempt;
+use super::transaction::ExecutionContext;
 use super::values::{TEXT, coerce};
 
 /// SQLSTATE of a name that is no column.
 const UNDEFINED_COLUMN: &str = "42703";
 
 /// Rows of a table that satisfy a condition, in the order of their numbers.
-pub fn matching(
-    attempt: &Attempt,
+pub fn matching_rows(
+    context: &ExecutionContext,
     name: &str,
     selection: Option<&Expr>,
 ) -> Result<Vec<NumberedRow>, SqlError> {
-    let definition = attempt.overlay.table(attempt.state, name)?;
-    let chosen = |row: &[Value]| match selection {
+    let definition = context.overlay.table(context.state, name)?;
+    let is_match = |row: &[Value]| match selection {
         Some(condition) => {
-            let scope = Scope::over(attempt, &definition.columns, row);
+            let scope = Scope::for_row(context, &definition.columns, row);
             Ok(is_true(&scope.evaluate(condition)?))
         }
         None => Ok(true),
     };
     let mut found = Vec::new();
-    if let Some(lookup) = selection.map(|condition| key_lookup(attempt, definition, condition))
+    if let Some(lookup) = selection.map(|condition| key_lookup(context, definition, condition))
         && let Some((key, values)) = lookup?
     {
-        if let Some(candidate) = attempt.overlay.find(definition, name, key, &values)
-            && chosen(&candidate.row)?
+        if let Some(candidate) = context.overlay.find(definition, name, key, &values)
+            && is_match(&candidate.row)?
         {
             found.push(candidate);
         }
         return Ok(found);
     }
-    attempt.overlay.each_row(definition, name, |number, row| {
-        if chosen(row)? {
+    context.overlay.each_row(definition, name, |number, row| {
+        if is_match(row)? {
             found.push(NumberedRow { number, row: row.clone() });
         }
         Ok(())
     })?;
     if found.is_empty() {
-        check_names(attempt, &definition.columns, selection)?;
+        check_names(context, &definition.columns, selection)?;
     }
     Ok(found)
 }
 
 /// An error if an expression names what does not exist. Where there are rows, evaluation tells.
 pub fn check_names<'a>(
-    attempt: &Attempt,
+    context: &ExecutionContext,
     columns: &[Column],
     expressions: impl IntoIterator<Item = &'a Expr>,
 ) -> Result<(), SqlError> {
     let nulls = vec![None; columns.len()];
-    let scope = Scope { group: Some(&[]), ..Scope::over(attempt, columns, &nulls) };
+    let scope = Scope { group: Some(&[]), ..Scope::for_row(context, columns, &nulls) };
     for expression in expressions {
         match scope.evaluate(expression) {
             Err(error) if error.state == UNDEFINED_COLUMN => return Err(error),
@@ -67,30 +67,30 @@
 
 /// The unique key and values that a condition demands, if it fixes all columns of one.
 fn key_lookup(
-    attempt: &Attempt,
+    context: &ExecutionContext,
     definition: &Table,
     condition: &Expr,
 ) -> Result<Option<(usize, KeyValues)>, SqlError> {
-    let mut fixed: Vec<Value> = vec![None; definition.columns.len()];
-    collect_fixed(attempt, definition, condition, &mut fixed)?;
+    let mut constants: Vec<Value> = vec![None; definition.columns.len()];
+    collect_constants(context, definition, condition, &mut constants)?;
     let whole = definition.keys.iter().position(|key| {
-        !key.columns.is_empty() && key.columns.iter().all(|column| fixed[*column].is_some())
+        !key.columns.is_empty() && key.columns.iter().all(|column| constants[*column].is_some())
     });
-    Ok(whole.and_then(|index| Some((index, definition.keys[index].values_of(&fixed)?))))
+    Ok(whole.and_then(|index| Some((index, definition.keys[index].values_of(&constants)?))))
 }
 
 /// Notes the columns that a conjunction compares with a constant.
-fn collect_fixed(
-    attempt: &Attempt,
+fn collect_constants(
+    context: &ExecutionContext,
     definition: &Table,
     condition: &Expr,
-    fixed: &mut [Value],
+    constants: &mut [Value],
 ) -> Result<(), SqlError> {
     match condition {
-        Expr::Nested(inner) => collect_fixed(attempt, definition, inner, fixed),
+        Expr::Nested(inner) => collect_constants(context, definition, inner, constants),
         Expr::BinaryOp { left, op: BinaryOperator::And, right } => {
-            collect_fixed(attempt, definition, left, fixed)?;
-            collect_fixed(attempt, definition, right, fixed)
+            collect_constants(context, definition, left, constants)?;
+            collect_constants(context, definition, right, constants)
         }
         Expr::BinaryOp { left, op: BinaryOperator::Eq, right } => {
             let (column, constant) = match (column_position(definition, left), is_constant(right)) {
@@ -100,9 +100,9 @@
                     _ => return Ok(()),
                 },
             };
-            let value = Scope::over(attempt, &[], &[]).evaluate(constant)?;
+            let value = Scope::for_row(context, &[], &[]).evaluate(constant)?;
             // A value that is no value of the column's type is left to the comparison itself.
-            fixed[column] = coerce(value, definition.columns[column].type_id).unwrap_or(None);
+            constants[column] = coerce(value, definition.columns[column].type_id).unwrap_or(None);
             Ok(())
         }
         _ => Ok(()),
--- a/crates/lab/src/standin/group/select.rs
+++ b/crates/lab/src/standin/group/select.rs
@@ -9,13 +9,13 @@
     SelectItem, SetExpr, Statement, Value as Literal,
 };
 
+use super::analysis::{expression_type, first_argument, relation_name, result_columns};
 use super::evaluate::{Scope, SqlError, is_true};
 use super::functions::{compare, is_aggregate};
 use super::locks::LockKey;
-use super::plan::{expression_type, first_argument, relation_name, result_columns};
-use super::rows::{check_names, matching};
+use super::rows::{check_names, matching_rows};
 use super::tables::{Column, Row, Value};
-use super::transaction::{Answer, Attempt, Halt};
+use super::transaction::{ExecutionContext, ExecutionError, StatementResult};
 use super::values::TEXT;
 
 /// How long a `SELECT pg_sleep(n)` sleeps, before anything else is done.
@@ -48,56 +48,59 @@
 }
 
 /// Runs a query.
-pub fn run(attempt: &mut Attempt, query: &Query) -> Result<Answer, Halt> {
+pub fn run(
+    context: &mut ExecutionContext,
+    query: &Query,
+) -> Result<StatementResult, ExecutionError> {
     let SetExpr::Select(select) = query.body.as_ref() else {
         return Err(SqlError::unsupported(query).into());
     };
     check_supported(query, select)?;
     let Some(from) = select.from.first() else {
-        return Ok(without_table(attempt, select)?);
+        return Ok(run_without_table(context, select)?);
     };
     let name = relation_name(&from.relation);
-    let columns = attempt.overlay.columns(attempt.state, &name)?;
-    let mut found = matching(attempt, &name, select.selection.as_ref())?;
+    let columns = context.overlay.columns(context.state, &name)?;
+    let mut found = matching_rows(context, &name, select.selection.as_ref())?;
     if !query.locks.is_empty() {
-        if !attempt.state.primary {
+        if !context.state.primary {
             let message = "cannot execute SELECT FOR UPDATE during recovery";
             return Err(SqlError::new("25006", message).into());
         }
         for row in &found {
-            attempt.lock(LockKey::Row { table: name.clone(), number: row.number })?;
+            context.lock(LockKey::Row { table: name.clone(), number: row.number })?;
         }
     }
     if found.is_empty() {
-        check_names(attempt, &columns, select.projection.iter().filter_map(item_expression))?;
+        check_names(context, &columns, select.projection.iter().filter_map(item_expression))?;
     }
     let rows: Vec<Row> = found.drain(..).map(|found| found.row).collect();
     let described = result_columns(&select.projection, &columns)?;
-    let groups = group(attempt, select, &columns, rows)?;
+    let groups = group(context, select, &columns, rows)?;
     let mut rows = match groups {
-        Grouped::Rows(rows) => {
-            let rows = order(attempt, query, &columns, rows)?;
-            let rows = limit(attempt, query, rows)?;
+        GroupedRows::Rows(rows) => {
+            let rows = order(context, query, &columns, rows)?;
+            let rows = limit(context, query, rows)?;
             rows.iter()
-                .map(|row| project(&Scope::over(attempt, &columns, row), select))
+                .map(|row| project(&Scope::for_row(context, &columns, row), select))
                 .collect::<Result<Vec<Row>, SqlError>>()?
         }
-        Grouped::Groups(groups) => {
+        GroupedRows::Groups(groups) => {
             let mut projected = Vec::with_capacity(groups.len());
             for rows in &groups {
                 let row = rows.first().map_or(&[][..], Vec::as_slice);
-                let scope = Scope { group: Some(rows), ..Scope::over(attempt, &columns, row) };
+                let scope = Scope { group: Some(rows), ..Scope::for_row(context, &columns, row) };
                 projected.push(project(&scope, select)?);
             }
-            let projected = order(attempt, query, &described, projected)?;
-            limit(attempt, query, projected)?
+            let projected = order(context, query, &described, projected)?;
+            limit(context, query, projected)?
         }
     };
     if select.distinct.is_some() {
         let mut seen = std::collections::HashSet::new();
         rows.retain(|row| seen.insert(row.clone()));
     }
-    Ok(Answer { tag: format!("SELECT {}", rows.len()), columns: Some(described), rows })
+    Ok(StatementResult { tag: format!("SELECT {}", rows.len()), columns: Some(described), rows })
 }
 
 fn check_supported(query: &Query, select: &Select) -> Result<(), SqlError> {
@@ -111,17 +114,20 @@
     Ok(())
 }
 
-fn without_table(attempt: &Attempt, select: &Select) -> Result<Answer, SqlError> {
-    let scope = Scope::over(attempt, &[], &[]);
+fn run_without_table(
+    context: &ExecutionContext,
+    select: &Select,
+) -> Result<StatementResult, SqlError> {
+    let scope = Scope::for_row(context, &[], &[]);
     if let Some(condition) = &select.selection
         && !is_true(&scope.evaluate(condition)?)
     {
         let columns = Some(result_columns(&select.projection, &[])?);
-        return Ok(Answer { columns, rows: Vec::new(), tag: "SELECT 0".into() });
+        return Ok(StatementResult { columns, rows: Vec::new(), tag: "SELECT 0".into() });
     }
     let row = project(&scope, select)?;
     let columns = Some(result_columns(&select.projection, &[])?);
-    Ok(Answer { columns, rows: vec![row], tag: "SELECT 1".into() })
+    Ok(StatementResult { columns, rows: vec![row], tag: "SELECT 1".into() })
 }
 
 fn project(scope: &Scope, select: &Select) -> Result<Row, SqlError> {
@@ -145,34 +151,38 @@
     Ok(row)
 }
 
-enum Grouped {
+enum GroupedRows {
     Rows(Vec<Row>),
     Groups(Vec<Vec<Row>>),
 }
 
 fn group(
-    attempt: &Attempt,
+    context: &ExecutionContext,
     select: &Select,
     columns: &[Column],
     rows: Vec<Row>,
-) -> Result<Grouped, SqlError> {
+) -> Result<GroupedRows, SqlError> {
     let GroupByExpr::Expressions(expressions, _) = &select.group_by else {
         return Err(SqlError::unsupported(select));
     };
     if expressions.is_empty() {
         let aggregates = select.projection.iter().any(has_aggregate);
-        return Ok(if aggregates { Grouped::Groups(vec![rows]) } else { Grouped::Rows(rows) });
+        return Ok(if aggregates {
+            GroupedRows::Groups(vec![rows])
+        } else {
+            GroupedRows::Rows(rows)
+        });
     }
     let mut groups: BTreeMap<Row, Vec<Row>> = BTreeMap::new();
     for row in rows {
-        let scope = Scope::over(attempt, columns, &row);
+        let scope = Scope::for_row(context, columns, &row);
         let key = expressions
             .iter()
             .map(|expression| scope.evaluate(expression))
             .collect::<Result<Row, SqlError>>()?;
         groups.entry(key).or_default().push(row);
     }
-    Ok(Grouped::Groups(groups.into_values().collect()))
+    Ok(GroupedRows::Groups(groups.into_values().collect()))
 }
 
 fn item_expression(item: &SelectItem) -> Option<&Expr> {
@@ -204,13 +214,13 @@
 }
 
 /// A row with the values that it is ordered by.
-struct Sortable {
+struct SortableRow {
     keys: Vec<Value>,
     row: Row,
 }
 
 fn order(
-    attempt: &Attempt,
+    context: &ExecutionContext,
     query: &Query,
     columns: &[Column],
     rows: Vec<Row>,
@@ -219,21 +229,21 @@
     let OrderByKind::Expressions(expressions) = &order.kind else {
         return Err(SqlError::unsupported(query));
     };
-    let mut sortable = Vec::with_capacity(rows.len());
+    let mut sortable_rows = Vec::with_capacity(rows.len());
     for row in rows {
-        let scope = Scope::over(attempt, columns, &row);
+        let scope = Scope::for_row(context, columns, &row);
         let keys = expressions
             .iter()
-            .map(|order| order_value(&scope, &order.expr))
+            .map(|order| order_key(&scope, &order.expr))
             .collect::<Result<Vec<Value>, SqlError>>()?;
-        sortable.push(Sortable { keys, row });
+        sortable_rows.push(SortableRow { keys, row });
     }
-    sortable.sort_by(|left, right| compare_rows(expressions, columns, left, right));
-    Ok(sortable.into_iter().map(|sortable| sortable.row).collect())
+    sortable_rows.sort_by(|left, right| compare_rows(expressions, columns, left, right));
+    Ok(sortable_rows.into_iter().map(|sortable_rows| sortable_rows.row).collect())
 }
 
 /// The value to order by; a plain number is the position of a column.
-fn order_value(scope: &Scope, expression: &Expr) -> Result<Value, SqlError> {
+fn order_key(scope: &Scope, expression: &Expr) -> Result<Value, SqlError> {
     if let Expr::Value(literal) = expression
         && let Literal::Number(text, _) = &literal.value
         && let Some(position) = text.parse::<usize>().ok().and_then(|number| number.checked_sub(1))
@@ -246,8 +256,8 @@
 fn compare_rows(
     expressions: &[OrderByExpr],
     columns: &[Column],
-    left: &Sortable,
-    right: &Sortable,
+    left: &SortableRow,
+    right: &SortableRow,
 ) -> Ordering {
     for ((order, left), right) in expressions.iter().zip(&left.keys).zip(&right.keys) {
         let textual = expression_type(&order.expr, columns) == TEXT;
@@ -266,13 +276,13 @@
     Ordering::Equal
 }
 
-fn limit(attempt: &Attempt, query: &Query, rows: Vec<Row>) -> Result<Vec<Row>, SqlError> {
+fn limit(context: &ExecutionContext, query: &Query, rows: Vec<Row>) -> Result<Vec<Row>, SqlError> {
     let Some(clause) = &query.limit_clause else { return Ok(rows) };
     let LimitClause::LimitOffset { limit, offset, .. } = clause else {
         return Err(SqlError::unsupported(query));
     };
     let count = |expression: &Expr| -> Result<Option<usize>, SqlError> {
-        let value = Scope::over(attempt, &[], &[]).evaluate(expression)?;
+        let value = Scope::for_row(context, &[], &[]).evaluate(expression)?;
         Ok(value.and_then(|text| text.parse().ok()))
     };
     let skip = match offset {
--- a/crates/lab/src/standin/group/service.rs
+++ b/crates/lab/src/standin/group/service.rs
@@ -87,7 +87,7 @@
 }
 
 #[derive(Debug)]
-struct Queue {
+struct QueueState {
     times: ServiceTimes,
     random: StdRng,
     slots: u64,
@@ -97,20 +97,20 @@
 
 /// The slots of one instance. Statements enter in the order in which they came.
 #[derive(Debug)]
-pub struct Service {
-    queue: Mutex<Queue>,
-    left: Condvar,
+pub struct ServiceQueue {
+    queue: Mutex<QueueState>,
+    statement_finished: Condvar,
 }
 
-impl Service {
+impl ServiceQueue {
     /// `slots` statements at once.
     pub fn new(slots: usize, times: ServiceTimes, seed: u64) -> Self {
         let random = StdRng::seed_from_u64(seed);
-        let queue = Queue { times, random, slots: slots as u64, next_ticket: 0, finished: 0 };
-        Self { queue: Mutex::new(queue), left: Condvar::new() }
+        let queue = QueueState { times, random, slots: slots as u64, next_ticket: 0, finished: 0 };
+        Self { queue: Mutex::new(queue), statement_finished: Condvar::new() }
     }
 
-    fn queue(&self) -> MutexGuard<'_, Queue> {
+    fn queue(&self) -> MutexGuard<'_, QueueState> {
         self.queue.lock().expect("a holder of the slot lock panicked")
     }
 
@@ -120,13 +120,13 @@
     }
 
     /// Statements that run or wait for a slot now.
-    pub fn present(&self) -> u64 {
+    pub fn in_progress(&self) -> u64 {
         let queue = self.queue();
         queue.next_ticket - queue.finished
     }
 
     /// Waits for a slot if the class takes one, and holds it for the service time.
-    pub fn pass(&self, class: StatementClass, control: &Control) -> Result<(), SqlError> {
+    pub fn serve(&self, class: StatementClass, control: &Control) -> Result<(), SqlError> {
         let mut queue = self.queue();
         let times = queue.times;
         let time = match class {
@@ -146,22 +146,22 @@
         }
         let ticket = queue.next_ticket;
         queue.next_ticket += 1;
-        let outcome = self.wait_for_turn(queue, ticket, control);
+        let outcome = self.wait_for_slot(queue, ticket, control);
         let outcome = outcome.and_then(|()| control.sleep(time));
         self.queue().finished += 1;
-        self.left.notify_all();
+        self.statement_finished.notify_all();
         outcome
     }
 
-    fn wait_for_turn(
+    fn wait_for_slot(
         &self,
-        mut queue: MutexGuard<'_, Queue>,
+        mut queue: MutexGuard<'_, QueueState>,
         ticket: u64,
         control: &Control,
     ) -> Result<(), SqlError> {
         while ticket >= queue.finished + queue.slots {
             control.check_cancelled()?;
-            let waited = self.left.wait_timeout(queue, CANCEL_CHECK_INTERVAL);
+            let waited = self.statement_finished.wait_timeout(queue, CANCEL_CHECK_INTERVAL);
             queue = waited.expect("a holder of the slot lock panicked").0;
         }
         Ok(())
--- a/crates/lab/src/standin/group/state.rs
+++ b/crates/lab/src/standin/group/state.rs
@@ -138,7 +138,7 @@
     }
 
     /// Ends every open transaction, as a restart does.
-    pub fn end_life(&mut self) {
+    pub fn start_new_generation(&mut self) {
         self.generation.0 += 1;
         self.locks.clear();
     }
@@ -158,6 +158,6 @@
     /// Stops being primary.
     pub fn step_down(&mut self) {
         self.primary = false;
-        self.end_life();
+        self.start_new_generation();
     }
 }
--- a/crates/lab/src/standin/group/tables.rs
+++ b/crates/lab/src/standin/group/tables.rs
@@ -173,7 +173,7 @@
     }
 
     /// Draws the number of a new row.
-    pub fn draw_row_number(&mut self) -> u64 {
+    pub fn allocate_row_number(&mut self) -> u64 {
         let number = self.next_row;
         self.next_row += 1;
         number
--- a/crates/lab/src/standin/group/transaction.rs
+++ b/crates/lab/src/standin/group/transaction.rs
@@ -8,10 +8,10 @@
 use sqlparser::ast::{Statement, TransactionAccessMode, TransactionMode};
 
 use super::connections::Control;
+use super::dml;
 use super::evaluate::SqlError;
 use super::instance::Instance;
 use super::locks::LockKey;
-use super::modify;
 use super::overlay::Overlay;
 use super::select;
 use super::service::StatementClass;
@@ -25,7 +25,7 @@
 
 /// What a statement answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct StatementResult {
     /// Columns, where rows are returned.
     pub columns: Option<Vec<Column>>,
     /// Rows.
@@ -34,30 +34,30 @@
     pub tag: String,
 }
 
-impl Answer {
+impl StatementResult {
     /// An answer without rows.
-    pub fn tagged(tag: &str) -> Self {
+    pub fn with_tag(tag: &str) -> Self {
         Self { tag: tag.to_owned(), ..Self::default() }
     }
 }
 
 /// Why an attempt to run a statement ended without an answer.
 #[derive(Debug)]
-pub enum Halt {
+pub enum ExecutionError {
     /// It failed.
-    Error(SqlError),
+    Sql(SqlError),
     /// Another transaction holds a lock that it needs.
-    Locked,
+    LockUnavailable,
 }
 
-impl From<SqlError> for Halt {
+impl From<SqlError> for ExecutionError {
     fn from(error: SqlError) -> Self {
-        Self::Error(error)
+        Self::Sql(error)
     }
 }
 
 /// What a statement works with while the instance's state is locked.
-pub struct Attempt<'a> {
+pub struct ExecutionContext<'a> {
     /// The instance's state.
     pub state: &'a mut State,
     /// Changes of the transaction so far.
@@ -70,12 +70,12 @@
     control: &'a Control,
 }
 
-impl Attempt<'_> {
+impl ExecutionContext<'_> {
     /// Takes a lock for the transaction.
-    pub fn lock(&mut self, lock: LockKey) -> Result<(), Halt> {
+    pub fn lock(&mut self, lock: LockKey) -> Result<(), ExecutionError> {
         match self.state.locks.take(lock, self.control.number(), self.held) {
             true => Ok(()),
-            false => Err(Halt::Locked),
+            false => Err(ExecutionError::LockUnavailable),
         }
     }
 }
@@ -160,7 +160,7 @@
             self.roll_back(instance);
             return Ok(());
         }
-        instance.service.pass(StatementClass::Commit, &self.control)?;
+        instance.service.serve(StatementClass::Commit, &self.control)?;
         let changes = std::mem::take(&mut self.overlay.changes);
         let mut state = instance.state();
         let outcome = if self.generation != Some(state.generation) {
@@ -195,7 +195,7 @@
         instance: &Instance,
         statement: &Statement,
         parameters: &[Value],
-    ) -> Result<Answer, SqlError> {
+    ) -> Result<StatementResult, SqlError> {
         let class = StatementClass::of(statement);
         if class == StatementClass::Write && self.read_only {
             return Err(SqlError::new("25006", "cannot execute in a read-only transaction"));
@@ -203,7 +203,7 @@
         if let Some(time) = select::sleep_time(statement, parameters)? {
             self.control.sleep(time)?;
         }
-        instance.service.pass(class, &self.control)?;
+        instance.service.serve(class, &self.control)?;
         let limit = Instant::now() + LOCK_TIMEOUT;
         let mut state = instance.state();
         loop {
@@ -211,10 +211,10 @@
                 let message = "cannot execute in a read-only transaction";
                 return Err(SqlError::new("25006", message));
             }
-            match self.attempt(&mut state, statement, parameters) {
-                Ok(answer) => return Ok(answer),
-                Err(Halt::Error(error)) => return Err(error),
-                Err(Halt::Locked) => {}
+            match self.try_run(&mut state, statement, parameters) {
+                Ok(result) => return Ok(result),
+                Err(ExecutionError::Sql(error)) => return Err(error),
+                Err(ExecutionError::LockUnavailable) => {}
             }
             self.control.check_cancelled()?;
             if Instant::now() > limit {
@@ -224,18 +224,18 @@
         }
     }
 
-    fn attempt(
+    fn try_run(
         &mut self,
         state: &mut State,
         statement: &Statement,
         parameters: &[Value],
-    ) -> Result<Answer, Halt> {
+    ) -> Result<StatementResult, ExecutionError> {
         let generation = state.generation;
         if self.generation.is_some_and(|known| known != generation) {
             let message = "terminating connection: the server was restarted";
             return Err(SqlError::new("57P01", message).into());
         }
-        let mut attempt = Attempt {
+        let mut context = ExecutionContext {
             state,
             overlay: &mut self.overlay,
             parameters,
@@ -243,13 +243,13 @@
             held: &mut self.held,
             control: &self.control,
         };
-        let answer = match statement {
-            Statement::Query(query) => select::run(&mut attempt, query),
-            other => modify::run(&mut attempt, other),
+        let result = match statement {
+            Statement::Query(query) => select::run(&mut context, query),
+            other => dml::run(&mut context, other),
         };
         if !self.held.is_empty() || !self.overlay.changes.is_empty() {
             self.generation.get_or_insert(generation);
         }
-        answer
+        result
     }
 }
--- a/crates/lab/src/standin/group/values.rs
+++ b/crates/lab/src/standin/group/values.rs
@@ -28,15 +28,15 @@
 /// Format code of binary values; every other code means text.
 pub const BINARY_FORMAT: i16 = 1;
 
-const MICROSECONDS_A_SECOND: i64 = 1_000_000;
-const SECONDS_A_DAY: i64 = 86_400;
+const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
+const SECONDS_PER_DAY: i64 = 86_400;
 /// Days from 0000-03-01 to 2000-01-01 in the proleptic Gregorian calendar.
-const EPOCH_DAY: i64 = 730_425;
-const DAYS_IN_ERA: i64 = 146_097;
-const YEARS_IN_ERA: i64 = 400;
+const POSTGRES_EPOCH_DAY: i64 = 730_425;
+const DAYS_PER_ERA: i64 = 146_097;
+const YEARS_PER_ERA: i64 = 400;
 
 /// The type number of a declared type.
-pub fn type_number(declared: &DataType) -> u32 {
+pub fn type_oid(declared: &DataType) -> u32 {
     match declared {
         DataType::BigInt(_) | DataType::Int8(_) => BIGINT,
         DataType::Int(_) | DataType::Integer(_) | DataType::Int4(_) | DataType::SmallInt(_) => {
@@ -130,18 +130,18 @@
 
 /// Text of a moment given in microseconds since 2000-01-01 UTC.
 pub fn timestamp_text(micros: i64) -> String {
-    let seconds = micros.div_euclid(MICROSECONDS_A_SECOND);
-    let fraction = micros.rem_euclid(MICROSECONDS_A_SECOND);
-    let day = seconds.div_euclid(SECONDS_A_DAY) + EPOCH_DAY;
-    let second = seconds.rem_euclid(SECONDS_A_DAY);
-    let era = day.div_euclid(DAYS_IN_ERA);
-    let of_era = day.rem_euclid(DAYS_IN_ERA);
+    let seconds = micros.div_euclid(MICROSECONDS_PER_SECOND);
+    let fraction = micros.rem_euclid(MICROSECONDS_PER_SECOND);
+    let day = seconds.div_euclid(SECONDS_PER_DAY) + POSTGRES_EPOCH_DAY;
+    let second = seconds.rem_euclid(SECONDS_PER_DAY);
+    let era = day.div_euclid(DAYS_PER_ERA);
+    let of_era = day.rem_euclid(DAYS_PER_ERA);
     let year_of_era = (of_era - of_era / 1460 + of_era / 36_524 - of_era / 146_096) / 365;
     let of_year = of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
     let shifted_month = (5 * of_year + 2) / 153;
     let day_of_month = of_year - (153 * shifted_month + 2) / 5 + 1;
     let month = if shifted_month < 10 { shifted_month + 3 } else { shifted_month - 9 };
-    let year = year_of_era + era * YEARS_IN_ERA + i64::from(month <= 2);
+    let year = year_of_era + era * YEARS_PER_ERA + i64::from(month <= 2);
     format!(
         "{year:04}-{month:02}-{day_of_month:02} {:02}:{:02}:{:02}.{fraction:06}+00",
         second / 3600,
@@ -161,14 +161,14 @@
     let minute: i64 = parts.next()?.parse().ok()?;
     let (second, fraction) = seconds_and_fraction(parts.next().unwrap_or("0"))?;
     let shifted_year = year - i64::from(month <= 2);
-    let era = shifted_year.div_euclid(YEARS_IN_ERA);
-    let year_of_era = shifted_year.rem_euclid(YEARS_IN_ERA);
+    let era = shifted_year.div_euclid(YEARS_PER_ERA);
+    let year_of_era = shifted_year.rem_euclid(YEARS_PER_ERA);
     let shifted_month = if month > 2 { month - 3 } else { month + 9 };
     let of_year = (153 * shifted_month + 2) / 5 + day - 1;
     let of_era = year_of_era * 365 + year_of_era / 4 - year_of_era / 100 + of_year;
-    let days = era * DAYS_IN_ERA + of_era - EPOCH_DAY;
-    let seconds = days * SECONDS_A_DAY + hour * 3600 + minute * 60 + second;
-    Some(seconds * MICROSECONDS_A_SECOND + fraction)
+    let days = era * DAYS_PER_ERA + of_era - POSTGRES_EPOCH_DAY;
+    let seconds = days * SECONDS_PER_DAY + hour * 3600 + minute * 60 + second;
+    Some(seconds * MICROSECONDS_PER_SECOND + fraction)
 }
 
 fn seconds_and_fraction(text: &str) -> Option<(i64, i64)> {
--- a/crates/lab/src/standin/group/wire/extended.rs
+++ b/crates/lab/src/standin/group/wire/extended.rs
@@ -12,14 +12,14 @@
 use sqlparser::ast::Statement;
 
 use super::{Client, format_of};
+use crate::standin::group::analysis;
 use crate::standin::group::evaluate::SqlError;
-use crate::standin::group::plan;
 use crate::standin::group::tables::{Column, Value};
-use crate::standin::group::transaction::Answer;
+use crate::standin::group::transaction::StatementResult;
 use crate::standin::group::values::decode_parameter;
 
 /// A prepared statement.
-pub struct Prepared {
+pub struct PreparedStatement {
     /// The parsed text: one statement, or none.
     statements: Arc<[Statement]>,
     parameter_types: Vec<u32>,
@@ -28,19 +28,19 @@
 
 /// A prepared statement with values for its parameters.
 pub struct Portal {
-    prepared: Arc<Prepared>,
+    prepared: Arc<PreparedStatement>,
     parameters: Vec<Value>,
     formats: Vec<i16>,
     /// Rows not yet fetched, once it has run.
-    under_way: Option<Fetching>,
+    fetching: Option<FetchState>,
 }
 
-struct Fetching {
-    answer: Answer,
+struct FetchState {
+    result: StatementResult,
     next: usize,
 }
 
-fn name_of(name: Option<String>) -> String {
+fn name_or_unnamed(name: Option<String>) -> String {
     name.unwrap_or_default()
 }
 
@@ -60,16 +60,16 @@
         };
         if let Err(error) = outcome {
             self.fail(&error);
-            self.skipping = true;
+            self.skipping_until_sync = true;
         }
     }
 
     /// Ends the implicit transaction, if one is open.
     pub fn sync(&mut self) {
-        if !self.skipping {
+        if !self.skipping_until_sync {
             self.commit_implicit();
         }
-        self.skipping = false;
+        self.skipping_until_sync = false;
         if self.status == TransactionStatus::Idle {
             self.portals.clear();
         }
@@ -82,7 +82,7 @@
             let message = "cannot insert multiple commands into a prepared statement";
             return Err(SqlError::new("42601", message));
         }
-        let name = name_of(parse.name);
+        let name = name_or_unnamed(parse.name);
         if !name.is_empty() && self.statements.contains_key(&name) {
             let message = format!("prepared statement {name:?} already exists");
             return Err(SqlError::new("42P05", message));
@@ -97,26 +97,30 @@
         &self,
         statements: Arc<[Statement]>,
         declared: &[u32],
-    ) -> Result<Prepared, SqlError> {
+    ) -> Result<PreparedStatement, SqlError> {
         let Some(statement) = statements.first() else {
-            return Ok(Prepared { statements, parameter_types: Vec::new(), columns: None });
+            return Ok(PreparedStatement {
+                statements,
+                parameter_types: Vec::new(),
+                columns: None,
+            });
         };
         let lookup = |table: &str| self.transaction.columns_of(self.instance, table);
-        Ok(Prepared {
-            parameter_types: plan::parameter_types(statement, declared, &lookup)?,
-            columns: plan::describe(statement, &lookup)?,
+        Ok(PreparedStatement {
+            parameter_types: analysis::parameter_types(statement, declared, &lookup)?,
+            columns: analysis::describe(statement, &lookup)?,
             statements: statements.clone(),
         })
     }
 
-    fn prepared(&self, name: &str) -> Result<Arc<Prepared>, SqlError> {
+    fn prepared(&self, name: &str) -> Result<Arc<PreparedStatement>, SqlError> {
         let missing =
             || SqlError::new("26000", format!("prepared statement {name:?} does not exist"));
         self.statements.get(name).cloned().ok_or_else(missing)
     }
 
     fn on_bind(&mut self, bind: Bind) -> Result<(), SqlError> {
-        let prepared = self.prepared(&name_of(bind.statement_name))?;
+        let prepared = self.prepared(&name_or_unnamed(bind.statement_name))?;
         if bind.parameters.len() != prepared.parameter_types.len() {
             let message = format!(
                 "bind message supplies {} parameters, but prepared statement requires {}",
@@ -137,14 +141,14 @@
             })
             .collect::<Result<Vec<Value>, SqlError>>()?;
         let formats = bind.result_column_format_codes;
-        let portal = Portal { prepared, parameters, formats, under_way: None };
-        self.portals.insert(name_of(bind.portal_name), portal);
+        let portal = Portal { prepared, parameters, formats, fetching: None };
+        self.portals.insert(name_or_unnamed(bind.portal_name), portal);
         self.send(PgWireBackendMessage::BindComplete(BindComplete::new()));
         Ok(())
     }
 
     fn on_describe(&mut self, describe: Describe) -> Result<(), SqlError> {
-        let name = name_of(describe.name);
+        let name = name_or_unnamed(describe.name);
         let (columns, formats) = if describe.target_type == TARGET_TYPE_BYTE_STATEMENT {
             let prepared = self.prepared(&name)?;
             let types = prepared.parameter_types.clone();
@@ -163,7 +167,7 @@
     }
 
     fn on_execute(&mut self, execute: Execute) -> Result<(), SqlError> {
-        let name = name_of(execute.name);
+        let name = name_or_unnamed(execute.name);
         let mut portal = self.portals.remove(&name).ok_or_else(|| missing_portal(&name))?;
         let outcome = self.execute(&mut portal, execute.max_rows);
         self.portals.insert(name, portal);
@@ -176,21 +180,21 @@
             self.send(PgWireBackendMessage::EmptyQueryResponse(EmptyQueryResponse::new()));
             return Ok(());
         };
-        if portal.under_way.is_none() {
+        if portal.fetching.is_none() {
             if self.instance.arrivals.is_recording() {
                 let primary = self.instance.is_primary();
                 let text = format!("{statement} {:?}", portal.parameters);
                 self.instance.arrivals.add(self.control.number(), primary, &text);
             }
-            let answer = self.run(statement, &portal.parameters)?;
-            portal.under_way = Some(Fetching { answer, next: 0 });
+            let result = self.run(statement, &portal.parameters)?;
+            portal.fetching = Some(FetchState { result, next: 0 });
         }
-        let Some(fetching) = &mut portal.under_way else { return Ok(()) };
+        let Some(fetching) = &mut portal.fetching else { return Ok(()) };
         let columns = prepared.columns.as_deref().unwrap_or_default();
-        let left = fetching.answer.rows.len() - fetching.next;
+        let left = fetching.result.rows.len() - fetching.next;
         let count = usize::try_from(max_rows).ok().filter(|limit| *limit > 0).unwrap_or(left);
         let count = count.min(left);
-        for row in &fetching.answer.rows[fetching.next..fetching.next + count] {
+        for row in &fetching.result.rows[fetching.next..fetching.next + count] {
             self.send_row(row, columns, &portal.formats);
         }
         fetching.next += count;
@@ -198,13 +202,13 @@
             self.send(PgWireBackendMessage::PortalSuspended(PortalSuspended::new()));
             return Ok(());
         }
-        let tag = fetching.answer.tag.clone();
+        let tag = fetching.result.tag.clone();
         self.send(PgWireBackendMessage::CommandComplete(CommandComplete::new(tag)));
         Ok(())
     }
 
     fn on_close(&mut self, close: Close) {
-        let name = name_of(close.name);
+        let name = name_or_unnamed(close.name);
         if close.target_type == TARGET_TYPE_BYTE_STATEMENT {
             self.statements.remove(&name);
         } else {
--- a/crates/lab/src/standin/group/wire/mod.rs
+++ b/crates/lab/src/standin/group/wire/mod.rs
@@ -23,35 +23,39 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::Parser;
 
-use self::extended::{Portal, Prepared};
+use self::extended::{Portal, PreparedStatement};
 use self::settings::SessionSettings;
 use super::connections::Control;
 use super::evaluate::SqlError;
-use super::instance::{Instance, LostAnswer};
+use super::instance::{Instance, LostResponse};
 use super::tables::{Column, Row, Value};
-use super::transaction::{Answer, Transaction};
+use super::transaction::{StatementResult, Transaction};
 use super::values::{encode_value, type_size};
-use crate::standin::door::{Door, reset_on_close};
+use crate::standin::listener::{RestartableListener, reset_on_close};
 use crate::standin::network::Network;
 
 /// Name of the threads that serve connections.
 pub const THREAD_NAME: &str = "standin";
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Texts whose parsed form a connection keeps.
-const PARSED_LIMIT: usize = 256;
+const PARSED_CACHE_LIMIT: usize = 256;
 
 /// Accepts connections until the door is stopped.
-pub fn listen(door: Door, instance: Arc<Instance>, network: Option<Arc<Network>>) {
+pub fn listen(
+    listener: RestartableListener,
+    instance: Arc<Instance>,
+    network: Option<Arc<Network>>,
+) {
     thread::spawn(move || {
-        while let Some(stream) = door.accept() {
+        while let Some(stream) = listener.accept() {
             if !instance.is_alive() {
                 reset_on_close(&stream);
                 continue;
             }
-            let outside =
-                network.as_ref().is_some_and(|network| is_outside(network, &stream, &instance));
+            let cross_zone =
+                network.as_ref().is_some_and(|network| is_cross_zone(network, &stream, &instance));
             let instance = instance.clone();
-            let serving = move || serve(stream, &instance, outside);
+            let serving = move || serve(stream, &instance, cross_zone);
             // Without a thread the connection is closed, as a real server does.
             let _ = thread::Builder::new().name(THREAD_NAME.into()).spawn(serving);
         }
@@ -59,7 +63,7 @@
 }
 
 /// Whether a caller is of another zone than the instance.
-fn is_outside(network: &Network, stream: &TcpStream, instance: &Instance) -> bool {
+fn is_cross_zone(network: &Network, stream: &TcpStream, instance: &Instance) -> bool {
     let peer = stream.peer_addr().ok();
     peer.and_then(|peer| network.zone_of(peer.ip())).is_none_or(|zone| zone != instance.zone)
 }
@@ -72,17 +76,17 @@
     output: BytesMut,
     settings: SessionSettings,
     parsed: HashMap<String, Arc<[Statement]>>,
-    statements: HashMap<String, Arc<Prepared>>,
+    statements: HashMap<String, Arc<PreparedStatement>>,
     portals: HashMap<String, Portal>,
     /// An error was sent; messages are skipped up to the next Sync.
-    skipping: bool,
+    skipping_until_sync: bool,
     /// What becomes of the answer that is being written.
-    lost_answer: Option<LostAnswer>,
+    lost_response: Option<LostResponse>,
     /// The caller is of another zone.
-    outside: bool,
+    cross_zone: bool,
 }
 
-fn serve(mut stream: TcpStream, instance: &Instance, outside: bool) {
+fn serve(mut stream: TcpStream, instance: &Instance, cross_zone: bool) {
     let control = instance.connections.open(&stream);
     let mut client = Client {
         instance,
@@ -94,9 +98,9 @@
         parsed: HashMap::new(),
         statements: HashMap::new(),
         portals: HashMap::new(),
-        skipping: false,
-        lost_answer: None,
-        outside,
+        skipping_until_sync: false,
+        lost_response: None,
+        cross_zone,
     };
     // A connection that breaks is the client's affair; its transaction is rolled back below.
     let _ = client.serve(&mut stream);
@@ -120,7 +124,7 @@
             }
             self.send_output(stream)?;
             let count = stream.read(&mut chunk)?;
-            if count == 0 || !self.instance.pass_gate(self.outside) {
+            if count == 0 || !self.instance.wait_until_reachable(self.cross_zone) {
                 return Ok(());
             }
             input.extend_from_slice(&chunk[..count]);
@@ -131,14 +135,14 @@
         if self.output.is_empty() {
             return Ok(());
         }
-        if !self.instance.pass_gate(self.outside) {
+        if !self.instance.wait_until_reachable(self.cross_zone) {
             reset_on_close(stream);
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        match self.lost_answer.take() {
+        match self.lost_response.take() {
             None => stream.write_all(&self.output)?,
-            Some(LostAnswer::Silent) => return wait_for_end(stream),
-            Some(LostAnswer::Reset) => {
+            Some(LostResponse::Silent) => return wait_for_end(stream),
+            Some(LostResponse::Reset) => {
                 reset_on_close(stream);
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
@@ -166,7 +170,7 @@
             }
             PgWireFrontendMessage::Terminate(_) => return false,
             PgWireFrontendMessage::Sync(_) => self.sync(),
-            _ if self.skipping => {}
+            _ if self.skipping_until_sync => {}
             PgWireFrontendMessage::Query(query) => self.simple_query(&query.query),
             message if message.is_extended_query() => self.on_extended(message),
             _ => {
@@ -180,7 +184,10 @@
     /// Sets the connection up; false if it is refused.
     fn start_up(&mut self) -> bool {
         if !self.instance.connections.admit(&self.control, self.instance.connection_limit) {
-            self.send_severe("FATAL", &SqlError::new("53300", "sorry, too many clients already"));
+            self.send_error_with_severity(
+                "FATAL",
+                &SqlError::new("53300", "sorry, too many clients already"),
+            );
             return false;
         }
         thread::sleep(self.instance.connection_setup);
@@ -205,10 +212,10 @@
     }
 
     fn send_error(&mut self, error: &SqlError) {
-        self.send_severe("ERROR", error);
+        self.send_error_with_severity("ERROR", error);
     }
 
-    fn send_severe(&mut self, severity: &str, error: &SqlError) {
+    fn send_error_with_severity(&mut self, severity: &str, error: &SqlError) {
         let fields = vec![
             (b'S', severity.to_owned()),
             (b'V', severity.to_owned()),
@@ -225,7 +232,7 @@
         let statements: Arc<[Statement]> = Parser::parse_sql(&PostgreSqlDialect {}, sql)
             .map_err(|error| SqlError::new("42601", error.to_string()))?
             .into();
-        if self.parsed.len() >= PARSED_LIMIT {
+        if self.parsed.len() >= PARSED_CACHE_LIMIT {
             self.parsed.clear();
         }
         self.parsed.insert(sql.to_owned(), statements.clone());
@@ -251,7 +258,7 @@
     fn run_all(&mut self, statements: &[Statement]) {
         for statement in statements {
             match self.run(statement, &[]) {
-                Ok(answer) => self.send_answer(answer),
+                Ok(result) => self.send_result(result),
                 Err(error) => return self.fail(&error),
             }
         }
@@ -271,7 +278,7 @@
         let writes = self.transaction.has_changes();
         self.transaction.commit(self.instance)?;
         if writes {
-            self.lost_answer = self.instance.take_lost_answer();
+            self.lost_response = self.instance.take_lost_response();
         }
         Ok(())
     }
@@ -285,7 +292,11 @@
         }
     }
 
-    fn run(&mut self, statement: &Statement, parameters: &[Value]) -> Result<Answer, SqlError> {
+    fn run(
+        &mut self,
+        statement: &Statement,
+        parameters: &[Value],
+    ) -> Result<StatementResult, SqlError> {
         self.control.begin_statement();
         match statement {
             Statement::Commit { .. } | Statement::Rollback { savepoint: None, .. } => {
@@ -294,7 +305,7 @@
             Statement::Rollback { savepoint: Some(name), .. } => {
                 self.transaction.roll_back_to(&name.value)?;
                 self.status = TransactionStatus::Transaction;
-                Ok(Answer::tagged("ROLLBACK"))
+                Ok(StatementResult::with_tag("ROLLBACK"))
             }
             _ if self.status == TransactionStatus::Error => {
                 Err(SqlError::new("25P02", "current transaction is aborted"))
@@ -302,24 +313,24 @@
             Statement::StartTransaction { modes, .. } => {
                 self.status = TransactionStatus::Transaction;
                 self.transaction.begin(modes);
-                Ok(Answer::tagged("BEGIN"))
+                Ok(StatementResult::with_tag("BEGIN"))
             }
             Statement::Savepoint { name } => {
                 if self.status == TransactionStatus::Idle {
                     return Err(SqlError::new("25P01", "SAVEPOINT can only be used in a block"));
                 }
                 self.transaction.savepoint(&name.value);
-                Ok(Answer::tagged("SAVEPOINT"))
+                Ok(StatementResult::with_tag("SAVEPOINT"))
             }
             Statement::ReleaseSavepoint { name } => {
                 self.transaction.release(&name.value)?;
-                Ok(Answer::tagged("RELEASE"))
+                Ok(StatementResult::with_tag("RELEASE"))
             }
             Statement::Discard { .. } => {
                 self.statements.clear();
                 self.portals.clear();
                 self.settings.reset();
-                Ok(Answer::tagged("DISCARD ALL"))
+                Ok(StatementResult::with_tag("DISCARD ALL"))
             }
             Statement::Set(set) => self.settings.set(set),
             Statement::Reset(reset) => self.settings.reset_one(reset),
@@ -328,25 +339,25 @@
         }
     }
 
-    fn end_block(&mut self, commits: bool) -> Result<Answer, SqlError> {
+    fn end_block(&mut self, commits: bool) -> Result<StatementResult, SqlError> {
         let commits = commits && self.status != TransactionStatus::Error;
         self.status = TransactionStatus::Idle;
         if commits {
             self.commit()?;
-            return Ok(Answer::tagged("COMMIT"));
+            return Ok(StatementResult::with_tag("COMMIT"));
         }
         self.transaction.roll_back(self.instance);
-        Ok(Answer::tagged("ROLLBACK"))
+        Ok(StatementResult::with_tag("ROLLBACK"))
     }
 
-    fn send_answer(&mut self, answer: Answer) {
-        if let Some(columns) = &answer.columns {
+    fn send_result(&mut self, result: StatementResult) {
+        if let Some(columns) = &result.columns {
             self.send_row_description(columns, &[]);
-            for row in &answer.rows {
+            for row in &result.rows {
                 self.send_row(row, columns, &[]);
             }
         }
-        self.send(PgWireBackendMessage::CommandComplete(CommandComplete::new(answer.tag)));
+        self.send(PgWireBackendMessage::CommandComplete(CommandComplete::new(result.tag)));
     }
 
     fn send_row_description(&mut self, columns: &[Column], formats: &[i16]) {
--- a/crates/lab/src/standin/group/wire/settings.rs
+++ b/crates/lab/src/standin/group/wire/settings.rs
@@ -6,7 +6,7 @@
 
 use crate::standin::group::evaluate::SqlError;
 use crate::standin::group::tables::Column;
-use crate::standin::group::transaction::Answer;
+use crate::standin::group::transaction::StatementResult;
 use crate::standin::group::values::TEXT;
 
 /// Settings told at start-up.
@@ -42,7 +42,7 @@
     }
 
     /// Runs SET.
-    pub fn set(&mut self, set: &Set) -> Result<Answer, SqlError> {
+    pub fn set(&mut self, set: &Set) -> Result<StatementResult, SqlError> {
         match set {
             Set::SingleAssignment { variable, values, .. } => {
                 let value = values.iter().map(text_of).collect::<Vec<_>>().join(", ");
@@ -57,11 +57,11 @@
             Set::SetTransaction { .. } | Set::SetNamesDefault {} | Set::SetRole { .. } => {}
             other => return Err(SqlError::unsupported(other)),
         }
-        Ok(Answer::tagged("SET"))
+        Ok(StatementResult::with_tag("SET"))
     }
 
     /// Runs RESET.
-    pub fn reset_one(&mut self, reset: &ResetStatement) -> Result<Answer, SqlError> {
+    pub fn reset_one(&mut self, reset: &ResetStatement) -> Result<StatementResult, SqlError> {
         match &reset.reset {
             Reset::ALL => self.reset(),
             Reset::SessionAuthorization => {}
@@ -69,11 +69,11 @@
                 self.changed.remove(&name.to_string().to_lowercase());
             }
         }
-        Ok(Answer::tagged("RESET"))
+        Ok(StatementResult::with_tag("RESET"))
     }
 
     /// Runs SHOW.
-    pub fn show(&self, variable: &[Ident]) -> Result<Answer, SqlError> {
+    pub fn show(&self, variable: &[Ident]) -> Result<StatementResult, SqlError> {
         let name = variable.iter().map(|part| part.value.to_lowercase()).collect::<Vec<_>>();
         let name = name.join(".");
         let reported = REPORTED.iter().find(|(known, _)| known.eq_ignore_ascii_case(&name));
@@ -92,6 +92,6 @@
         };
         let column = Column { name, type_id: TEXT, ..Column::default() };
         let rows = vec![vec![Some(value)]];
-        Ok(Answer { columns: Some(vec![column]), rows, tag: "SHOW".into() })
+        Ok(StatementResult { columns: Some(vec![column]), rows, tag: "SHOW".into() })
     }
 }
--- a/crates/lab/src/standin/http.rs
+++ b/crates/lab/src/standin/http.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-use super::door::{Door, reset_on_close};
+use super::listener::{RestartableListener, reset_on_close};
 
 /// Connections served at once; more are reset.
 const CONNECTION_LIMIT: usize = 2048;
@@ -61,10 +61,10 @@
 pub type Handler = dyn Fn(Request) -> Reply + Send + Sync;
 
 /// Serves connections until the door is stopped.
-pub fn serve(door: Door, handler: Arc<Handler>) {
+pub fn serve(listener: RestartableListener, handler: Arc<Handler>) {
     let connections = Arc::new(AtomicUsize::new(0));
     thread::spawn(move || {
-        while let Some(stream) = door.accept() {
+        while let Some(stream) = listener.accept() {
             if connections.load(Ordering::Acquire) >= CONNECTION_LIMIT {
                 reset_on_close(&stream);
                 continue;
--- a/crates/lab/src/standin/instances/mod.rs
+++ b/crates/lab/src/standin/instances/mod.rs
@@ -17,11 +17,11 @@
 use kestrellock_core::routing::Role;
 use kestrellock_platform::standin::entries::InstanceEntry;
 
-use super::door::Door;
+use super::listener::RestartableListener;
 use super::store::StoreWriter;
 
-pub use promotions::{Promoted, PromotionService};
-pub use state::{Commit, Run};
+pub use promotions::{PromotionRequest, PromotionService};
+pub use state::{Commit, ExecutedStatement};
 use state::{Instance, State};
 
 /// How a group is set up.
@@ -59,7 +59,7 @@
     }
 
     /// Lets the store know how an instance stands.
-    fn announce(&self, state: &State, name: &str) {
+    fn publish_entry(&self, state: &State, name: &str) {
         let Some(instance) = state.instances.get(name) else { return };
         let entry = InstanceEntry {
             name,
@@ -69,7 +69,7 @@
             slots: state.options.slots,
             leaving: instance.leaving,
             role: instance.role,
-            incarnation: Some(instance.born),
+            incarnation: Some(instance.incarnation),
         };
         self.store.put(&InstanceEntry::key(name), &entry.value());
     }
@@ -82,20 +82,20 @@
 
 impl InstanceGroup {
     /// Has the instances that run write their entries again, as after a return of the store from a copy.
-    pub fn announce_again(&self) {
+    pub fn republish_entries(&self) {
         let state = self.shared.state();
         let running = state.instances.iter().filter(|(_, instance)| instance.running);
-        running.for_each(|(name, _)| self.shared.announce(&state, name));
+        running.for_each(|(name, _)| self.shared.publish_entry(&state, name));
     }
 
     /// Starts the instances, and has them enter themselves in the store.
     pub fn start(options: InstanceOptions, store: StoreWriter) -> io::Result<Self> {
-        let mut doors = Vec::new();
+        let mut listeners = Vec::new();
         let mut state = State::new(options);
         for number in 0..state.options.zones.len() {
-            let door = Door::open()?;
-            let name = state.add(number, door.clone());
-            doors.push((name, door));
+            let listener = RestartableListener::bind()?;
+            let name = state.add(number, listener.clone());
+            listeners.push((name, listener));
         }
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
@@ -103,9 +103,9 @@
             stopping: AtomicBool::new(false),
             store,
         });
-        for (name, door) in doors {
-            session::serve(&shared, &name, door);
-            shared.announce(&shared.state(), &name);
+        for (name, listener) in listeners {
+            session::serve(&shared, &name, listener);
+            shared.publish_entry(&shared.state(), &name);
         }
         let replicating = shared.clone();
         thread::spawn(move || replication::run(&replicating));
@@ -125,14 +125,15 @@
     /// The running instance that leads under the highest term.
     pub fn primary(&self) -> Option<String> {
         let state = self.shared.state();
-        let leads = |one: &&Instance| one.running && one.role == Role::Primary;
-        let primary = state.instances.values().filter(leads).max_by_key(|one| one.term);
-        primary.map(|one| one.name.clone())
+        let is_primary = |instance: &&Instance| instance.running && instance.role == Role::Primary;
+        let primary =
+            state.instances.values().filter(is_primary).max_by_key(|instance| instance.term);
+        primary.map(|instance| instance.name.clone())
     }
 
     /// Where an instance listens.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
-        self.shared.state().instances.get(name).map(|one| one.address)
+        self.shared.state().instances.get(name).map(|instance| instance.address)
     }
 
     /// Kills an instance: its connections break, and nothing listens at its address.
@@ -145,26 +146,28 @@
     pub fn restart(&self, name: &str) {
         let mut state = self.shared.state();
         state.restart(name);
-        self.shared.announce(&state, name);
+        self.shared.publish_entry(&state, name);
     }
 
     /// An instance that was killed starts again under its name, with nothing.
     pub fn restart_empty(&self, name: &str) {
         let mut state = self.shared.state();
         state.restart_empty(name);
-        self.shared.announce(&state, name);
+        self.shared.publish_entry(&state, name);
     }
 
-    /// An instance that was killed comes back at its address, with its log, under the name `successor`. Its
+    /// An instance that was killed comes back at its address, with its log, under the name `new_name`. Its
     /// entry under the old name stays in the store, as it does where an instance crashes.
-    pub fn start_again_as(&self, name: &str, successor: &str) {
-        let Some(door) = self.shared.state().instances.get(name).map(|one| one.door.clone()) else {
+    pub fn restart_as(&self, name: &str, new_name: &str) {
+        let Some(listener) =
+            self.shared.state().instances.get(name).map(|instance| instance.listener.clone())
+        else {
             return;
         };
-        let door = door.hand_over();
-        self.shared.state().rename(name, successor, door.clone());
-        session::serve(&self.shared, successor, door);
-        self.restart(successor);
+        let listener = listener.transfer();
+        self.shared.state().rename(name, new_name, listener.clone());
+        session::serve(&self.shared, new_name, listener);
+        self.restart(new_name);
     }
 
     /// An instance says that it leaves; it serves on.
@@ -173,20 +176,20 @@
         if let Some(instance) = state.instances.get_mut(name) {
             instance.leaving = true;
         }
-        self.shared.announce(&state, name);
+        self.shared.publish_entry(&state, name);
     }
 
     /// A replica receives nothing, or receives again.
-    pub fn set_deaf(&self, name: &str, deaf: bool) {
+    pub fn set_replication_blocked(&self, name: &str, blocked: bool) {
         if let Some(instance) = self.shared.state().instances.get_mut(name) {
-            instance.deaf = deaf;
+            instance.replication_blocked = blocked;
         }
     }
 
     /// The reads of an instance wait, or go on.
-    pub fn set_holding_reads(&self, name: &str, holds: bool) {
+    pub fn set_reads_blocked(&self, name: &str, blocked: bool) {
         if let Some(instance) = self.shared.state().instances.get_mut(name) {
-            instance.holds_reads = holds;
+            instance.reads_blocked = blocked;
         }
         self.shared.changed.notify_all();
     }
@@ -194,22 +197,22 @@
     /// The log of an instance.
     pub fn log(&self, name: &str) -> Vec<Commit> {
         let state = self.shared.state();
-        state.instances.get(name).map(|one| one.log.clone()).unwrap_or_default()
+        state.instances.get(name).map(|instance| instance.log.clone()).unwrap_or_default()
     }
 
     /// Whether a replica has been stopped.
     pub fn is_stopped(&self, name: &str) -> bool {
-        self.shared.state().instances.get(name).is_some_and(|one| one.held.0 > 0)
+        self.shared.state().instances.get(name).is_some_and(|instance| instance.min_term.0 > 0)
     }
 
     /// Statements with ids that ran, in order.
-    pub fn runs(&self) -> Vec<Run> {
-        self.shared.state().runs.clone()
+    pub fn executed_statements(&self) -> Vec<ExecutedStatement> {
+        self.shared.state().executed_statements.clone()
     }
 
     /// Statements of the proxy's own that ran: questions how an instance stands.
-    pub fn questions(&self) -> u64 {
-        self.shared.state().questions
+    pub fn status_queries(&self) -> u64 {
+        self.shared.state().status_queries
     }
 
     /// The promotion call for this and other groups.
@@ -226,7 +229,7 @@
         for name in names {
             state.kill(&name);
             if let Some(instance) = state.instances.get(&name) {
-                instance.door.stop();
+                instance.listener.stop();
             }
         }
         self.shared.changed.notify_all();
--- a/crates/lab/src/standin/instances/promotions.rs
+++ b/crates/lab/src/standin/instances/promotions.rs
@@ -12,72 +12,72 @@
 use kestrellock_platform::standin::promotion::{NOT_RUNNING, PromotionCall};
 
 use super::{InstanceGroup, Shared};
-use crate::standin::door::Door;
 use crate::standin::http::{self, Reply, Request};
+use crate::standin::listener::RestartableListener;
 
-const MALFORMED: u16 = 400;
+const BAD_REQUEST: u16 = 400;
 
 /// A promotion that was asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Promoted {
+pub struct PromotionRequest {
     /// The group.
     pub group: String,
     /// The instance.
     pub instance: String,
     /// Who asked.
-    pub holder: String,
+    pub coordinator: String,
     /// Number of its right to ask.
     pub fence: u64,
 }
 
 /// A service that promotes instances of groups.
 pub struct PromotionService {
-    door: Door,
-    calls: Arc<Mutex<Vec<Promoted>>>,
+    listener: RestartableListener,
+    calls: Arc<Mutex<Vec<PromotionRequest>>>,
 }
 
 impl PromotionService {
-    /// Starts the service; a promotion takes `time`.
-    pub fn start(groups: &[InstanceGroup], time: Duration) -> io::Result<Self> {
-        let door = Door::open()?;
+    /// Starts the service; a promotion takes `duration`.
+    pub fn start(groups: &[InstanceGroup], duration: Duration) -> io::Result<Self> {
+        let listener = RestartableListener::bind()?;
         let groups: BTreeMap<String, Arc<Shared>> =
             groups.iter().map(|group| (group.name(), group.shared())).collect();
         let calls = Arc::new(Mutex::new(Vec::new()));
         let recorded = calls.clone();
-        let handler = move |request: Request| handle(&request, &groups, &recorded, time);
-        http::serve(door.clone(), Arc::new(handler));
-        Ok(Self { door, calls })
+        let handler = move |request: Request| handle(&request, &groups, &recorded, duration);
+        http::serve(listener.clone(), Arc::new(handler));
+        Ok(Self { listener, calls })
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.door.address()
+        self.listener.address()
     }
 
     /// Promotions asked for so far.
-    pub fn calls(&self) -> Vec<Promoted> {
+    pub fn calls(&self) -> Vec<PromotionRequest> {
         self.calls.lock().expect("a holder of the lock panicked").clone()
     }
 }
 
 impl Drop for PromotionService {
     fn drop(&mut self) {
-        self.door.stop();
+        self.listener.stop();
     }
 }
 
 fn handle(
     request: &Request,
     groups: &BTreeMap<String, Arc<Shared>>,
-    calls: &Mutex<Vec<Promoted>>,
-    time: Duration,
+    calls: &Mutex<Vec<PromotionRequest>>,
+    duration: Duration,
 ) -> Reply {
     let call = PromotionCall::parse(&request.path, &request.headers, &request.body);
     let Some((call, shared)) = call.and_then(|call| {
         let shared = groups.get(&call.group)?.clone();
         Some((call, shared))
     }) else {
-        return Reply::json(MALFORMED, "{}".to_owned());
+        return Reply::json(BAD_REQUEST, "{}".to_owned());
     };
     let is_running =
         shared.state().instances.get(&call.instance).is_some_and(|instance| instance.running);
@@ -85,14 +85,14 @@
         return Reply::json(NOT_RUNNING, "{}".to_owned());
     }
     let instance = call.instance.clone();
-    calls.lock().expect("a holder of the lock panicked").push(Promoted {
+    calls.lock().expect("a holder of the lock panicked").push(PromotionRequest {
         group: call.group,
         instance: call.instance,
-        holder: call.coordinator,
+        coordinator: call.coordinator,
         fence: call.fence,
     });
     thread::spawn(move || {
-        thread::sleep(time);
+        thread::sleep(duration);
         promote(&shared, &instance);
     });
     Reply::ok("{}")
@@ -100,17 +100,17 @@
 
 fn promote(shared: &Shared, name: &str) {
     let mut state = shared.state();
-    let highest = state.highest_term();
+    let highest_term = state.highest_term();
     let Some(instance) = state.instances.get_mut(name) else { return };
     if !instance.running || instance.role == Role::Primary {
         return;
     }
     instance.role = Role::Primary;
-    instance.term = Term(highest.0 + 1);
+    instance.term = Term(highest_term.0 + 1);
     for other in state.instances.values_mut() {
-        other.held = Term(0);
+        other.min_term = Term(0);
     }
-    shared.announce(&state, name);
+    shared.publish_entry(&state, name);
     drop(state);
     shared.changed.notify_all();
 }
--- a/crates/lab/src/standin/instances/replication.rs
+++ b/crates/lab/src/standin/instances/replication.rs
@@ -10,9 +10,9 @@
 use super::Shared;
 use super::state::{Commit, Instance, State};
 
-const STEP: Duration = Duration::from_millis(1);
+const REPLICATION_INTERVAL: Duration = Duration::from_millis(1);
 /// Time for which an old primary goes on that can reach a newer one.
-const STEP_DOWN_AFTER: Duration = Duration::from_secs(1);
+const STEP_DOWN_DELAY: Duration = Duration::from_secs(1);
 
 /// Replicates until the group is stopped.
 pub fn run(shared: &Shared) {
@@ -20,35 +20,39 @@
         let mut state = shared.state();
         let changed = replicate(&mut state, Instant::now());
         for name in changed {
-            shared.announce(&state, &name);
+            shared.publish_entry(&state, &name);
         }
         drop(state);
         shared.changed.notify_all();
-        thread::sleep(STEP);
+        thread::sleep(REPLICATION_INTERVAL);
     }
 }
 
 /// Lets every replica receive. Returns the instances whose role has changed.
 fn replicate(state: &mut State, now: Instant) -> Vec<String> {
-    let primaries = state.instances.values().filter(|one| one.running && one.role == Role::Primary);
-    let sources: Vec<(String, Term, Vec<Commit>)> =
-        primaries.map(|one| (one.name.clone(), one.term, one.log.clone())).collect();
+    let primaries = state
+        .instances
+        .values()
+        .filter(|instance| instance.running && instance.role == Role::Primary);
+    let sources: Vec<(String, Term, Vec<Commit>)> = primaries
+        .map(|instance| (instance.name.clone(), instance.term, instance.log.clone()))
+        .collect();
     let mut changed = Vec::new();
-    for instance in state.instances.values_mut().filter(|one| one.running) {
+    for instance in state.instances.values_mut().filter(|instance| instance.running) {
         if instance.role == Role::Primary {
             let newer = sources.iter().any(|(_, term, _)| *term > instance.term);
-            instance.outdated = newer.then(|| instance.outdated.unwrap_or(now));
-            let since = instance.outdated.filter(|since| now >= *since + STEP_DOWN_AFTER);
+            instance.outdated_since = newer.then(|| instance.outdated_since.unwrap_or(now));
+            let since = instance.outdated_since.filter(|since| now >= *since + STEP_DOWN_DELAY);
             if since.is_some() {
                 instance.role = Role::Replica;
                 changed.push(instance.name.clone());
             }
             continue;
         }
-        let receives = |term: Term| term >= instance.term && term >= instance.held;
+        let receives = |term: Term| term >= instance.term && term >= instance.min_term;
         let source = sources.iter().filter(|(_, term, _)| receives(*term));
         let source = source.max_by_key(|(_, term, _)| *term);
-        if let Some((_, term, log)) = source.filter(|_| !instance.deaf) {
+        if let Some((_, term, log)) = source.filter(|_| !instance.replication_blocked) {
             receive(instance, *term, log, now);
         }
     }
--- a/crates/lab/src/standin/instances/session.rs
+++ b/crates/lab/src/standin/instances/session.rs
@@ -16,19 +16,19 @@
 };
 
 use super::Shared;
-use super::state::{Commit, Instance, Run};
-use crate::standin::door::Door;
+use super::state::{Commit, ExecutedStatement, Instance};
+use crate::standin::listener::RestartableListener;
 
 /// Longest wait for replicas to receive a commit.
-const COMMIT_LIMIT: Duration = Duration::from_secs(5);
-const READ_BYTES: usize = 16 * 1024;
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 const NO_SIGNATURE: &str = "-";
 
 /// Serves an instance's connections until it is stopped.
-pub fn serve(shared: &Arc<Shared>, name: &str, door: Door) {
+pub fn serve(shared: &Arc<Shared>, name: &str, listener: RestartableListener) {
     let (shared, name) = (shared.clone(), name.to_owned());
     thread::spawn(move || {
-        while let Some(stream) = door.accept() {
+        while let Some(stream) = listener.accept() {
             let (shared, name) = (shared.clone(), name.clone());
             thread::spawn(move || Session::open(shared, name, stream));
         }
@@ -50,7 +50,7 @@
     number: u64,
     stream: TcpStream,
     started: bool,
-    who: String,
+    account: String,
     values: BTreeMap<String, String>,
     prepared: BTreeMap<String, (bool, String)>,
     transaction: Option<Transaction>,
@@ -87,7 +87,7 @@
             number,
             stream,
             started: false,
-            who: String::new(),
+            account: String::new(),
             values: BTreeMap::new(),
             prepared: BTreeMap::new(),
             transaction: None,
@@ -104,7 +104,7 @@
         // Answers are small and waited for.
         let _ = self.stream.set_nodelay(true);
         let mut input = BytesMut::new();
-        let mut chunk = vec![0; READ_BYTES];
+        let mut chunk = vec![0; READ_BUFFER_BYTES];
         loop {
             while let Some(call) = lines::next_request(&mut input) {
                 if !self.handle(call) {
@@ -125,7 +125,7 @@
     fn handle(&mut self, call: InstanceRequest) -> bool {
         match call {
             InstanceRequest::Startup { group, account, instance } => {
-                self.who = account;
+                self.account = account;
                 self.start(&group, instance.as_deref())
             }
             InstanceRequest::Statement { id, after, statement } if self.started => {
@@ -141,12 +141,13 @@
 
     fn start(&mut self, group: &str, instance: Option<&str>) -> bool {
         let state = self.shared.state();
-        let wrong = group != state.options.group || instance.is_some_and(|one| one != self.name);
-        let open = state.instances.get(&self.name).map_or(0, |one| one.streams.len());
+        let is_wrong_instance = group != state.options.group
+            || instance.is_some_and(|requested| requested != self.name);
+        let open = state.instances.get(&self.name).map_or(0, |instance| instance.streams.len());
         let too_many = open > state.options.connections;
         drop(state);
-        if wrong || too_many {
-            let error = if wrong {
+        if is_wrong_instance || too_many {
+            let error = if is_wrong_instance {
                 InstanceError::WrongInstance
             } else {
                 InstanceError::TooManyConnections
@@ -169,9 +170,9 @@
         lines::put_ready(state, position, &mut self.output);
     }
 
-    fn with_instance<T>(&self, look: impl FnOnce(&Instance) -> T) -> Option<T> {
+    fn with_instance<T>(&self, read: impl FnOnce(&Instance) -> T) -> Option<T> {
         let state = self.shared.state();
-        state.instances.get(&self.name).filter(|one| one.running).map(look)
+        state.instances.get(&self.name).filter(|instance| instance.running).map(read)
     }
 
     fn statement(
@@ -180,10 +181,10 @@
         after: Option<Position>,
         statement: InstanceStatement,
     ) -> bool {
-        let behind = after.is_some_and(|after| !self.has_reached(after));
-        let outcome = match behind {
+        let is_behind = after.is_some_and(|after| !self.has_reached(after));
+        let outcome = match is_behind {
             true => Outcome::Refused(InstanceError::Behind),
-            false => self.carry_out(id, statement),
+            false => self.execute_statement(id, statement),
         };
         match outcome {
             Outcome::Done(signature) => lines::put_done(&signature, &mut self.output),
@@ -209,7 +210,7 @@
         self.with_instance(applied).unwrap_or(false)
     }
 
-    fn carry_out(&mut self, id: &str, statement: InstanceStatement) -> Outcome {
+    fn execute_statement(&mut self, id: &str, statement: InstanceStatement) -> Outcome {
         let failed = self.transaction.as_ref().is_some_and(|transaction| transaction.failed);
         let ends = matches!(statement, InstanceStatement::Rollback | InstanceStatement::Commit);
         if failed && !ends {
@@ -225,8 +226,8 @@
             }
             InstanceStatement::Read { row } => self.read(id, &row, row.clone()),
             InstanceStatement::Write { row, data } => {
-                let what = row.clone();
-                self.write(id, row, data, what)
+                let text = row.clone();
+                self.write(id, row, data, text)
             }
             InstanceStatement::Set { name, value } => {
                 self.values.insert(name, value);
@@ -247,22 +248,22 @@
                 done()
             }
             InstanceStatement::Status => {
-                self.shared.state().questions += 1;
-                self.put_standing();
+                self.shared.state().status_queries += 1;
+                self.put_status_row();
                 done()
             }
             InstanceStatement::Stop(term) => {
                 self.change_instance(|instance| {
                     if instance.role == Role::Replica && term > instance.term {
-                        instance.held = term;
+                        instance.min_term = term;
                     }
                 });
-                self.put_standing();
+                self.put_status_row();
                 done()
             }
             InstanceStatement::Release => {
-                self.change_instance(|instance| instance.held = Default::default());
-                self.put_standing();
+                self.change_instance(|instance| instance.min_term = Default::default());
+                self.put_status_row();
                 done()
             }
             InstanceStatement::Demote(term) => {
@@ -271,8 +272,8 @@
                         instance.role = Role::Replica;
                     }
                 });
-                self.shared.announce(&self.shared.state(), &self.name);
-                self.put_standing();
+                self.shared.publish_entry(&self.shared.state(), &self.name);
+                self.put_status_row();
                 done()
             }
         }
@@ -284,33 +285,40 @@
         }
     }
 
-    fn put_standing(&mut self) {
-        let look =
-            |one: &Instance| (one.role, one.term, one.position(), one.held, one.streams.len());
-        let Some((role, term, position, held, open)) = self.with_instance(look) else { return };
-        lines::put_status_row(role, term, position, held, open, &mut self.output);
+    fn put_status_row(&mut self) {
+        let read = |instance: &Instance| {
+            (
+                instance.role,
+                instance.term,
+                instance.position(),
+                instance.min_term,
+                instance.streams.len(),
+            )
+        };
+        let Some((role, term, position, min_term, open)) = self.with_instance(read) else { return };
+        lines::put_status_row(role, term, position, min_term, open, &mut self.output);
     }
 
     fn begin(&mut self, read_only: bool) -> Outcome {
-        let leads = self.with_instance(|instance| instance.role == Role::Primary);
-        if !read_only && leads != Some(true) {
+        let is_primary = self.with_instance(|instance| instance.role == Role::Primary);
+        if !read_only && is_primary != Some(true) {
             return Outcome::Refused(InstanceError::ReadOnly);
         }
         self.transaction = Some(Transaction { read_only, ..Transaction::default() });
         Outcome::Done(NO_SIGNATURE.to_owned())
     }
 
-    fn record(&self, id: &str, what: String) {
-        let run = Run {
+    fn record(&self, id: &str, text: String) {
+        let executed = ExecutedStatement {
             id: id.to_owned(),
             instance: self.name.clone(),
             values: self.values.clone(),
-            what,
+            text,
             in_transaction: self.transaction.is_some(),
             connection: self.number,
-            who: self.who.clone(),
+            account: self.account.clone(),
         };
-        self.shared.state().runs.push(run);
+        self.shared.state().executed_statements.push(executed);
     }
 
     fn signature(&self, id: &str) -> String {
@@ -318,56 +326,60 @@
     }
 
     /// Waits while the instance holds its reads.
-    fn wait_to_read(&self) {
+    fn wait_until_reads_allowed(&self) {
         let mut state = self.shared.state();
-        let holds = |one: &Instance| one.running && one.holds_reads;
-        while !self.shared.is_stopping() && state.instances.get(&self.name).is_some_and(holds) {
+        let is_blocked = |instance: &Instance| instance.running && instance.reads_blocked;
+        while !self.shared.is_stopping() && state.instances.get(&self.name).is_some_and(is_blocked)
+        {
             let waited = self.shared.changed.wait_timeout(state, Duration::from_millis(20));
             state = waited.expect("a holder of the group's lock panicked").0;
         }
     }
 
-    fn read(&mut self, id: &str, thing: &str, what: String) -> Outcome {
-        self.wait_to_read();
+    fn read(&mut self, id: &str, row: &str, text: String) -> Outcome {
+        self.wait_until_reads_allowed();
         let lag = self.shared.state().options.lag;
-        let own = self.transaction.iter().flat_map(|transaction| transaction.writes.iter().rev());
-        let own = own.into_iter().find(|(written, _)| written == thing).map(|(_, data)| data);
-        let data = match own {
+        let own_write =
+            self.transaction.iter().flat_map(|transaction| transaction.writes.iter().rev());
+        let own_write =
+            own_write.into_iter().find(|(written, _)| written == row).map(|(_, data)| data);
+        let data = match own_write {
             Some(data) => Some(data.clone()),
             None => {
-                self.with_instance(|instance| instance.read(thing, lag, Instant::now())).flatten()
+                self.with_instance(|instance| instance.read(row, lag, Instant::now())).flatten()
             }
         };
-        self.record(id, what);
+        self.record(id, text);
         lines::put_row(data.as_deref().unwrap_or("nothing"), &mut self.output);
         Outcome::Done(self.signature(id))
     }
 
-    fn write(&mut self, id: &str, thing: String, data: String, what: String) -> Outcome {
-        let leads = self.with_instance(|instance| instance.role == Role::Primary);
-        let reads = self.transaction.as_ref().is_some_and(|transaction| transaction.read_only);
-        if leads != Some(true) || reads {
+    fn write(&mut self, id: &str, row: String, data: String, text: String) -> Outcome {
+        let is_primary = self.with_instance(|instance| instance.role == Role::Primary);
+        let is_read_only =
+            self.transaction.as_ref().is_some_and(|transaction| transaction.read_only);
+        if is_primary != Some(true) || is_read_only {
             return Outcome::Refused(InstanceError::ReadOnly);
         }
-        self.record(id, what);
+        self.record(id, text);
         match &mut self.transaction {
             Some(transaction) => {
-                transaction.writes.push((thing, data));
+                transaction.writes.push((row, data));
                 transaction.ids.push(id.to_owned());
                 Outcome::Done(self.signature(id))
             }
-            None => self.commit_writes(id, vec![(thing, data)], vec![id.to_owned()]),
+            None => self.commit_writes(id, vec![(row, data)], vec![id.to_owned()]),
         }
     }
 
-    fn execute(&mut self, id: &str, name: &str, thing: String, data: Option<String>) -> Outcome {
+    fn execute(&mut self, id: &str, name: &str, row: String, data: Option<String>) -> Outcome {
         let Some((writes, shape)) = self.prepared.get(name).cloned() else {
             return Outcome::Refused(InstanceError::UnknownStatement);
         };
-        let what = format!("{shape} {thing}");
+        let text = format!("{shape} {row}");
         match (writes, data) {
-            (false, None) => self.read(id, &thing, what),
-            (true, Some(data)) => self.write(id, thing, data, what),
+            (false, None) => self.read(id, &row, text),
+            (true, Some(data)) => self.write(id, row, data, text),
             _ => Outcome::Refused(InstanceError::Malformed),
         }
     }
@@ -392,10 +404,11 @@
         let number = instance.position().offset.0 + 1;
         let commit = Commit { term: instance.term, number, writes, ids };
         instance.append(commit.clone(), Instant::now());
-        let end = Instant::now() + COMMIT_LIMIT;
+        let end = Instant::now() + COMMIT_TIMEOUT;
         while state.received_by(&commit) < needed {
-            let runs = state.instances.get(&self.name).is_some_and(|one| one.running);
-            if !runs || Instant::now() >= end || self.shared.is_stopping() {
+            let is_running =
+                state.instances.get(&self.name).is_some_and(|instance| instance.running);
+            if !is_running || Instant::now() >= end || self.shared.is_stopping() {
                 return Outcome::Lost;
             }
             let waited = self.shared.changed.wait_timeout(state, Duration::from_millis(20));
--- a/crates/lab/src/standin/instances/state.rs
+++ b/crates/lab/src/standin/instances/state.rs
@@ -8,10 +8,10 @@
 use kestrellock_core::routing::Role;
 
 use super::InstanceOptions;
-use crate::standin::door::Door;
+use crate::standin::listener::RestartableListener;
 
 /// Start of the first processes, in milliseconds since 1970.
-const FIRST_START: u64 = 1_790_000_000_000;
+const FIRST_INCARNATION: u64 = 1_790_000_000_000;
 
 /// One commit in a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// A statement with an id that ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct ExecutedStatement {
     /// Its id.
     pub id: String,
     /// The instance.
@@ -36,13 +36,13 @@
     /// Values of the session in force.
     pub values: BTreeMap<String, String>,
     /// What it was: a plain statement's thing, or a prepared one's shape and thing.
-    pub what: String,
+    pub text: String,
     /// Whether it ran inside a transaction.
     pub in_transaction: bool,
     /// Number of the connection.
     pub connection: u64,
     /// On whose behalf the connection was opened.
-    pub who: String,
+    pub account: String,
 }
 
 /// One instance.
@@ -54,7 +54,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Its listening socket.
-    pub door: Door,
+    pub listener: RestartableListener,
     /// Whether it runs.
     pub running: bool,
     /// Whether it says that it leaves.
@@ -62,7 +62,7 @@
     /// Its role.
     pub role: Role,
     /// Which start of its process it is: the instances' entries tell a time, of which only equality counts.
-    pub born: u64,
+    pub incarnation: u64,
     /// Its term.
     pub term: Term,
     /// What it has received.
@@ -70,15 +70,15 @@
     /// When it received each commit.
     pub received: Vec<Instant>,
     /// Term below which it receives nothing; zero if it receives.
-    pub held: Term,
+    pub min_term: Term,
     /// Whether nothing reaches it.
-    pub deaf: bool,
+    pub replication_blocked: bool,
     /// Whether its reads wait.
-    pub holds_reads: bool,
+    pub reads_blocked: bool,
     /// Open connections.
     pub streams: BTreeMap<u64, TcpStream>,
     /// Since when another instance of a higher term can be reached.
-    pub outdated: Option<Instant>,
+    pub outdated_since: Option<Instant>,
 }
 
 impl Instance {
@@ -97,10 +97,10 @@
     }
 
     /// The data of a thing, as its readers see it.
-    pub fn read(&self, thing: &str, lag: Duration, now: Instant) -> Option<String> {
+    pub fn read(&self, row: &str, lag: Duration, now: Instant) -> Option<String> {
         let visible = &self.log[..self.applied(lag, now)];
         let writes = visible.iter().rev().flat_map(|commit| commit.writes.iter().rev());
-        writes.into_iter().find(|(written, _)| written == thing).map(|(_, data)| data.clone())
+        writes.into_iter().find(|(written, _)| written == row).map(|(_, data)| data.clone())
     }
 
     /// Appends a commit.
@@ -123,9 +123,9 @@
     /// Its instances by name.
     pub instances: BTreeMap<String, Instance>,
     /// Statements that ran.
-    pub runs: Vec<Run>,
+    pub executed_statements: Vec<ExecutedStatement>,
     /// Questions how an instance stands.
-    pub questions: u64,
+    pub status_queries: u64,
     /// Number of the next connection.
     pub next_connection: u64,
 }
@@ -134,29 +134,35 @@
     /// A group without instances.
     pub fn new(options: InstanceOptions) -> Self {
         let instances = BTreeMap::new();
-        Self { options, instances, runs: Vec::new(), questions: 0, next_connection: 0 }
+        Self {
+            options,
+            instances,
+            executed_statements: Vec::new(),
+            status_queries: 0,
+            next_connection: 0,
+        }
     }
 
     /// Adds instance `number`; the first one leads. Returns its name.
-    pub fn add(&mut self, number: usize, door: Door) -> String {
+    pub fn add(&mut self, number: usize, listener: RestartableListener) -> String {
         let name = format!("i-{}-{number}", self.options.group);
         let instance = Instance {
             name: name.clone(),
             zone: self.options.zones[number].clone(),
-            address: door.address(),
-            door,
+            address: listener.address(),
+            listener,
             running: true,
             leaving: false,
             role: if number == 0 { Role::Primary } else { Role::Replica },
-            born: FIRST_START,
+            incarnation: FIRST_INCARNATION,
             term: Term(1),
             log: Vec::new(),
             received: Vec::new(),
-            held: Term(0),
-            deaf: false,
-            holds_reads: false,
+            min_term: Term(0),
+            replication_blocked: false,
+            reads_blocked: false,
             streams: BTreeMap::new(),
-            outdated: None,
+            outdated_since: None,
         };
         self.instances.insert(name.clone(), instance);
         name
@@ -166,7 +172,7 @@
     pub fn kill(&mut self, name: &str) {
         let Some(instance) = self.instances.get_mut(name) else { return };
         instance.running = false;
-        instance.door.shut();
+        instance.listener.close();
         for stream in std::mem::take(&mut instance.streams).into_values() {
             // One that is closed already is what is wanted.
             let _ = stream.shutdown(Shutdown::Both);
@@ -175,45 +181,49 @@
 
     /// Starts a killed instance again.
     pub fn restart(&mut self, name: &str) {
-        let other_leads = self
-            .instances
-            .values()
-            .any(|one| one.name != name && one.running && one.role == Role::Primary);
+        let has_other_primary = self.instances.values().any(|instance| {
+            instance.name != name && instance.running && instance.role == Role::Primary
+        });
         let Some(instance) = self.instances.get_mut(name) else { return };
         instance.running = true;
-        instance.held = Term(0);
-        if other_leads {
+        instance.min_term = Term(0);
+        if has_other_primary {
             instance.role = Role::Replica;
         }
-        instance.door.reopen();
+        instance.listener.reopen();
     }
 
     /// Starts a killed instance again under its name with nothing, as a replica.
     pub fn restart_empty(&mut self, name: &str) {
         let Some(instance) = self.instances.get_mut(name) else { return };
-        instance.born += 1;
+        instance.incarnation += 1;
         instance.role = Role::Replica;
         instance.term = Term(1);
         instance.truncate(0);
         self.restart(name);
     }
 
-    /// What a killed instance holds belongs to `successor` from now on, which listens at `door`.
-    pub fn rename(&mut self, name: &str, successor: &str, door: Door) {
+    /// What a killed instance holds belongs to `new_name` from now on, which listens at `door`.
+    pub fn rename(&mut self, name: &str, new_name: &str, listener: RestartableListener) {
         let Some(mut instance) = self.instances.remove(name) else { return };
-        instance.name = successor.to_owned();
-        instance.door = door;
-        self.instances.insert(successor.to_owned(), instance);
+        instance.name = new_name.to_owned();
+        instance.listener = listener;
+        self.instances.insert(new_name.to_owned(), instance);
     }
 
     /// Replicas that have received a commit.
     pub fn received_by(&self, commit: &Commit) -> usize {
-        let holds = |one: &&Instance| one.role == Role::Replica && one.log.contains(commit);
-        self.instances.values().filter(holds).count()
+        let has_received =
+            |instance: &&Instance| instance.role == Role::Replica && instance.log.contains(commit);
+        self.instances.values().filter(has_received).count()
     }
 
     /// The highest term of any instance.
     pub fn highest_term(&self) -> Term {
-        self.instances.values().map(|one| one.term.max(one.held)).max().unwrap_or_default()
+        self.instances
+            .values()
+            .map(|instance| instance.term.max(instance.min_term))
+            .max()
+            .unwrap_or_default()
     }
 }
--- a/crates/lab/src/standin/door.rs
+++ b/crates/lab/src/standin/listener.rs
@@ -8,26 +8,26 @@
 
 use socket2::SockRef;
 
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 /// Attempts to bind a port that was free a moment before.
-const PORT_ATTEMPTS: usize = 50;
+const MAX_BIND_RETRIES: usize = 50;
 /// Time between two attempts to accept while the door is shut.
-const RETRY_INTERVAL: Duration = Duration::from_millis(1);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 /// Time in which whoever waits in `accept` of a shut door leaves it.
-const HAND_OVER_TIME: Duration = Duration::from_millis(20);
+const TRANSFER_DELAY: Duration = Duration::from_millis(20);
 
 /// A listening socket on loopback.
 #[derive(Clone, Debug)]
-pub struct Door {
+pub struct RestartableListener {
     listener: Arc<TcpListener>,
     address: SocketAddr,
     stopped: Arc<AtomicBool>,
 }
 
-impl Door {
+impl RestartableListener {
     /// Listens on a port that the system chooses.
-    pub fn open() -> io::Result<Self> {
-        let (listener, address) = bind_by_number()?;
+    pub fn bind() -> io::Result<Self> {
+        let (listener, address) = bind_numbered_port()?;
         Ok(Self { listener: Arc::new(listener), address, stopped: Arc::default() })
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// Refuses connections from now on; the operating system does so itself.
-    pub fn shut(&self) {
+    pub fn close(&self) {
         // An error means that it does not listen, which is what is wanted.
         let _ = SockRef::from(self.listener.as_ref()).shutdown(Shutdown::Both);
     }
@@ -45,7 +45,7 @@
     /// Accepts connections again.
     pub fn reopen(&self) {
         SockRef::from(self.listener.as_ref())
-            .listen(BACKLOG)
+            .listen(LISTEN_BACKLOG)
             .expect("a bound socket cannot listen again");
     }
 
@@ -54,7 +54,7 @@
         while !self.stopped.load(Ordering::Acquire) {
             match self.listener.accept() {
                 Ok((stream, _)) => return Some(stream),
-                Err(_) => std::thread::sleep(RETRY_INTERVAL),
+                Err(_) => std::thread::sleep(ACCEPT_RETRY_INTERVAL),
             }
         }
         None
@@ -62,30 +62,30 @@
 
     /// The same address for another owner: the [`Self::accept`] of this door, which is shut, ends, and the
     /// new one's begins with [`Self::reopen`].
-    pub fn hand_over(&self) -> Self {
+    pub fn transfer(&self) -> Self {
         // Shut once only: connections of a socket that is shut again while it does not listen end at once.
         self.stopped.store(true, Ordering::Release);
         // Whoever waits in `accept` leaves it before connections come again.
-        std::thread::sleep(HAND_OVER_TIME);
+        std::thread::sleep(TRANSFER_DELAY);
         Self { listener: self.listener.clone(), address: self.address, stopped: Arc::default() }
     }
 
     /// Ends [`Self::accept`] for good.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
-        self.shut();
+        self.close();
     }
 }
 
 /// Binds a free port by its number: a socket loses a port that it did not ask for by number when
 /// it stops listening.
-fn bind_by_number() -> io::Result<(TcpListener, SocketAddr)> {
+fn bind_numbered_port() -> io::Result<(TcpListener, SocketAddr)> {
     let mut attempts = 0;
     loop {
         let address = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?.local_addr()?;
         match TcpListener::bind(address) {
             Ok(listener) => return Ok((listener, address)),
-            Err(error) if attempts == PORT_ATTEMPTS => return Err(error),
+            Err(error) if attempts == MAX_BIND_RETRIES => return Err(error),
             Err(_) => attempts += 1,
         }
     }
--- a/crates/lab/src/standin/machines.rs
+++ b/crates/lab/src/standin/machines.rs
@@ -9,10 +9,10 @@
 use kestrellock_core::ids::{NodeName, ZoneName};
 use serde::Serialize;
 
-use super::door::Door;
 use super::http::{self, Reply, Request};
+use super::listener::RestartableListener;
 
-const PATH: &str = "/machines";
+const MACHINES_PATH: &str = "/machines";
 const NOT_FOUND: u16 = 404;
 
 /// What the platform knows of a machine.
@@ -39,28 +39,28 @@
 }
 
 #[derive(Debug)]
-struct Version {
-    visible: Instant,
+struct ListVersion {
+    visible_from: Instant,
     machines: Vec<ListedMachine>,
 }
 
 #[derive(Debug, Default)]
 struct Contents {
     /// Versions in the order in which they become visible.
-    versions: Vec<Version>,
+    versions: Vec<ListVersion>,
     lag: Duration,
-    lie: Option<Vec<ListedMachine>>,
-    slowness: Duration,
+    false_list: Option<Vec<ListedMachine>>,
+    response_delay: Duration,
     outage: bool,
     requests: u64,
 }
 
 impl Contents {
-    fn told(&mut self, now: Instant) -> Vec<ListedMachine> {
-        let visible = self.versions.iter().rposition(|version| version.visible <= now);
+    fn visible_machines(&mut self, now: Instant) -> Vec<ListedMachine> {
+        let visible = self.versions.iter().rposition(|version| version.visible_from <= now);
         let Some(newest) = visible else { return Vec::new() };
         self.versions.drain(..newest);
-        self.lie.clone().unwrap_or_else(|| self.versions[0].machines.clone())
+        self.false_list.clone().unwrap_or_else(|| self.versions[0].machines.clone())
     }
 }
 
@@ -68,22 +68,22 @@
 pub struct MachineListServer {
     /// Where it listens.
     pub address: SocketAddr,
-    door: Door,
+    listener: RestartableListener,
     contents: Arc<Mutex<Contents>>,
 }
 
 impl MachineListServer {
     /// Starts an empty list on a port that the system chooses.
     pub fn start() -> io::Result<Self> {
-        let door = Door::open()?;
+        let listener = RestartableListener::bind()?;
         let contents = Arc::new(Mutex::new(Contents::default()));
-        let told = contents.clone();
-        http::serve(door.clone(), Arc::new(move |request| handle(&told, &request)));
-        Ok(Self { address: door.address(), door, contents })
+        let visible_machines = contents.clone();
+        http::serve(listener.clone(), Arc::new(move |request| handle(&visible_machines, &request)));
+        Ok(Self { address: listener.address(), listener, contents })
     }
 
     fn contents(&self) -> MutexGuard<'_, Contents> {
-        locked(&self.contents)
+        lock(&self.contents)
     }
 
     /// Its endpoint; the list is under `/machines`.
@@ -91,34 +91,34 @@
         format!("http://{}", self.address)
     }
 
-    /// Changes the list; the change is told after the lag.
+    /// Changes the list; the change is visible_machines after the lag.
     pub fn set_machines(&self, machines: Vec<ListedMachine>) {
         let mut contents = self.contents();
-        let visible = Instant::now() + contents.lag;
-        contents.versions.push(Version { visible, machines });
+        let visible_from = Instant::now() + contents.lag;
+        contents.versions.push(ListVersion { visible_from, machines });
     }
 
-    /// Time until later changes are told.
+    /// Time until later changes are visible_machines.
     pub fn set_lag(&self, lag: Duration) {
         self.contents().lag = lag;
     }
 
     /// Tells another list than the true one, or the true one again.
-    pub fn set_lie(&self, lie: Option<Vec<ListedMachine>>) {
-        self.contents().lie = lie;
+    pub fn set_false_list(&self, false_list: Option<Vec<ListedMachine>>) {
+        self.contents().false_list = false_list;
     }
 
     /// Waits before each answer.
-    pub fn set_slowness(&self, slowness: Duration) {
-        self.contents().slowness = slowness;
+    pub fn set_response_delay(&self, response_delay: Duration) {
+        self.contents().response_delay = response_delay;
     }
 
     /// Refuses connections, or serves again.
     pub fn set_outage(&self, outage: bool) {
         self.contents().outage = outage;
         match outage {
-            true => self.door.shut(),
-            false => self.door.reopen(),
+            true => self.listener.close(),
+            false => self.listener.reopen(),
         }
     }
 
@@ -130,28 +130,28 @@
 
 impl Drop for MachineListServer {
     fn drop(&mut self) {
-        self.door.stop();
+        self.listener.stop();
     }
 }
 
-fn locked(contents: &Mutex<Contents>) -> MutexGuard<'_, Contents> {
+fn lock(contents: &Mutex<Contents>) -> MutexGuard<'_, Contents> {
     contents.lock().expect("a holder of the list lock panicked")
 }
 
 fn handle(contents: &Mutex<Contents>, request: &Request) -> Reply {
-    if request.path != PATH {
+    if request.path != MACHINES_PATH {
         return Reply::json(NOT_FOUND, "{}".into());
     }
-    let slowness = {
-        let mut contents = locked(contents);
+    let response_delay = {
+        let mut contents = lock(contents);
         contents.requests += 1;
-        contents.slowness
+        contents.response_delay
     };
-    thread::sleep(slowness);
-    let mut contents = locked(contents);
+    thread::sleep(response_delay);
+    let mut contents = lock(contents);
     if contents.outage {
         return Reply::Reset;
     }
-    let told = contents.told(Instant::now());
-    Reply::ok(serde_json::json!(told))
+    let visible_machines = contents.visible_machines(Instant::now());
+    Reply::ok(serde_json::json!(visible_machines))
 }
--- a/crates/lab/src/standin/mod.rs
+++ b/crates/lab/src/standin/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! They know nothing of the proxy.
 
-pub mod door;
 pub mod group;
 pub mod http;
 pub mod instances;
+pub mod listener;
 pub mod machines;
 pub mod network;
 pub mod store;
--- a/crates/lab/src/standin/network/datagrams.rs
+++ b/crates/lab/src/standin/network/datagrams.rs
@@ -12,10 +12,10 @@
 use mio::net::UdpSocket;
 use rand::RngExt;
 
-use super::event_loop::{Due, Part, RelayKey, Shared};
+use super::event_loop::{Due, Endpoint, RelayKey, Shared};
 use super::links::ZoneNumber;
 
-const DATAGRAM_BYTES: usize = 64 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// A socket that stands for one sender towards the target.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 enum Route {
     ToTarget { session: usize },
-    Back { sender: SocketAddr },
+    ToSender { sender: SocketAddr },
 }
 
 #[derive(Debug)]
@@ -66,7 +66,7 @@
 
     /// Takes in what senders sent.
     pub fn receive(&mut self, key: usize, shared: &mut Shared) {
-        let mut buffer = vec![0_u8; DATAGRAM_BYTES];
+        let mut buffer = vec![0_u8; MAX_DATAGRAM_BYTES];
         while let Ok((count, sender)) = self.socket.recv_from(&mut buffer) {
             let Some(session) = self.session(key, sender, shared) else { continue };
             let from = shared.links.zone_or(sender.ip(), self.zone);
@@ -78,15 +78,17 @@
     }
 
     /// Takes in what the target sent to one sender's socket.
-    pub fn receive_answers(&mut self, key: usize, session: usize, shared: &mut Shared) {
-        let mut buffer = vec![0_u8; DATAGRAM_BYTES];
+    pub fn receive_replies(&mut self, key: usize, session: usize, shared: &mut Shared) {
+        let mut buffer = vec![0_u8; MAX_DATAGRAM_BYTES];
         loop {
-            let Some(Part::Session(known)) = shared.parts.get(session) else { return };
-            let Ok(count) = known.socket.recv(&mut buffer) else { break };
-            let sender = known.sender;
+            let Some(Endpoint::Session(session_socket)) = shared.endpoints.get(session) else {
+                return;
+            };
+            let Ok(count) = session_socket.socket.recv(&mut buffer) else { break };
+            let sender = session_socket.sender;
             let to = shared.links.zone_or(sender.ip(), self.zone);
             let datagram =
-                Datagram { route: Route::Back { sender }, bytes: buffer[..count].to_vec() };
+                Datagram { route: Route::ToSender { sender }, bytes: buffer[..count].to_vec() };
             self.send(key, self.zone, to, datagram, shared);
         }
         self.deliver(shared);
@@ -100,10 +102,10 @@
         socket.connect(self.target).ok()?;
         socket.set_nonblocking(true).ok()?;
         let mut socket = UdpSocket::from_std(socket);
-        let entry = shared.parts.vacant_entry();
+        let entry = shared.endpoints.vacant_entry();
         let key = entry.key();
         shared.registry.register(&mut socket, Shared::token(key), Interest::READABLE).ok()?;
-        entry.insert(Part::Session(Session { relay, socket, sender }));
+        entry.insert(Endpoint::Session(Session { relay, socket, sender }));
         self.sessions.insert(sender, key);
         Some(key)
     }
@@ -138,9 +140,9 @@
             let datagram = first.remove();
             // A datagram that cannot be handed over is lost, as datagrams may be.
             let _ = match datagram.route {
-                Route::Back { sender } => self.socket.send_to(&datagram.bytes, sender),
-                Route::ToTarget { session } => match shared.parts.get(session) {
-                    Some(Part::Session(session)) => session.socket.send(&datagram.bytes),
+                Route::ToSender { sender } => self.socket.send_to(&datagram.bytes, sender),
+                Route::ToTarget { session } => match shared.endpoints.get(session) {
+                    Some(Endpoint::Session(session)) => session.socket.send(&datagram.bytes),
                     _ => continue,
                 },
             };
--- a/crates/lab/src/standin/network/event_loop.rs
+++ b/crates/lab/src/standin/network/event_loop.rs
@@ -20,16 +20,16 @@
 
 /// Token of the waker.
 pub const WAKE_TOKEN: Token = Token(0);
-const FIRST_PART_TOKEN: usize = 1;
-const EVENTS: usize = 1024;
+const FIRST_ENDPOINT_TOKEN: usize = 1;
+const EVENT_CAPACITY: usize = 1024;
 /// Longest wait without events; short, so that a loop that gets no processor time is found out.
-const IDLE_WAIT: Duration = Duration::from_millis(20);
+const IDLE_POLL_TIMEOUT: Duration = Duration::from_millis(20);
 /// A pause of the network that the log tells: a fraction of what a node waits for a sign of life.
-const LOGGED_PAUSE: Duration = Duration::from_millis(100);
+const LOGGED_PAUSE_THRESHOLD: Duration = Duration::from_millis(100);
 /// Readiness waits count whole milliseconds; shorter ones are slept.
-const SHORTEST_POLL: Duration = Duration::from_millis(2);
+const MIN_POLL_TIMEOUT: Duration = Duration::from_millis(2);
 /// Longest sleep while a delivery is near, so that new events are seen in time.
-const SLEEP: Duration = Duration::from_micros(60);
+const MAX_SLEEP: Duration = Duration::from_micros(60);
 
 /// A relay to be added.
 pub enum NewRelay {
@@ -55,7 +55,7 @@
 
 /// What a token stands for.
 #[derive(Debug)]
-pub enum Part {
+pub enum Endpoint {
     /// A listener of streams.
     Listener {
         /// Zone of the target.
@@ -66,7 +66,7 @@
         target: SocketAddr,
     },
     /// The caller's end of a stream; the value is the key of the relay.
-    Caller(usize),
+    Client(usize),
     /// The target's end of a stream.
     Target(usize),
     /// A socket at which datagrams come in; the value is the key of the relay.
@@ -82,7 +82,7 @@
     /// Where sockets are registered.
     pub registry: Registry,
     /// Meaning of tokens.
-    pub parts: Slab<Part>,
+    pub endpoints: Slab<Endpoint>,
     /// When something falls due, and for which part.
     pub due: BinaryHeap<Reverse<Due>>,
     /// Source of losses.
@@ -110,7 +110,7 @@
 impl Shared {
     /// Token of a part.
     pub fn token(key: usize) -> Token {
-        Token(key + FIRST_PART_TOKEN)
+        Token(key + FIRST_ENDPOINT_TOKEN)
     }
 }
 
@@ -130,7 +130,7 @@
         let shared = Shared {
             links,
             registry,
-            parts: Slab::new(),
+            endpoints: Slab::new(),
             due: BinaryHeap::new(),
             random: StdRng::seed_from_u64(seed),
         };
@@ -139,8 +139,8 @@
 
     /// Works until the network is dropped.
     pub fn run(mut self) {
-        let mut events = Events::with_capacity(EVENTS);
-        let mut last_turn = Instant::now();
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
+        let mut last_iteration = Instant::now();
         while !self.shared.links.is_stopping() {
             let wait = self.wait_time();
             if self.poll.poll(&mut events, Some(wait)).is_err() {
@@ -149,7 +149,7 @@
             for event in &events {
                 match event.token() {
                     WAKE_TOKEN => self.on_wake(),
-                    token => self.on_ready(token.0 - FIRST_PART_TOKEN),
+                    token => self.on_ready(token.0 - FIRST_ENDPOINT_TOKEN),
                 }
             }
             self.deliver_due();
@@ -157,25 +157,25 @@
                 self.sleep_until_due();
             }
             let now = Instant::now();
-            self.note_pause(now.saturating_duration_since(last_turn).saturating_sub(wait));
-            last_turn = now;
+            self.record_pause(now.saturating_duration_since(last_iteration).saturating_sub(wait));
+            last_iteration = now;
         }
     }
 
     /// Notes time in which nothing was carried that might have been: the processor was not to be had.
-    fn note_pause(&self, pause: Duration) {
-        self.shared.links.note_pause(pause);
-        if pause >= LOGGED_PAUSE {
+    fn record_pause(&self, pause: Duration) {
+        self.shared.links.record_pause(pause);
+        if pause >= LOGGED_PAUSE_THRESHOLD {
             let paused_ms = pause.as_millis() as u64;
             log::warn!(event = "network_paused", paused_ms = paused_ms; "the network carried nothing");
         }
     }
 
     fn wait_time(&self) -> Duration {
-        let Some(Reverse(next)) = self.shared.due.peek() else { return IDLE_WAIT };
+        let Some(Reverse(next)) = self.shared.due.peek() else { return IDLE_POLL_TIMEOUT };
         let left = next.at.saturating_duration_since(Instant::now());
-        match left.checked_sub(SHORTEST_POLL) {
-            Some(rest) => Duration::from_millis(rest.as_millis() as u64).min(IDLE_WAIT),
+        match left.checked_sub(MIN_POLL_TIMEOUT) {
+            Some(rest) => Duration::from_millis(rest.as_millis() as u64).min(IDLE_POLL_TIMEOUT),
             None => Duration::ZERO,
         }
     }
@@ -183,8 +183,8 @@
     fn sleep_until_due(&self) {
         let Some(Reverse(next)) = self.shared.due.peek() else { return };
         let left = next.at.saturating_duration_since(Instant::now());
-        if left > SLEEP {
-            thread::sleep(SLEEP);
+        if left > MAX_SLEEP {
+            thread::sleep(MAX_SLEEP);
         }
     }
 
@@ -229,7 +229,7 @@
     }
 
     fn add(&mut self, relay: NewRelay) {
-        let entry = self.shared.parts.vacant_entry();
+        let entry = self.shared.endpoints.vacant_entry();
         let token = Shared::token(entry.key());
         let registry = &self.shared.registry;
         match relay {
@@ -237,32 +237,32 @@
                 registry
                     .register(&mut listener, token, Interest::READABLE)
                     .expect("a listener cannot be registered");
-                entry.insert(Part::Listener { zone, listener, target });
+                entry.insert(Endpoint::Listener { zone, listener, target });
             }
             NewRelay::Udp { zone, mut socket, target } => {
                 registry
                     .register(&mut socket, token, Interest::READABLE)
                     .expect("a socket cannot be registered");
                 let relay = self.datagrams.insert(DatagramRelay::new(zone, socket, target));
-                entry.insert(Part::Datagrams(relay));
+                entry.insert(Endpoint::Datagrams(relay));
             }
         }
     }
 
     fn on_ready(&mut self, key: usize) {
-        match self.shared.parts.get(key) {
-            Some(Part::Listener { .. }) => self.accept(key),
-            Some(Part::Caller(relay) | Part::Target(relay)) => {
+        match self.shared.endpoints.get(key) {
+            Some(Endpoint::Listener { .. }) => self.accept(key),
+            Some(Endpoint::Client(relay) | Endpoint::Target(relay)) => {
                 let relay = *relay;
                 self.advance(RelayKey::Stream(relay));
             }
-            Some(Part::Datagrams(relay)) => {
+            Some(Endpoint::Datagrams(relay)) => {
                 let relay = *relay;
                 self.datagrams[relay].receive(relay, &mut self.shared);
             }
-            Some(Part::Session(session)) => {
+            Some(Endpoint::Session(session)) => {
                 let relay = session.relay;
-                self.datagrams[relay].receive_answers(relay, key, &mut self.shared);
+                self.datagrams[relay].receive_replies(relay, key, &mut self.shared);
             }
             None => {}
         }
@@ -270,15 +270,17 @@
 
     fn accept(&mut self, key: usize) {
         loop {
-            let Some(Part::Listener { zone, listener, target }) = self.shared.parts.get(key) else {
+            let Some(Endpoint::Listener { zone, listener, target }) =
+                self.shared.endpoints.get(key)
+            else {
                 return;
             };
-            let Ok((caller, peer)) = listener.accept() else { return };
+            let Ok((client, peer)) = listener.accept() else { return };
             let (zone, target) = (*zone, *target);
             let from = self.shared.links.zone_or(peer.ip(), zone);
             let relay = self.streams.vacant_key();
             let stream =
-                StreamRelay::new(relay, caller, peer.ip(), from, zone, target, &mut self.shared);
+                StreamRelay::new(relay, client, peer.ip(), from, zone, target, &mut self.shared);
             self.streams.insert(stream);
             self.advance(RelayKey::Stream(relay));
         }
--- a/crates/lab/src/standin/network/links.rs
+++ b/crates/lab/src/standin/network/links.rs
@@ -8,7 +8,7 @@
 
 use super::FIRST_ZONE_OCTET;
 
-const SILENCES_POISONED: &str = "a holder of the silences lock panicked";
+const SILENCES_LOCK_PANICKED: &str = "a holder of the silences lock panicked";
 
 /// Position of a zone in its network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -27,11 +27,11 @@
 
 /// Which bytes of a connection are swallowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SilentWay {
+pub enum SilencedDirection {
     /// Those from the side that opened it.
-    There,
+    ToTarget,
     /// Those to the side that opened it.
-    Back,
+    FromTarget,
     /// All.
     Both,
 }
@@ -42,40 +42,40 @@
     /// Zone of the exposed targets.
     pub zone: ZoneNumber,
     /// Which bytes are swallowed.
-    pub way: SilentWay,
+    pub direction: SilencedDirection,
     /// Connections opened before this are silent, later ones work.
     pub opened_before: Instant,
 }
 
 /// One end of a zone's line: what goes to its targets, or what comes from them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LineEnd {
+pub struct LineDirection {
     /// Zone of the exposed targets.
     pub zone: ZoneNumber,
     /// Whether the bytes lead to the targets.
-    pub is_there: bool,
+    pub to_target: bool,
 }
 
 /// What all streams of one end of a line share.
 #[derive(Clone, Copy, Debug, Default)]
-struct Line {
+struct ZoneLine {
     /// Bytes a second; `None` where nothing limits them.
     rate: Option<f64>,
     /// When everything that was sent before has passed.
-    free_at: Option<Instant>,
+    idle_at: Option<Instant>,
     /// Bytes that were sent.
     bytes: u64,
 }
 
-impl Line {
+impl ZoneLine {
     /// Takes `bytes` in; the time at which they have passed.
-    fn pass(&mut self, bytes: usize, now: Instant) -> Instant {
+    fn transmit(&mut self, bytes: usize, now: Instant) -> Instant {
         self.bytes += bytes as u64;
         let Some(rate) = self.rate else { return now };
-        let begins = self.free_at.map_or(now, |free_at| free_at.max(now));
-        let ends = begins + Duration::from_secs_f64(bytes as f64 / rate);
-        self.free_at = Some(ends);
-        ends
+        let starts_at = self.idle_at.map_or(now, |idle_at| idle_at.max(now));
+        let ends_at = starts_at + Duration::from_secs_f64(bytes as f64 / rate);
+        self.idle_at = Some(ends_at);
+        ends_at
     }
 }
 
@@ -84,7 +84,7 @@
 pub struct Links {
     zones: usize,
     links: Mutex<Vec<Link>>,
-    lines: Mutex<HashMap<LineEnd, Line>>,
+    lines: Mutex<HashMap<LineDirection, ZoneLine>>,
     silences: Mutex<Vec<Silence>>,
     longest_pause_us: AtomicU64,
     stopping: AtomicBool,
@@ -104,65 +104,65 @@
         }
     }
 
-    fn locked(&self) -> MutexGuard<'_, Vec<Link>> {
+    fn lock_links(&self) -> MutexGuard<'_, Vec<Link>> {
         self.links.lock().expect("a holder of the links lock panicked")
     }
 
     /// The link from one zone to another.
     pub fn get(&self, from: ZoneNumber, to: ZoneNumber) -> Link {
-        self.locked()[from.0 * self.zones + to.0]
+        self.lock_links()[from.0 * self.zones + to.0]
     }
 
     /// Changes the link from one zone to another.
     pub fn change(&self, from: ZoneNumber, to: ZoneNumber, change: impl FnOnce(&mut Link)) {
-        change(&mut self.locked()[from.0 * self.zones + to.0]);
+        change(&mut self.lock_links()[from.0 * self.zones + to.0]);
     }
 
-    fn line<T>(&self, end: LineEnd, work: impl FnOnce(&mut Line) -> T) -> T {
+    fn line<T>(&self, direction: LineDirection, work: impl FnOnce(&mut ZoneLine) -> T) -> T {
         let mut lines = self.lines.lock().expect("a holder of the lines lock panicked");
-        work(lines.entry(end).or_default())
+        work(lines.entry(direction).or_default())
     }
 
     /// Limits what all streams of one end of a line carry together, in bytes a second.
-    pub fn set_rate(&self, end: LineEnd, rate: f64) {
-        self.line(end, |line| line.rate = Some(rate));
+    pub fn set_rate(&self, direction: LineDirection, rate: f64) {
+        self.line(direction, |line| line.rate = Some(rate));
     }
 
     /// Whether the bytes of one end of a line are limited.
-    pub fn is_limited(&self, end: LineEnd) -> bool {
-        self.line(end, |line| line.rate.is_some())
+    pub fn is_limited(&self, direction: LineDirection) -> bool {
+        self.line(direction, |line| line.rate.is_some())
     }
 
     /// Puts bytes on a line; the time at which they have passed it.
-    pub fn pass(&self, end: LineEnd, bytes: usize, now: Instant) -> Instant {
-        self.line(end, |line| line.pass(bytes, now))
+    pub fn transmit(&self, direction: LineDirection, bytes: usize, now: Instant) -> Instant {
+        self.line(direction, |line| line.transmit(bytes, now))
     }
 
     /// Bytes that streams have put on one end of a line.
-    pub fn bytes(&self, end: LineEnd) -> u64 {
-        self.line(end, |line| line.bytes)
+    pub fn bytes(&self, direction: LineDirection) -> u64 {
+        self.line(direction, |line| line.bytes)
     }
 
     /// Open connections go silent.
     pub fn silence(&self, silence: Silence) {
-        self.silences.lock().expect(SILENCES_POISONED).push(silence);
+        self.silences.lock().expect(SILENCES_LOCK_PANICKED).push(silence);
     }
 
     /// Whether the bytes that go `there` or back on a connection opened at `opened` are swallowed.
-    pub fn swallows(&self, zone: ZoneNumber, is_there: bool, opened: Instant) -> bool {
-        let silences = self.silences.lock().expect(SILENCES_POISONED);
+    pub fn discards(&self, zone: ZoneNumber, to_target: bool, opened: Instant) -> bool {
+        let silences = self.silences.lock().expect(SILENCES_LOCK_PANICKED);
         silences.iter().any(|silence| {
-            let way = match silence.way {
-                SilentWay::There => is_there,
-                SilentWay::Back => !is_there,
-                SilentWay::Both => true,
+            let is_affected = match silence.direction {
+                SilencedDirection::ToTarget => to_target,
+                SilencedDirection::FromTarget => !to_target,
+                SilencedDirection::Both => true,
             };
-            silence.zone == zone && way && opened < silence.opened_before
+            silence.zone == zone && is_affected && opened < silence.opened_before
         })
     }
 
     /// The network has carried nothing for so long, though it might have.
-    pub fn note_pause(&self, pause: Duration) {
+    pub fn record_pause(&self, pause: Duration) {
         self.longest_pause_us.fetch_max(pause.as_micros() as u64, Ordering::AcqRel);
     }
 
--- a/crates/lab/src/standin/network/mod.rs
+++ b/crates/lab/src/standin/network/mod.rs
@@ -20,14 +20,14 @@
 use mio::{Poll, Waker};
 
 use self::event_loop::{EventLoop, NewRelay, WAKE_TOKEN};
-use self::links::{LineEnd, Links, Silence, SilentWay, ZoneNumber};
+use self::links::{LineDirection, Links, Silence, SilencedDirection, ZoneNumber};
 
 /// Second octet of the first zone's addresses.
 const FIRST_ZONE_OCTET: usize = 10;
 /// Host part at which relays listen.
-const RELAY_HOST: u16 = 1;
+const RELAY_HOST_NUMBER: u16 = 1;
 /// Attempts to find a port that is free for both TCP and UDP.
-const PORT_ATTEMPTS: usize = 50;
+const MAX_PORT_ATTEMPTS: usize = 50;
 
 /// Zones on loopback and the links between them.
 #[derive(Debug)]
@@ -83,7 +83,7 @@
 
     /// Makes a TCP address reachable for other zones. Returns the address to call.
     pub fn expose_tcp(&self, zone: &ZoneName, target: SocketAddr) -> io::Result<SocketAddr> {
-        let listener = TcpListener::bind((self.address(zone, RELAY_HOST), 0))?;
+        let listener = TcpListener::bind((self.address(zone, RELAY_HOST_NUMBER), 0))?;
         let address = listener.local_addr()?;
         self.add_listener(zone, listener, target)?;
         Ok(address)
@@ -91,7 +91,7 @@
 
     /// Makes a UDP address reachable for other zones. Returns the address to send to.
     pub fn expose_udp(&self, zone: &ZoneName, target: SocketAddr) -> io::Result<SocketAddr> {
-        let socket = UdpSocket::bind((self.address(zone, RELAY_HOST), 0))?;
+        let socket = UdpSocket::bind((self.address(zone, RELAY_HOST_NUMBER), 0))?;
         let address = socket.local_addr()?;
         self.add_socket(zone, socket, target)?;
         Ok(address)
@@ -99,8 +99,8 @@
 
     /// Makes an address reachable for other zones over both TCP and UDP, at one port.
     pub fn expose(&self, zone: &ZoneName, target: SocketAddr) -> io::Result<SocketAddr> {
-        let host = self.address(zone, RELAY_HOST);
-        for _ in 0..PORT_ATTEMPTS {
+        let host = self.address(zone, RELAY_HOST_NUMBER);
+        for _ in 0..MAX_PORT_ATTEMPTS {
             let listener = TcpListener::bind((host, 0))?;
             let address = listener.local_addr()?;
             if let Ok(socket) = UdpSocket::bind(address) {
@@ -163,15 +163,16 @@
     /// Limits what all streams to the exposed targets of a zone carry together, each way, in bytes a
     /// second.
     pub fn limit_streams(&self, zone: &ZoneName, rate: f64) {
-        for is_there in [true, false] {
-            self.links.set_rate(LineEnd { zone: self.number(zone), is_there }, rate);
+        for to_target in [true, false] {
+            self.links.set_rate(LineDirection { zone: self.number(zone), to_target }, rate);
         }
     }
 
     /// Bytes that streams have carried to and from the exposed targets of a zone.
     pub fn stream_bytes(&self, zone: &ZoneName) -> u64 {
-        let ends = [true, false].map(|is_there| LineEnd { zone: self.number(zone), is_there });
-        ends.into_iter().map(|end| self.links.bytes(end)).sum()
+        let directions =
+            [true, false].map(|to_target| LineDirection { zone: self.number(zone), to_target });
+        directions.into_iter().map(|direction| self.links.bytes(direction)).sum()
     }
 
     /// Cuts the way from one zone to another, and leaves the way back.
@@ -180,15 +181,15 @@
     }
 
     /// Cuts two zones off from each other.
-    pub fn cut(&self, one: &ZoneName, other: &ZoneName) {
-        self.set_cut(one, other, true);
-        self.set_cut(other, one, true);
+    pub fn cut(&self, first: &ZoneName, second: &ZoneName) {
+        self.set_cut(first, second, true);
+        self.set_cut(second, first, true);
     }
 
     /// Heals the link between two zones, both ways.
-    pub fn heal(&self, one: &ZoneName, other: &ZoneName) {
-        self.set_cut(one, other, false);
-        self.set_cut(other, one, false);
+    pub fn heal(&self, first: &ZoneName, second: &ZoneName) {
+        self.set_cut(first, second, false);
+        self.set_cut(second, first, false);
     }
 
     /// Cuts a zone off from every other.
@@ -202,9 +203,9 @@
     }
 
     /// Open connections to exposed targets in `zone` go silent for good, without a reset; new ones work.
-    pub fn silence_open_connections(&self, zone: &ZoneName, way: SilentWay) {
+    pub fn silence_open_connections(&self, zone: &ZoneName, direction: SilencedDirection) {
         let opened_before = Instant::now();
-        self.links.silence(Silence { zone: self.number(zone), way, opened_before });
+        self.links.silence(Silence { zone: self.number(zone), direction, opened_before });
     }
 
     /// The longest time for which the network has carried nothing because it got no processor time: a node that
