--- a/crates/lab/src/standin/network/streams.rs
+++ b/crates/lab/src/standin/network/streams.rs
@@ -10,20 +10,20 @@
 use mio::net::TcpStream;
 use socket2::{Domain, SockRef, Socket, Type};
 
-use super::event_loop::{Due, Part, RelayKey, Shared};
-use super::links::{LineEnd, ZoneNumber};
+use super::event_loop::{Due, Endpoint, RelayKey, Shared};
+use super::links::{LineDirection, ZoneNumber};
 
 const CHUNK_BYTES: usize = 16 * 1024;
 /// Bytes that may be on their way in one direction; more are left with the sender.
-const IN_FLIGHT_BYTES: usize = 4 * 1024 * 1024;
+const IN_FLIGHT_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 /// The same where the line is limited, as of a system with small windows: what waits at a full line is
 /// this for each connection, and the rest waits with its sender.
-const IN_FLIGHT_BYTES_LIMITED: usize = 64 * 1024;
-const IN_PROGRESS: i32 = 115;
+const RATE_LIMITED_IN_FLIGHT_BYTES: usize = 64 * 1024;
+const EINPROGRESS: i32 = 115;
 
 /// Something on its way.
 #[derive(Debug)]
-enum Load {
+enum Segment {
     Bytes {
         bytes: Vec<u8>,
         written: usize,
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 struct InFlight {
     due: Instant,
-    load: Load,
+    segment: Segment,
 }
 
 /// One direction of a connection.
@@ -46,33 +46,33 @@
     /// Zone of the connection's target.
     target: ZoneNumber,
     /// Whether it leads to the target.
-    is_there: bool,
+    to_target: bool,
     opened: Instant,
     in_flight: VecDeque<InFlight>,
     bytes: usize,
     /// The sender has closed its half.
-    ended: bool,
+    sender_closed: bool,
     /// The receiver was told so.
-    finished: bool,
+    receiver_closed: bool,
 }
 
 /// Why a relay ends at once.
-struct Broken;
+struct BrokenConnection;
 
 impl Direction {
     /// Both directions of a connection that is opened now.
     fn pair(from: ZoneNumber, to: ZoneNumber) -> (Self, Self) {
         let opened = Instant::now();
-        let direction = |from, to, target, is_there| Self {
+        let direction = |from, to, target, to_target| Self {
             from,
             to,
             target,
-            is_there,
+            to_target,
             opened,
             in_flight: VecDeque::new(),
             bytes: 0,
-            ended: false,
-            finished: false,
+            sender_closed: false,
+            receiver_closed: false,
         };
         (direction(from, to, to, true), direction(to, from, to, false))
     }
@@ -83,39 +83,39 @@
         source: &mut TcpStream,
         key: usize,
         shared: &mut Shared,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), BrokenConnection> {
         let link = shared.links.get(self.from, self.to);
-        let swallows = shared.links.swallows(self.target, self.is_there, self.opened);
-        let line = LineEnd { zone: self.target, is_there: self.is_there };
+        let is_silenced = shared.links.discards(self.target, self.to_target, self.opened);
+        let line = LineDirection { zone: self.target, to_target: self.to_target };
         let limited = shared.links.is_limited(line);
-        let window = if limited { IN_FLIGHT_BYTES_LIMITED } else { IN_FLIGHT_BYTES };
+        let window = if limited { RATE_LIMITED_IN_FLIGHT_BYTES } else { IN_FLIGHT_LIMIT_BYTES };
         let mut chunk = [0_u8; CHUNK_BYTES];
-        while !link.cut && !self.ended && self.bytes < window {
-            let load = match source.read(&mut chunk) {
+        while !link.cut && !self.sender_closed && self.bytes < window {
+            let segment = match source.read(&mut chunk) {
                 Ok(0) => {
-                    self.ended = true;
-                    Load::End
+                    self.sender_closed = true;
+                    Segment::End
                 }
                 Ok(count) => {
                     self.bytes += count;
-                    Load::Bytes { bytes: chunk[..count].to_vec(), written: 0 }
+                    Segment::Bytes { bytes: chunk[..count].to_vec(), written: 0 }
                 }
-                Err(error) if is_later(&error) => return Ok(()),
+                Err(error) if is_not_ready(&error) => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return Err(Broken),
+                Err(_) => return Err(BrokenConnection),
             };
-            if swallows {
-                if let Load::Bytes { bytes, .. } = load {
+            if is_silenced {
+                if let Segment::Bytes { bytes, .. } = segment {
                     self.bytes -= bytes.len();
                 }
                 continue;
             }
-            let bytes = match &load {
-                Load::Bytes { bytes, .. } => bytes.len(),
-                Load::End => 0,
+            let bytes = match &segment {
+                Segment::Bytes { bytes, .. } => bytes.len(),
+                Segment::End => 0,
             };
-            let due = shared.links.pass(line, bytes, Instant::now()) + link.delay;
-            self.in_flight.push_back(InFlight { due, load });
+            let due = shared.links.transmit(line, bytes, Instant::now()) + link.delay;
+            self.in_flight.push_back(InFlight { due, segment });
             if limited || !link.delay.is_zero() {
                 shared.due.push(Reverse(Due { at: due, relay: RelayKey::Stream(key) }));
             }
@@ -124,20 +124,20 @@
     }
 
     /// Hands over what has arrived, unless the way is cut.
-    fn deliver(&mut self, sink: &mut TcpStream, shared: &Shared) -> Result<(), Broken> {
+    fn deliver(&mut self, sink: &mut TcpStream, shared: &Shared) -> Result<(), BrokenConnection> {
         if shared.links.get(self.from, self.to).cut {
             return Ok(());
         }
         let now = Instant::now();
         while let Some(first) = self.in_flight.front_mut().filter(|first| first.due <= now) {
-            match &mut first.load {
-                Load::End => {
+            match &mut first.segment {
+                Segment::End => {
                     // The receiver may be gone already.
                     let _ = sink.shutdown(Shutdown::Write);
-                    self.finished = true;
+                    self.receiver_closed = true;
                     self.in_flight.pop_front();
                 }
-                Load::Bytes { bytes, written } => match sink.write(&bytes[*written..]) {
+                Segment::Bytes { bytes, written } => match sink.write(&bytes[*written..]) {
                     Ok(count) => {
                         *written += count;
                         self.bytes -= count;
@@ -145,9 +145,9 @@
                             self.in_flight.pop_front();
                         }
                     }
-                    Err(error) if is_later(&error) => return Ok(()),
+                    Err(error) if is_not_ready(&error) => return Ok(()),
                     Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                    Err(_) => return Err(Broken),
+                    Err(_) => return Err(BrokenConnection),
                 },
             }
         }
@@ -155,41 +155,41 @@
     }
 }
 
-fn is_later(error: &io::Error) -> bool {
+fn is_not_ready(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected)
 }
 
 /// One end of a relayed connection.
 #[derive(Debug)]
 struct End {
-    part: usize,
+    endpoint: usize,
     stream: TcpStream,
 }
 
 /// A relayed connection.
 #[derive(Debug)]
 pub struct StreamRelay {
-    caller: End,
-    caller_address: IpAddr,
+    client: End,
+    client_address: IpAddr,
     target_address: SocketAddr,
     /// Absent until the link lets the connection through.
     target: Option<End>,
-    there: Direction,
-    back: Direction,
+    to_target: Direction,
+    from_target: Direction,
     /// When a break of one end reaches the other.
     broken_at: Option<Instant>,
-    opens_at: Option<Instant>,
+    connects_at: Option<Instant>,
 }
 
-fn register(mut stream: TcpStream, part: Part, shared: &mut Shared) -> End {
+fn register(mut stream: TcpStream, endpoint: Endpoint, shared: &mut Shared) -> End {
     // Only latency suffers if the option cannot be set.
     let _ = stream.set_nodelay(true);
-    let key = shared.parts.insert(part);
+    let key = shared.endpoints.insert(endpoint);
     shared
         .registry
         .register(&mut stream, Shared::token(key), Interest::READABLE | Interest::WRITABLE)
         .expect("a connection cannot be registered");
-    End { part: key, stream }
+    End { endpoint: key, stream }
 }
 
 fn connect(source: IpAddr, target: SocketAddr) -> io::Result<TcpStream> {
@@ -201,7 +201,7 @@
         socket.bind(&SocketAddr::new(source, 0).into())?;
     }
     match socket.connect(&target.into()) {
-        Err(error) if error.raw_os_error() != Some(IN_PROGRESS) => return Err(error),
+        Err(error) if error.raw_os_error() != Some(EINPROGRESS) => return Err(error),
         _ => {}
     }
     Ok(TcpStream::from_std(socket.into()))
@@ -211,65 +211,65 @@
     /// A relay for a caller that has just come in.
     pub fn new(
         key: usize,
-        caller: TcpStream,
-        caller_address: IpAddr,
+        client: TcpStream,
+        client_address: IpAddr,
         from: ZoneNumber,
         to: ZoneNumber,
         target_address: SocketAddr,
         shared: &mut Shared,
     ) -> Self {
-        let (there, back) = Direction::pair(from, to);
+        let (to_target, from_target) = Direction::pair(from, to);
         Self {
-            caller: register(caller, Part::Caller(key), shared),
-            caller_address,
+            client: register(client, Endpoint::Client(key), shared),
+            client_address,
             target_address,
             target: None,
-            there,
-            back,
+            to_target,
+            from_target,
             broken_at: None,
-            opens_at: None,
+            connects_at: None,
         }
     }
 
     /// Moves what can be moved. True once the relay is over.
     pub fn advance(&mut self, key: usize, shared: &mut Shared) -> bool {
         if let Some(at) = self.broken_at {
-            return self.is_free(shared) && Instant::now() >= at;
+            return self.is_uncut(shared) && Instant::now() >= at;
         }
         if self.target.is_none() && !self.open(key, shared) {
             return false;
         }
-        if self.move_all(key, shared).is_err() {
-            return self.break_off(key, shared);
+        if self.transfer(key, shared).is_err() {
+            return self.schedule_reset(key, shared);
         }
-        self.there.finished && self.back.finished
+        self.to_target.receiver_closed && self.from_target.receiver_closed
     }
 
-    fn is_free(&self, shared: &Shared) -> bool {
+    fn is_uncut(&self, shared: &Shared) -> bool {
         let link = |direction: &Direction| shared.links.get(direction.from, direction.to);
-        !link(&self.there).cut && !link(&self.back).cut
+        !link(&self.to_target).cut && !link(&self.from_target).cut
     }
 
     fn delay(&self, shared: &Shared) -> Duration {
-        shared.links.get(self.there.from, self.there.to).delay
+        shared.links.get(self.to_target.from, self.to_target.to).delay
     }
 
     /// Connects to the target once the link lets it; false while it does not.
     fn open(&mut self, key: usize, shared: &mut Shared) -> bool {
-        if !self.is_free(shared) {
+        if !self.is_uncut(shared) {
             return false;
         }
         let now = Instant::now();
         // The caller's kernel was answered at once: the round trip of the handshake comes here.
         let round_trip = self.delay(shared) * 2;
-        let at = *self.opens_at.get_or_insert(now + round_trip);
+        let at = *self.connects_at.get_or_insert(now + round_trip);
         if at > now {
             shared.due.push(Reverse(Due { at, relay: RelayKey::Stream(key) }));
             return false;
         }
-        match connect(self.caller_address, self.target_address) {
+        match connect(self.client_address, self.target_address) {
             Ok(stream) => {
-                self.target = Some(register(stream, Part::Target(key), shared));
+                self.target = Some(register(stream, Endpoint::Target(key), shared));
                 true
             }
             Err(_) => {
@@ -280,34 +280,34 @@
         }
     }
 
-    fn move_all(&mut self, key: usize, shared: &mut Shared) -> Result<(), Broken> {
+    fn transfer(&mut self, key: usize, shared: &mut Shared) -> Result<(), BrokenConnection> {
         let Some(target) = &mut self.target else { return Ok(()) };
-        let caller = &mut self.caller.stream;
-        self.there.collect(caller, key, shared)?;
-        self.there.deliver(&mut target.stream, shared)?;
-        self.back.collect(&mut target.stream, key, shared)?;
-        self.back.deliver(caller, shared)
+        let client = &mut self.client.stream;
+        self.to_target.collect(client, key, shared)?;
+        self.to_target.deliver(&mut target.stream, shared)?;
+        self.from_target.collect(&mut target.stream, key, shared)?;
+        self.from_target.deliver(client, shared)
     }
 
     /// One end broke: the other learns of it after the delay.
-    fn break_off(&mut self, key: usize, shared: &mut Shared) -> bool {
+    fn schedule_reset(&mut self, key: usize, shared: &mut Shared) -> bool {
         let delay = self.delay(shared);
         let at = Instant::now() + delay;
         self.broken_at = Some(at);
         shared.due.push(Reverse(Due { at, relay: RelayKey::Stream(key) }));
-        delay.is_zero() && self.is_free(shared)
+        delay.is_zero() && self.is_uncut(shared)
     }
 
     /// Closes both ends; with a reset if one broke.
     pub fn close(self, shared: &mut Shared) {
         let broken = self.broken_at.is_some();
-        for mut end in [Some(self.caller), self.target].into_iter().flatten() {
+        for mut end in [Some(self.client), self.target].into_iter().flatten() {
             // A socket that is gone needs no deregistration.
             let _ = shared.registry.deregister(&mut end.stream);
             if broken {
                 let _ = SockRef::from(&end.stream).set_linger(Some(Duration::ZERO));
             }
-            shared.parts.remove(end.part);
+            shared.endpoints.remove(end.endpoint);
         }
     }
 }
--- a/crates/lab/src/standin/store/contents.rs
+++ b/crates/lab/src/standin/store/contents.rs
@@ -91,9 +91,9 @@
 
 impl Contents {
     /// Goes back to what a copy holds: revisions and numbers of leases are given out again.
-    pub fn put_back(&mut self, copy: &Contents) {
+    pub fn restore(&mut self, snapshot: &Contents) {
         let era = self.era + 1;
-        *self = Self { era, ..copy.clone() };
+        *self = Self { era, ..snapshot.clone() };
     }
 
     /// A key as it is now.
@@ -108,13 +108,13 @@
             let found = self.entries.iter().filter(|(key, _)| range.contains(key));
             return found.map(|(key, entry)| (key.clone(), entry.clone())).collect();
         };
-        let mut then: BTreeMap<&[u8], Option<&Entry>> = BTreeMap::new();
+        let mut state_at: BTreeMap<&[u8], Option<&Entry>> = BTreeMap::new();
         let events = self.history.iter().take_while(|event| event.revision <= at);
         for event in events.filter(|event| range.contains(&event.key)) {
-            then.insert(&event.key, event.entry.as_ref());
+            state_at.insert(&event.key, event.entry.as_ref());
         }
         let present =
-            then.into_iter().filter_map(|(key, entry)| Some((key.to_vec(), entry?.clone())));
+            state_at.into_iter().filter_map(|(key, entry)| Some((key.to_vec(), entry?.clone())));
         present.collect()
     }
 
@@ -139,14 +139,14 @@
 
     /// Deletes the keys of a range at `revision`. Returns how many there were.
     pub fn delete(&mut self, range: &KeyRange, revision: u64) -> usize {
-        let doomed = self.range(range, None);
-        for (key, entry) in &doomed {
+        let deleted = self.range(range, None);
+        for (key, entry) in &deleted {
             self.entries.remove(key);
             self.revision = revision;
             let previous = Some(entry.clone());
             self.history.push(Event { revision, key: key.clone(), entry: None, previous });
         }
-        doomed.len()
+        deleted.len()
     }
 
     /// Changes of a range from a revision on.
@@ -166,14 +166,14 @@
     }
 
     /// Grants a lease. Returns its number, or `None` if the wanted one is taken.
-    pub fn grant(&mut self, wanted: u64, lifetime: Duration, now: Instant) -> Option<u64> {
-        let number = match wanted {
+    pub fn grant(&mut self, requested: u64, lifetime: Duration, now: Instant) -> Option<u64> {
+        let number = match requested {
             0 => {
                 self.next_lease += 1;
                 self.next_lease
             }
-            wanted if self.leases.contains_key(&wanted) => return None,
-            wanted => wanted,
+            requested if self.leases.contains_key(&requested) => return None,
+            requested => requested,
         };
         self.leases.insert(number, Lease { lifetime, expires: now + lifetime });
         Some(number)
@@ -207,8 +207,8 @@
 
     /// Ends the leases that have run out. Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
-        let over = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
-        let numbers: Vec<u64> = over.map(|(number, _)| *number).collect();
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
+        let numbers: Vec<u64> = expired.map(|(number, _)| *number).collect();
         numbers.iter().for_each(|number| {
             self.revoke(*number);
         });
--- a/crates/lab/src/standin/store/faults.rs
+++ b/crates/lab/src/standin/store/faults.rs
@@ -32,19 +32,19 @@
 #[derive(Debug)]
 pub struct Faults {
     /// Time before a request is handled.
-    pub slowness: Duration,
+    pub response_delay: Duration,
     /// Whether connections that are still open are reset.
     pub outage: bool,
     /// Whether requests are taken and never answered.
     pub silent: bool,
     /// Answers to changes still to be lost.
-    pub answers_to_lose: u64,
+    pub responses_to_lose: u64,
     rate_limit: Option<u32>,
-    allowance: f64,
-    refilled: Instant,
-    started: Instant,
-    second: u64,
-    in_second: u64,
+    tokens: f64,
+    refilled_at: Instant,
+    started_at: Instant,
+    current_second: u64,
+    requests_in_second: u64,
     counters: StoreCounters,
 }
 
@@ -52,16 +52,16 @@
     /// No faults.
     pub fn new(now: Instant) -> Self {
         Self {
-            slowness: Duration::ZERO,
+            response_delay: Duration::ZERO,
             outage: false,
             silent: false,
-            answers_to_lose: 0,
+            responses_to_lose: 0,
             rate_limit: None,
-            allowance: 0.0,
-            refilled: now,
-            started: now,
-            second: 0,
-            in_second: 0,
+            tokens: 0.0,
+            refilled_at: now,
+            started_at: now,
+            current_second: 0,
+            requests_in_second: 0,
             counters: StoreCounters::default(),
         }
     }
@@ -69,8 +69,8 @@
     /// Limits the requests a second; a second's worth may come at once.
     pub fn set_rate_limit(&mut self, limit: Option<u32>, now: Instant) {
         self.rate_limit = limit;
-        self.allowance = limit.map_or(0.0, f64::from);
-        self.refilled = now;
+        self.tokens = limit.map_or(0.0, f64::from);
+        self.refilled_at = now;
     }
 
     /// Counts a request and decides what becomes of it.
@@ -84,35 +84,35 @@
         }
         if let Some(limit) = self.rate_limit {
             let limit = f64::from(limit);
-            let elapsed = now.duration_since(self.refilled).as_secs_f64();
-            self.refilled = now;
-            self.allowance = (self.allowance + elapsed * limit).min(limit);
-            if self.allowance < 1.0 {
+            let elapsed = now.duration_since(self.refilled_at).as_secs_f64();
+            self.refilled_at = now;
+            self.tokens = (self.tokens + elapsed * limit).min(limit);
+            if self.tokens < 1.0 {
                 self.counters.refused += 1;
                 return Admission::Refuse;
             }
-            self.allowance -= 1.0;
+            self.tokens -= 1.0;
         }
-        Admission::Handle(self.slowness)
+        Admission::Handle(self.response_delay)
     }
 
     fn count(&mut self, is_watch: bool, now: Instant) {
         self.counters.requests += 1;
         self.counters.watches += u64::from(is_watch);
-        let second = now.duration_since(self.started).as_secs();
-        if second != self.second {
-            self.second = second;
-            self.in_second = 0;
+        let current_second = now.duration_since(self.started_at).as_secs();
+        if current_second != self.current_second {
+            self.current_second = current_second;
+            self.requests_in_second = 0;
         }
-        self.in_second += 1;
-        self.counters.busiest_second = self.counters.busiest_second.max(self.in_second);
+        self.requests_in_second += 1;
+        self.counters.busiest_second = self.counters.busiest_second.max(self.requests_in_second);
     }
 
     /// Whether the answer to a change is lost.
-    pub fn loses_answer(&mut self) -> bool {
-        let loses = self.answers_to_lose > 0;
-        self.answers_to_lose -= u64::from(loses);
-        loses
+    pub fn loses_response(&mut self) -> bool {
+        let loses_response = self.responses_to_lose > 0;
+        self.responses_to_lose -= u64::from(loses_response);
+        loses_response
     }
 
     /// What was counted so far.
--- a/crates/lab/src/standin/store/gateway.rs
+++ b/crates/lab/src/standin/store/gateway.rs
@@ -42,7 +42,7 @@
     }
 }
 
-type Answer = Result<Value, GatewayError>;
+type GatewayResult = Result<Value, GatewayError>;
 
 /// A field by its name in the published form, or in the form that some clients send.
 fn field<'a>(value: &'a Value, name: &str) -> Option<&'a Value> {
@@ -84,7 +84,7 @@
     json!({ "cluster_id": "1", "member_id": "1", "revision": contents.revision.to_string(), "raft_term": "1" })
 }
 
-fn describe(key: &[u8], entry: &Entry) -> Value {
+fn key_value_json(key: &[u8], entry: &Entry) -> Value {
     let mut described = json!({
         "key": STANDARD.encode(key),
         "create_revision": entry.created.to_string(),
@@ -99,16 +99,16 @@
 }
 
 /// An event as a watch carries it.
-pub fn describe_event(event: &Event, with_previous: bool) -> Value {
+pub fn event_json(event: &Event, with_previous: bool) -> Value {
     let mut described = match &event.entry {
-        Some(entry) => json!({ "kv": describe(&event.key, entry) }),
+        Some(entry) => json!({ "kv": key_value_json(&event.key, entry) }),
         None => json!({
             "type": "DELETE",
             "kv": { "key": STANDARD.encode(&event.key), "mod_revision": event.revision.to_string() },
         }),
     };
     if let Some(previous) = event.previous.as_ref().filter(|_| with_previous) {
-        described["prev_kv"] = describe(&event.key, previous);
+        described["prev_kv"] = key_value_json(&event.key, previous);
     }
     described
 }
@@ -152,8 +152,7 @@
 
 /// A message with events.
 pub fn watch_events(contents: &Contents, events: &[Event], with_previous: bool) -> Value {
-    let events: Vec<Value> =
-        events.iter().map(|event| describe_event(event, with_previous)).collect();
+    let events: Vec<Value> = events.iter().map(|event| event_json(event, with_previous)).collect();
     json!({ "result": { "header": header(contents), "events": events } })
 }
 
@@ -163,7 +162,7 @@
 }
 
 /// Handles a request other than a watch.
-pub fn handle(contents: &mut Contents, path: &str, body: &Value, now: Instant) -> Answer {
+pub fn handle(contents: &mut Contents, path: &str, body: &Value, now: Instant) -> GatewayResult {
     match path {
         "/v3/kv/range" => range(contents, body),
         "/v3/kv/put" => {
@@ -194,7 +193,7 @@
     }
 }
 
-fn range(contents: &Contents, body: &Value) -> Answer {
+fn range(contents: &Contents, body: &Value) -> GatewayResult {
     let at = number(body, "revision");
     if at > contents.revision {
         return Err(GatewayError::FUTURE_REVISION);
@@ -213,7 +212,7 @@
         return Ok(answer);
     }
     let described: Vec<Value> =
-        found.iter().take(limit).map(|(key, entry)| describe(key, entry)).collect();
+        found.iter().take(limit).map(|(key, entry)| key_value_json(key, entry)).collect();
     answer["kvs"] = json!(described);
     if limit < count {
         answer["more"] = json!(true);
@@ -221,10 +220,10 @@
     Ok(answer)
 }
 
-fn put(contents: &mut Contents, body: &Value, revision: u64) -> Answer {
+fn put(contents: &mut Contents, body: &Value, revision: u64) -> GatewayResult {
     let key = bytes(body, "key")?.ok_or(GatewayError::MALFORMED)?;
     let value = bytes(body, "value")?.unwrap_or_default();
-    let previous = contents.get(&key).map(|entry| describe(&key, entry));
+    let previous = contents.get(&key).map(|entry| key_value_json(&key, entry));
     if !contents.put(key, value, number(body, "lease"), revision) {
         return Err(GatewayError::NO_LEASE);
     }
@@ -235,24 +234,24 @@
     Ok(answer)
 }
 
-fn delete(contents: &mut Contents, body: &Value, revision: u64) -> Answer {
+fn delete(contents: &mut Contents, body: &Value, revision: u64) -> GatewayResult {
     let deleted = contents.delete(&key_range(body)?, revision);
     Ok(json!({ "header": header(contents), "deleted": deleted.to_string() }))
 }
 
-fn transaction(contents: &mut Contents, body: &Value) -> Answer {
+fn transaction(contents: &mut Contents, body: &Value) -> GatewayResult {
     let empty = Vec::new();
     let list = |name: &str| field(body, name).and_then(Value::as_array).unwrap_or(&empty);
     let mut succeeded = true;
     for compare in list("compare") {
-        succeeded &= holds(contents, compare)?;
+        succeeded &= comparison_holds(contents, compare)?;
     }
     let operations = list(if succeeded { "success" } else { "failure" });
     check_operations(contents, operations)?;
     let revision = contents.revision + 1;
     let mut responses = Vec::with_capacity(operations.len());
     for operation in operations {
-        responses.push(operate(contents, operation, revision)?);
+        responses.push(execute_operation(contents, operation, revision)?);
     }
     Ok(json!({ "header": header(contents), "succeeded": succeeded, "responses": responses }))
 }
@@ -274,7 +273,7 @@
     Ok(())
 }
 
-fn operate(contents: &mut Contents, operation: &Value, revision: u64) -> Answer {
+fn execute_operation(contents: &mut Contents, operation: &Value, revision: u64) -> GatewayResult {
     if let Some(request) = field(operation, "request_put") {
         return Ok(json!({ "response_put": put(contents, request, revision)? }));
     }
@@ -285,7 +284,7 @@
     Ok(json!({ "response_range": range(contents, request)? }))
 }
 
-fn holds(contents: &Contents, compare: &Value) -> Result<bool, GatewayError> {
+fn comparison_holds(contents: &Contents, compare: &Value) -> Result<bool, GatewayError> {
     let key = bytes(compare, "key")?.ok_or(GatewayError::MALFORMED)?;
     let entry = contents.get(&key);
     let target = field(compare, "target").and_then(Value::as_str).unwrap_or("VERSION");
@@ -309,7 +308,7 @@
     }
 }
 
-fn compact(contents: &mut Contents, body: &Value) -> Answer {
+fn compact(contents: &mut Contents, body: &Value) -> GatewayResult {
     let revision = number(body, "revision");
     if revision > contents.revision {
         return Err(GatewayError::FUTURE_REVISION);
@@ -320,14 +319,14 @@
     }
 }
 
-fn grant(contents: &mut Contents, body: &Value, now: Instant) -> Answer {
+fn grant(contents: &mut Contents, body: &Value, now: Instant) -> GatewayResult {
     let seconds = number(body, "TTL").max(1);
     let granted = contents.grant(number(body, "ID"), Duration::from_secs(seconds), now);
     let number = granted.ok_or(GatewayError::LEASE_EXISTS)?;
     Ok(json!({ "header": header(contents), "ID": number.to_string(), "TTL": seconds.to_string() }))
 }
 
-fn keep_alive(contents: &mut Contents, body: &Value, now: Instant) -> Answer {
+fn keep_alive(contents: &mut Contents, body: &Value, now: Instant) -> GatewayResult {
     let id = number(body, "ID");
     let lifetime = contents.keep_alive(id, now).unwrap_or_default();
     Ok(json!({ "result": {
--- a/crates/lab/src/standin/store/key_calls.rs
+++ b/crates/lab/src/standin/store/key_calls.rs
@@ -12,8 +12,8 @@
 use super::{Reply, Shared, WATCH_CHECK_INTERVAL};
 
 /// Items of one page.
-const PAGE: usize = 50;
-const MALFORMED: u16 = 400;
+const PAGE_ITEMS: usize = 50;
+const BAD_REQUEST: u16 = 400;
 
 /// Status and body.
 type Answer = (u16, String);
@@ -28,23 +28,23 @@
 
 impl Shared {
     /// The refusal of a call beyond the rate.
-    pub(super) fn beyond_rate(&self) -> Reply {
+    pub(super) fn rate_limited_reply(&self) -> Reply {
         reply(failure(RATE_LIMITED), &self.contents())
     }
 
     /// Carries a call out.
     pub(super) fn handle_key_call(&self, call: Option<KeyCall>) -> Reply {
-        let Some(call) = call else { return reply(failure(MALFORMED), &self.contents()) };
+        let Some(call) = call else { return reply(failure(BAD_REQUEST), &self.contents()) };
         if let KeyCall::Watch { prefix, after, wait } = &call {
             return self.wait_for_changes(prefix, *after, *wait);
         }
         let mut contents = self.contents();
-        let answer = carry_out(&mut contents, &call, Instant::now());
-        let is_done = answer.0 == 200;
+        let answer = execute(&mut contents, &call, Instant::now());
+        let is_success = answer.0 == 200;
         let reply = reply(answer, &contents);
         drop(contents);
         self.changed.notify_all();
-        match call.is_change() && is_done && self.faults().loses_answer() {
+        match call.is_change() && is_success && self.faults().loses_response() {
             true => Reply::Reset,
             false => reply,
         }
@@ -88,21 +88,21 @@
     KeyRange { start, end: Some(end) }
 }
 
-fn carry_out(contents: &mut Contents, call: &KeyCall, now: Instant) -> Answer {
+fn execute(contents: &mut Contents, call: &KeyCall, now: Instant) -> Answer {
     match call {
         KeyCall::Item { key } => match contents.get(key.as_bytes()) {
-            Some(entry) => success(keys::item_answer(&held(key, entry), contents.revision)),
+            Some(entry) => success(keys::item_answer(&stored_item(key, entry), contents.revision)),
             None => failure(NOT_FOUND),
         },
         KeyCall::Range { prefix, after } => range(contents, prefix, after.as_deref()),
-        KeyCall::Watch { .. } => failure(MALFORMED),
-        KeyCall::Change(change) => carry_out_change(contents, change),
-        KeyCall::Grant(life) => match contents.grant(0, *life, now) {
-            Some(number) => success(keys::lease_answer(number, *life)),
-            None => failure(MALFORMED),
+        KeyCall::Watch { .. } => failure(BAD_REQUEST),
+        KeyCall::Change(change) => execute_change(contents, change),
+        KeyCall::Grant(lifetime) => match contents.grant(0, *lifetime, now) {
+            Some(number) => success(keys::lease_answer(number, *lifetime)),
+            None => failure(BAD_REQUEST),
         },
         KeyCall::Renew(number) => match contents.keep_alive(*number, now) {
-            Some(life) => success(keys::lease_answer(*number, life)),
+            Some(lifetime) => success(keys::lease_answer(*number, lifetime)),
             None => failure(NOT_FOUND),
         },
         KeyCall::End(number) => match contents.revoke(*number) {
@@ -120,21 +120,21 @@
         .filter(|(key, _)| after.is_none_or(|after| key.as_str() > after))
         .collect();
     let items: Vec<StoredItem> =
-        found.iter().take(PAGE).map(|(key, entry)| held(key, entry)).collect();
-    success(keys::range_answer(&items, found.len() > PAGE, contents.revision))
+        found.iter().take(PAGE_ITEMS).map(|(key, entry)| stored_item(key, entry)).collect();
+    success(keys::range_answer(&items, found.len() > PAGE_ITEMS, contents.revision))
 }
 
-fn carry_out_change(contents: &mut Contents, change: &ChangeCall) -> Answer {
-    let holds = |(key, revision): &(String, u64)| {
+fn execute_change(contents: &mut Contents, change: &ChangeCall) -> Answer {
+    let is_unchanged = |(key, revision): &(String, u64)| {
         contents.get(key.as_bytes()).map_or(0, |entry| entry.modified) == *revision
     };
-    if !change.expected.iter().all(holds) {
+    if !change.expected.iter().all(is_unchanged) {
         return failure(CONDITION_FAILED);
     }
-    let is_gone = |(_, _, lease): &(String, Vec<u8>, u64)| {
+    let has_lost_lease = |(_, _, lease): &(String, Vec<u8>, u64)| {
         *lease != 0 && contents.time_left(*lease, Instant::now()).is_none()
     };
-    if change.puts.iter().any(is_gone) {
+    if change.puts.iter().any(has_lost_lease) {
         return failure(NOT_FOUND);
     }
     let revision = contents.revision + 1;
@@ -147,7 +147,7 @@
     success(keys::change_answer(contents.revision))
 }
 
-fn held<'a>(key: &'a str, entry: &'a Entry) -> StoredItem<'a> {
+fn stored_item<'a>(key: &'a str, entry: &'a Entry) -> StoredItem<'a> {
     StoredItem {
         key,
         value: &entry.value,
@@ -162,12 +162,12 @@
         .iter()
         .map(|event| (String::from_utf8_lossy(&event.key).into_owned(), event))
         .collect();
-    let told: Vec<StoredEvent> = named
+    let stored_events: Vec<StoredEvent> = named
         .iter()
         .map(|(key, event)| match &event.entry {
-            Some(entry) => StoredEvent::Written(held(key, entry)),
+            Some(entry) => StoredEvent::Written(stored_item(key, entry)),
             None => StoredEvent::Gone { key, revision: event.revision },
         })
         .collect();
-    keys::watch_answer(&told, revision)
+    keys::watch_answer(&stored_events, revision)
 }
--- a/crates/lab/src/standin/store/mod.rs
+++ b/crates/lab/src/standin/store/mod.rs
@@ -21,8 +21,8 @@
 use self::contents::{Contents, KeyRange};
 use self::faults::{Admission, Faults, StoreCounters};
 use self::gateway::{GatewayError, WatchRequest};
-use super::door::Door;
 use super::http::{self, Reply, Request};
+use super::listener::RestartableListener;
 
 /// Time between two looks of a watch at whether its client is still there.
 const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -54,7 +54,7 @@
 pub struct PlatformStore {
     /// Where it listens.
     pub address: SocketAddr,
-    door: Door,
+    listener: RestartableListener,
     shared: Arc<Shared>,
 }
 
@@ -66,7 +66,7 @@
 
     /// Starts a store on a port that the system chooses.
     pub fn start_as(dialect: Dialect) -> io::Result<Self> {
-        let door = Door::open()?;
+        let listener = RestartableListener::bind()?;
         let shared = Arc::new(Shared {
             dialect,
             contents: Mutex::default(),
@@ -76,10 +76,10 @@
             stopping: AtomicBool::new(false),
         });
         let handling = shared.clone();
-        http::serve(door.clone(), Arc::new(move |request| handling.clone().handle(request)));
+        http::serve(listener.clone(), Arc::new(move |request| handling.clone().handle(request)));
         let expiring = shared.clone();
         thread::spawn(move || expiring.expire_leases());
-        Ok(Self { address: door.address(), door, shared })
+        Ok(Self { address: listener.address(), listener, shared })
     }
 
     /// Its endpoint, as clients are configured with it.
@@ -95,12 +95,12 @@
     /// Refuses connections and ends every watch, or serves again.
     pub fn set_outage(&self, outage: bool) {
         if outage {
-            self.door.shut();
+            self.listener.close();
             self.break_watches();
             self.shared.faults().outage = true;
         } else {
             self.shared.faults().outage = false;
-            self.door.reopen();
+            self.listener.reopen();
         }
     }
 
@@ -110,14 +110,14 @@
     }
 
     /// Waits before each request is handled.
-    pub fn set_slowness(&self, slowness: Duration) {
-        self.shared.faults().slowness = slowness;
+    pub fn set_response_delay(&self, response_delay: Duration) {
+        self.shared.faults().response_delay = response_delay;
     }
 
     /// The next `count` requests that may change something take effect, and their connection is
     /// reset instead of an answer.
-    pub fn lose_next_answers(&self, count: u64) {
-        self.shared.faults().answers_to_lose = count;
+    pub fn lose_next_responses(&self, count: u64) {
+        self.shared.faults().responses_to_lose = count;
     }
 
     /// Breaks every open watch off.
@@ -134,13 +134,13 @@
     }
 
     /// Takes a copy of what it holds.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy { contents: self.shared.contents().clone() }
+    pub fn snapshot(&self) -> StoreSnapshot {
+        StoreSnapshot { contents: self.shared.contents().clone() }
     }
 
     /// Goes back to a copy: what was written since is gone, and revisions are given out again. Every watch ends.
-    pub fn put_back(&self, copy: &StoreCopy) {
-        self.shared.contents().put_back(&copy.contents);
+    pub fn restore(&self, snapshot: &StoreSnapshot) {
+        self.shared.contents().restore(&snapshot.contents);
         self.break_watches();
     }
 
@@ -189,7 +189,7 @@
 
 /// What a store held at some moment.
 #[derive(Clone, Debug)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     contents: Contents,
 }
 
@@ -215,7 +215,7 @@
     fn drop(&mut self) {
         self.shared.stopping.store(true, Ordering::Release);
         self.break_watches();
-        self.door.stop();
+        self.listener.stop();
     }
 }
 
@@ -264,7 +264,7 @@
             Admission::Silence => return Reply::Silence,
             Admission::Reset => return Reply::Reset,
             Admission::Refuse if self.dialect == Dialect::Platform => {
-                return self.beyond_rate();
+                return self.rate_limited_reply();
             }
             Admission::Refuse => return refuse(GatewayError::RATE),
             Admission::Handle(delay) if delay.is_zero() => {}
@@ -291,7 +291,7 @@
         self.changed.notify_all();
         match answer {
             Err(error) => refuse(error),
-            Ok(_) if gateway::is_change(&request.path) && self.faults().loses_answer() => {
+            Ok(_) if gateway::is_change(&request.path) && self.faults().loses_response() => {
                 Reply::Reset
             }
             Ok(answer) => Reply::ok(answer),
@@ -337,9 +337,9 @@
 
 /// Whether the client has closed its side.
 fn is_closed(stream: &TcpStream) -> bool {
-    let looked = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0_u8; 1]));
+    let peeked = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0_u8; 1]));
     // The stream is closed in any case if it cannot be set back.
     let restored = stream.set_nonblocking(false);
-    let waits = matches!(&looked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-    restored.is_err() || !(waits || matches!(looked, Ok(1..)))
+    let is_open = matches!(&peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
+    restored.is_err() || !(is_open || matches!(peeked, Ok(1..)))
 }
--- a/crates/lab/tests/accounts.rs
+++ b/crates/lab/tests/accounts.rs
@@ -72,12 +72,12 @@
             }
         }
     }
-    let runs = platform.groups[0].runs();
+    let runs = platform.groups[0].executed_statements();
     let mut seen = BTreeSet::new();
     for run in &runs {
         let owner = expected.iter().find(|(name, _)| run.id.starts_with(&format!("{name}-")));
         let (name, owner) = owner.expect("a caller asked for it");
-        assert_eq!(run.who, *owner, "{}", run.id);
+        assert_eq!(run.account, *owner, "{}", run.id);
         seen.insert(name.clone());
     }
     assert_eq!(seen.len(), expected.len(), "every caller was served");
@@ -85,7 +85,7 @@
         runs.iter().map(|run| (&run.instance, run.connection)).collect::<BTreeSet<_>>()
     {
         let of = runs.iter().filter(|run| (&run.instance, run.connection) == connection);
-        let accounts: BTreeSet<&str> = of.map(|run| run.who.as_str()).collect();
+        let accounts: BTreeSet<&str> = of.map(|run| run.account.as_str()).collect();
         assert_eq!(accounts.len(), 1, "a connection serves one account for its life");
     }
 }
@@ -228,7 +228,7 @@
         ..PlatformOptions::default()
     };
     let mut platform = start(options, &[customer("atlas", &["old", "new"], PLENTY)]);
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     for number in 0..40 {
         platform.store.put("others/key", &[number]);
     }
--- a/crates/lab/tests/class_service.rs
+++ b/crates/lab/tests/class_service.rs
@@ -81,7 +81,7 @@
             }
         }
     }
-    for run in group.runs().into_iter().filter(|run| reads.contains(&run.id)) {
+    for run in group.executed_statements().into_iter().filter(|run| reads.contains(&run.id)) {
         *served.by_instance.entry(run.instance).or_default() += 1;
     }
     served
@@ -153,7 +153,7 @@
         LineSession::open(node, &route(Consistency::Primary), "writer").expect("it opens");
     assert!(writer.run("WRITE page 1").expect("an answer").is_success());
     let nearest = "i-orders-1";
-    group.set_holding_reads(nearest, true);
+    group.set_reads_blocked(nearest, true);
     let mut sessions: Vec<LineSession> = (0..BURST)
         .map(|number| {
             let name = format!("reader{number}");
@@ -167,5 +167,8 @@
     let answered = answers.filter(|answer| answer.is_success()).count();
     let others = BURST - answered;
     assert!(answered >= BURST / 2, "{others} of {BURST} waited for {nearest}");
-    assert!(group.runs().iter().all(|run| run.instance != nearest), "it holds its reads");
+    assert!(
+        group.executed_statements().iter().all(|run| run.instance != nearest),
+        "it holds its reads"
+    );
 }
--- a/crates/lab/tests/configuration.rs
+++ b/crates/lab/tests/configuration.rs
@@ -129,7 +129,7 @@
     cluster.ctl(0, &["config", "apply", &file, "--wait"]).done();
     let changed = example("casablanca").replacen("capacity = 4 ", "capacity = 8 ", 1);
     let changed = cluster.files.write("changed.toml", &changed);
-    store.lose_next_answers(1);
+    store.lose_next_responses(1);
     let request = ["template", "apply", &changed, "--request", "the-one", "--wait"];
     assert!(cluster.ctl(0, &request).done().contains("accepted"));
     // The operator, who may have seen nothing, asks again through another node.
--- a/crates/lab/tests/instance_entries.rs
+++ b/crates/lab/tests/instance_entries.rs
@@ -70,7 +70,7 @@
         .find(|instance| *instance != primary)
         .expect("a replica");
     platform.groups[0].kill(&replica);
-    platform.groups[0].start_again_as(&replica, "i-again");
+    platform.groups[0].restart_as(&replica, "i-again");
     wait("the new instance is known", || {
         known_instances(&platform, GROUPS[0]).contains(&"i-again".to_owned())
     })
@@ -84,7 +84,7 @@
     wait("the new instance serves", || {
         let answer = reader.run("READ seat").expect("an answer");
         assert!(answer.is_success(), "{answer:?}");
-        platform.groups[0].runs().iter().any(|run| run.instance == "i-again")
+        platform.groups[0].executed_statements().iter().any(|run| run.instance == "i-again")
     })
     .expect("in time");
 }
@@ -97,7 +97,7 @@
         let mut writer = open(&platform, 0, Consistency::Primary, "w");
         assert!(writer.run("WRITE seat free").expect("an answer").is_success());
         platform.groups[0].kill(&primary);
-        platform.groups[0].start_again_as(&primary, successor);
+        platform.groups[0].restart_as(&primary, successor);
         wait(&format!("writes go on with {successor}"), || {
             let Ok(mut writer) = LineSession::open(
                 platform.callers[1],
--- a/crates/lab/tests/large_configuration.rs
+++ b/crates/lab/tests/large_configuration.rs
@@ -20,7 +20,7 @@
 use kestrellock_lab::platform::{
     Platform, PlatformOptions, ZONES, further_database, node_relay, store_relay, wait,
 };
-use kestrellock_lab::standin::network::links::SilentWay;
+use kestrellock_lab::standin::network::links::SilencedDirection;
 use kestrellock_peer::catalog_transfer;
 use rand::rngs::ChaCha8Rng;
 use rand::{RngExt, SeedableRng};
@@ -236,16 +236,16 @@
 enum Trouble {
     Frozen,
     Killed,
-    SilentLinks(SilentWay),
+    SilentLinks(SilencedDirection),
 }
 
 impl Trouble {
     fn draw(random: &mut ChaCha8Rng) -> Self {
         match random.random_range(0..5) {
             0 => Self::Killed,
-            1 => Self::SilentLinks(SilentWay::There),
-            2 => Self::SilentLinks(SilentWay::Back),
-            3 => Self::SilentLinks(SilentWay::Both),
+            1 => Self::SilentLinks(SilencedDirection::ToTarget),
+            2 => Self::SilentLinks(SilencedDirection::FromTarget),
+            3 => Self::SilentLinks(SilencedDirection::Both),
             _ => Self::Frozen,
         }
     }
--- a/crates/lab/tests/platform_path.rs
+++ b/crates/lab/tests/platform_path.rs
@@ -57,13 +57,13 @@
             expected.push((id, number, round));
         }
     }
-    let runs = platform.groups[0].runs();
+    let runs = platform.groups[0].executed_statements();
     for (id, number, round) in expected {
         let run = runs.iter().find(|run| run.id == id).expect("it ran");
         let color = run.values.get("color");
         let wanted = (number % 2 == 0).then(|| format!("c{number}-{round}"));
         assert_eq!(color, wanted.as_ref(), "{id}");
-        assert_eq!(run.what, format!("shape{number} page"), "{id}");
+        assert_eq!(run.text, format!("shape{number} page"), "{id}");
     }
 }
 
@@ -81,7 +81,7 @@
         assert!(answer.is_success(), "{text}: {answer:?}");
         assert_eq!(answer.state, TransactionState::Open);
     }
-    let runs = platform.groups[0].runs();
+    let runs = platform.groups[0].executed_statements();
     let connections: std::collections::BTreeSet<u64> = runs
         .iter()
         .filter(|run| ids.contains(&run.id))
@@ -240,7 +240,7 @@
         })
     })
     .expect("in time");
-    let before = group.runs().len();
+    let before = group.executed_statements().len();
     for node in 0..3 {
         let mut session = open(&platform, node, Consistency::Bounded, &format!("late{node}"));
         for _ in 0..20 {
@@ -248,7 +248,7 @@
             assert!(read.is_success(), "{read:?}");
         }
     }
-    let later = &group.runs()[before..];
+    let later = &group.executed_statements()[before..];
     assert!(later.iter().all(|run| run.instance != leaving), "{leaving} was given work");
 }
 
@@ -319,7 +319,7 @@
     let deaf = group.instances().into_iter().find(|one| *one != primary).expect("a replica");
     let mut writer = open(&platform, 0, Consistency::Session, "w");
     assert!(run(&mut writer, "WRITE price 1").is_success());
-    group.set_deaf(&deaf, true);
+    group.set_replication_blocked(&deaf, true);
     assert!(run(&mut writer, "WRITE price 2").is_success());
     let written = Instant::now();
     assert_eq!(run(&mut writer, "READ price").rows, ["2"], "its own write");
--- a/crates/lab/tests/platform_replacement.rs
+++ b/crates/lab/tests/platform_replacement.rs
@@ -136,7 +136,7 @@
     for number in 0..60 {
         platform.store.put("others/key", &[number]);
     }
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     for number in 0..60 {
         platform.store.put("others/key", &[number]);
     }
@@ -163,7 +163,7 @@
     let options =
         PlatformOptions { promotion: Duration::from_millis(400), ..PlatformOptions::default() };
     let platform = start(options);
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     replace(&platform, |platform, old| {
         platform.groups[0].kill(old);
         let begun = || platform.nodes().any(|node| !node.context.intents.load().is_empty());
@@ -199,7 +199,7 @@
     let platform = start(PlatformOptions::default());
     let group = &platform.groups[0];
     let (_, replicas) = roles(group);
-    group.set_deaf(&replicas[0], true);
+    group.set_replication_blocked(&replicas[0], true);
     replace(&platform, |platform, old| platform.groups[0].kill(old));
     assert_eq!(group.primary().as_ref(), Some(&replicas[1]), "the other one lacks commits");
 }
@@ -210,7 +210,7 @@
     let group = &platform.groups[0];
     let (primary, replicas) = roles(group);
     // From here on the second replica alone receives, so it alone holds what is acknowledged.
-    group.set_deaf(&replicas[0], true);
+    group.set_replication_blocked(&replicas[0], true);
     let name = database(GROUPS[0], Consistency::Primary);
     let mut session = LineSession::open(platform.callers[0], &name, "w").expect("it opens");
     assert!(session.run("WRITE only copy").expect("an answer").is_success());
--- a/crates/lab/tests/resting.rs
+++ b/crates/lab/tests/resting.rs
@@ -21,7 +21,7 @@
     let primary = group.primary().expect("a primary");
     let old = group.instances().into_iter().find(|one| *one != primary).expect("a replica");
     group.kill(&old);
-    group.start_again_as(&old, "i-again");
+    group.restart_as(&old, "i-again");
     platform.configure(&[]);
     wait("the new instance is known, or a counter moves", || {
         let is_known = |node: &Node| {
--- a/crates/lab/tests/silent_connections.rs
+++ b/crates/lab/tests/silent_connections.rs
@@ -9,14 +9,15 @@
 use kestrellock_lab::platform::{
     GROUPS, Platform, PlatformOptions, database, node_relay, store_relay, wait,
 };
-use kestrellock_lab::standin::network::links::SilentWay;
+use kestrellock_lab::standin::network::links::SilencedDirection;
 use kestrellock_platform::keys::{Freshness, KeyStore};
 
 /// Twice the owners of a group, so that some nodes forward.
 const NODES: usize = 6;
 /// Connections of an instance: as many as make three owners of a group.
 const CONNECTIONS: usize = 16;
-const WAYS: [SilentWay; 3] = [SilentWay::There, SilentWay::Back, SilentWay::Both];
+const WAYS: [SilencedDirection; 3] =
+    [SilencedDirection::ToTarget, SilencedDirection::FromTarget, SilencedDirection::Both];
 /// Limit of one call to the store; any will do that an answer on loopback keeps.
 const CALL_LIMIT: Duration = Duration::from_millis(400);
 const CALLS_AT_ONCE: usize = 6;
@@ -41,7 +42,7 @@
     (0..NODES).map(open).collect()
 }
 
-fn silence_links(platform: &Platform, way: SilentWay) {
+fn silence_links(platform: &Platform, way: SilencedDirection) {
     let network = platform.network.as_ref().expect("relays");
     (0..NODES).for_each(|node| network.silence_open_connections(&node_relay(node), way));
 }
@@ -68,7 +69,7 @@
             let answer = session.answer().expect("an answer");
             assert!(answer.is_success(), "{way:?}: {id}: {answer:?}");
         }
-        let runs = platform.groups[0].runs();
+        let runs = platform.groups[0].executed_statements();
         for id in ids {
             let times = runs.iter().filter(|run| run.id == id).count();
             assert_eq!(times, 1, "{way:?}: {id}");
@@ -120,7 +121,7 @@
         platform.nodes().map(open).sum()
     };
     let ends = links(&platform);
-    silence_links(&platform, SilentWay::Both);
+    silence_links(&platform, SilencedDirection::Both);
     // One statement over one dead link makes its node ask on its other ones; each of those that is
     // replaced does the same at its other end.
     for session in &mut sessions {
@@ -143,7 +144,7 @@
             });
         }
     });
-    network.silence_open_connections(&store_relay(), SilentWay::Both);
+    network.silence_open_connections(&store_relay(), SilencedDirection::Both);
     store.items("op", Freshness::Newest).expect_err("the connection is dead");
     store.items("op", Freshness::Newest).expect("a new connection");
 }
--- a/crates/lab/tests/standin_faults.rs
+++ b/crates/lab/tests/standin_faults.rs
@@ -232,7 +232,7 @@
         caller.join().expect("no panic").expect("reads");
     }
     assert!(start.elapsed() >= Duration::from_millis(30) * (CALLERS / SLOTS) as u32);
-    assert_eq!(group.instances[0].service.present(), 0);
+    assert_eq!(group.instances[0].service.in_progress(), 0);
 }
 
 #[test]
--- a/crates/lab/tests/standin_network.rs
+++ b/crates/lab/tests/standin_network.rs
@@ -8,7 +8,7 @@
 
 use kestrellock_core::ids::ZoneName;
 use kestrellock_lab::standin::network::Network;
-use kestrellock_lab::standin::network::links::SilentWay;
+use kestrellock_lab::standin::network::links::SilencedDirection;
 use socket2::{Domain, Socket, Type};
 
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -266,7 +266,8 @@
 
 #[test]
 fn open_connections_go_silent_without_a_reset_and_new_ones_work() {
-    for way in [SilentWay::There, SilentWay::Back, SilentWay::Both] {
+    for way in [SilencedDirection::ToTarget, SilencedDirection::FromTarget, SilencedDirection::Both]
+    {
         let network = network();
         let [north, south, _] = &zones()[..] else { panic!("three zones") };
         let target = echo_server(network.address(north, HOST).into());
--- a/crates/lab/tests/standin_replication_rules.rs
+++ b/crates/lab/tests/standin_replication_rules.rs
@@ -6,11 +6,11 @@
 
 use kestrellock_core::ids::ZoneName;
 use kestrellock_lab::standin::group::events::{EventLog, GroupEventKind, Signal};
-use kestrellock_lab::standin::group::instance::{Instance, InstanceParts};
+use kestrellock_lab::standin::group::instance::{Instance, InstanceConfig};
 use kestrellock_lab::standin::group::lag::{Lag, LagSource};
 use kestrellock_lab::standin::group::options::GroupOptions;
-use kestrellock_lab::standin::group::replication::Coordinator;
-use kestrellock_lab::standin::group::service::{Service, ServiceTimes};
+use kestrellock_lab::standin::group::replication::Replicator;
+use kestrellock_lab::standin::group::service::{ServiceQueue, ServiceTimes};
 use kestrellock_lab::standin::group::tables::Change;
 use proptest::prelude::*;
 
@@ -45,7 +45,7 @@
 
 struct Group {
     instances: Vec<Arc<Instance>>,
-    coordinator: Coordinator,
+    coordinator: Replicator,
     events: Arc<EventLog>,
     now: Instant,
     written: Vec<Written>,
@@ -58,10 +58,10 @@
         let signal = Arc::new(Signal::default());
         let instances: Vec<Arc<Instance>> = (0..size)
             .map(|index| {
-                Arc::new(Instance::new(InstanceParts {
+                Arc::new(Instance::new(InstanceConfig {
                     index,
                     zone: ZoneName::new(format!("zone-{index}")),
-                    service: Service::new(1, ServiceTimes::default(), seed),
+                    service: ServiceQueue::new(1, ServiceTimes::default(), seed),
                     connection_limit: 1,
                     connection_setup: Duration::ZERO,
                     lag: LagSource::new(Lag::default(), seed),
@@ -76,7 +76,7 @@
             seed,
             ..GroupOptions::default()
         };
-        let mut coordinator = Coordinator::new(&instances, options, events.clone(), signal);
+        let mut coordinator = Replicator::new(&instances, options, events.clone(), signal);
         let now = Instant::now() + LONG;
         coordinator.tick(now);
         Self { instances, coordinator, events, now, written: Vec::new(), led: Vec::new() }
--- a/crates/lab/tests/standin_store.rs
+++ b/crates/lab/tests/standin_store.rs
@@ -269,7 +269,7 @@
 fn a_lost_answer_is_of_a_change_that_took_effect() {
     let (store, client) = store();
     client.put("a", "before");
-    store.lose_next_answers(1);
+    store.lose_next_responses(1);
     assert_eq!(client.get("a").as_deref(), Some("before"), "reads are answered");
     let body = json!({ "key": code("a"), "value": code("after") });
     client.try_post("/v3/kv/put", body).err().expect("no answer");
@@ -288,9 +288,9 @@
     hasty.try_post("/v3/kv/put", body()).err().expect("no answer");
     store.set_silent(false);
     assert_eq!(client.get("a"), None);
-    store.set_slowness(LIMIT * 3);
+    store.set_response_delay(LIMIT * 3);
     hasty.try_post("/v3/kv/put", body()).err().expect("no answer in time");
-    store.set_slowness(Duration::ZERO);
+    store.set_response_delay(Duration::ZERO);
     let limit = Instant::now() + PATIENCE;
     while client.get("a").is_none() {
         assert!(Instant::now() < limit, "the late request never took effect");
@@ -319,9 +319,9 @@
     server.set_lag(Duration::from_secs(3600));
     server.set_machines(vec![machine("b", ListedState::Leaving)]);
     assert_eq!(read().expect("a list"), told);
-    server.set_lie(Some(vec![machine("c", ListedState::Leaving)]));
+    server.set_false_list(Some(vec![machine("c", ListedState::Leaving)]));
     assert_eq!(read().expect("a list")[0]["state"], "leaving");
-    server.set_lie(None);
+    server.set_false_list(None);
     server.set_outage(true);
     read().expect_err("refused");
     server.set_outage(false);
--- a/crates/lab/tests/store_contract.rs
+++ b/crates/lab/tests/store_contract.rs
@@ -110,8 +110,8 @@
         let table: [(&str, Break, bool, bool); 5] = [
             // Name, fault, whether the error leaves it open, whether the write happened.
             ("none", |_| {}, false, true),
-            ("slow", |server| server.set_slowness(Duration::from_millis(50)), false, true),
-            ("answer lost", |server| server.lose_next_answers(1), true, true),
+            ("slow", |server| server.set_response_delay(Duration::from_millis(50)), false, true),
+            ("answer lost", |server| server.lose_next_responses(1), true, true),
             ("silent", |server| server.set_silent(true), true, false),
             ("rate", |server| server.set_rate_limit(Some(0)), false, false),
         ];
--- a/crates/lab/tests/store_copy.rs
+++ b/crates/lab/tests/store_copy.rs
@@ -282,13 +282,13 @@
     let holding = Holding::start();
     let intent = holding.intent(1);
     holding.record(&intent);
-    let copy = holding.store.copy();
+    let copy = holding.store.snapshot();
     let successor = Successor { instance: InstanceName::new("i-2"), term: Some(Term(7)) };
     let (hold, group) = (&holding.hold, &holding.group);
     assert!(
         holding.coordination.finish(hold, group, intent.id, Some(&successor)).expect("an answer")
     );
-    holding.store.put_back(&copy);
+    holding.store.restore(&copy);
     advance(&holding.mirror);
     let knows = |view: &CoordinationView| (view.intents.len(), view.promoted.get(group).cloned());
     assert_eq!(knows(&holding.coordination.view()), (0, Some(successor.clone())));
@@ -307,8 +307,8 @@
 #[test]
 fn a_hold_of_an_earlier_era_is_over() {
     let holding = Holding::start();
-    let copy = holding.store.copy();
-    holding.store.put_back(&copy);
+    let copy = holding.store.snapshot();
+    holding.store.restore(&copy);
     let (hold, group) = (&holding.hold, &holding.group);
     assert_eq!(holding.coordination.renew(hold).expect("an answer"), None);
     let recorded = holding.coordination.record(hold, group, &holding.intent(1));
--- a/crates/lab/tests/store_put_back.rs
+++ b/crates/lab/tests/store_put_back.rs
@@ -46,7 +46,7 @@
 /// `lost` higher than the copy's, and `others` keys are written besides.
 fn is_in_force_after(lost: usize, others: usize) {
     let mut platform = start();
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     write_others(&platform, lost);
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
@@ -85,7 +85,7 @@
 #[test]
 fn a_configuration_that_the_copy_lacks_stays_in_force() {
     let mut platform = start();
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
     platform.put_store_back(&copy, AWAY);
@@ -102,9 +102,9 @@
 #[test]
 fn a_change_after_two_returns_is_in_force() {
     let mut platform = start();
-    let older = platform.store.copy();
+    let older = platform.store.snapshot();
     write_others(&platform, 20);
-    let newer = platform.store.copy();
+    let newer = platform.store.snapshot();
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
     platform.put_store_back(&newer, AWAY);
@@ -121,7 +121,7 @@
 #[test]
 fn a_node_that_stands_still_through_a_return_has_the_change() {
     let mut platform = start();
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     write_others(&platform, 20);
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
@@ -142,7 +142,7 @@
 #[test]
 fn a_node_that_starts_on_the_copy_has_nothing_older_than_the_others() {
     let mut platform = start();
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     write_others(&platform, 20);
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
@@ -161,7 +161,7 @@
 #[test]
 fn a_drain_that_is_written_again_is_in_force() {
     let platform = start();
-    let copy = platform.store.copy();
+    let copy = platform.store.snapshot();
     let key = format!("{DRAINS_PREFIX}{}", ZONES[0]);
     let is_drained = |platform: &Platform| {
         platform.nodes().all(|node| !node.context.catalog.load().drained_zones().is_empty())
--- a/crates/lab/tests/zone_drain.rs
+++ b/crates/lab/tests/zone_drain.rs
@@ -51,7 +51,7 @@
 
 /// Statements that an instance has run so far.
 fn runs_at(group: &InstanceGroup, instance: &str) -> usize {
-    group.runs().iter().filter(|run| run.instance == instance).count()
+    group.executed_statements().iter().filter(|run| run.instance == instance).count()
 }
 
 fn open(platform: &Platform, node: usize, consistency: Consistency, name: &str) -> LineSession {
@@ -98,7 +98,7 @@
         assert!(session.run("BEGIN READ").expect("an answer").is_success());
         let id = session.coming_id();
         assert!(session.run("READ x").expect("an answer").is_success());
-        if group.runs().iter().any(|run| run.id == id && run.instance == replica) {
+        if group.executed_statements().iter().any(|run| run.id == id && run.instance == replica) {
             sessions.push(session);
             break;
         }
@@ -122,13 +122,13 @@
     let primary = group.primary().expect("a primary");
     let home = zone_of(&platform, &primary);
     ZONES.iter().for_each(|zone| drain(&platform, zone));
-    let refused_before = group.runs().len();
+    let refused_before = group.executed_statements().len();
     let mut writer = open(&platform, 0, Consistency::Primary, "w");
     let answer = writer.run("WRITE x y").expect("an answer");
     let Err((word, text)) = &answer.outcome else { panic!("{answer:?}") };
     assert_eq!(word, "BUSY", "{text}");
     assert!(text.contains("KL1302"), "{text}");
-    assert_eq!(group.runs().len(), refused_before, "it has run");
+    assert_eq!(group.executed_statements().len(), refused_before, "it has run");
     assert!(platform.promotions.calls().is_empty(), "promoted from one drained zone into another");
     take_back(&platform, &home);
     wait("it is served", || writer.run("WRITE x y").is_ok_and(|answer| answer.is_success()))
