--- a/crates/lab/src/standin/group/analysis.rs
+++ b/crates/lab/src/standin/group/analysis.rs
@@ -1,4 +1,5 @@
-//! What can be told of a statement before it runs: types of its parameters and its result columns.
+//! Static analysis of a statement before it runs: its tables, the types of its parameters and its
+//! result columns.
 
 use std::sync::Arc;
 
@@ -12,16 +13,16 @@
 use super::tables::Column;
 use super::values::{BIGINT, BOOLEAN, DOUBLE, INTEGER, TEXT, TIMESTAMP, UNKNOWN, VOID, type_oid};
 
-/// Columns of a table by its name.
+/// Looks up the columns of a table by its name.
 pub type ColumnLookup<'a> = &'a dyn Fn(&str) -> Result<Arc<[Column]>, SqlError>;
 
-/// Name of a table as statements are compared by it.
+/// Normalizes a table name: lower case, without quotes and without the schema `public`.
 pub fn table_name(name: &impl ToString) -> String {
     let name = name.to_string().to_lowercase().replace('"', "");
     name.strip_prefix("public.").map(str::to_owned).unwrap_or(name)
 }
 
-/// The one table that a statement is about, if any.
+/// The table that a statement reads or writes, if there is one.
 pub fn table_of(statement: &Statement) -> Option<String> {
     match statement {
         Statement::Query(query) => match query.body.as_ref() {
@@ -43,7 +44,7 @@
     }
 }
 
-/// Name of the table that a relation refers to.
+/// Normalized name of the table that a relation refers to.
 pub fn relation_name(relation: &sqlparser::ast::TableFactor) -> String {
     match relation {
         sqlparser::ast::TableFactor::Table { name, .. } => table_name(name),
@@ -51,12 +52,12 @@
     }
 }
 
-/// Number, from one, of a parameter's name such as `$1`.
+/// Number of a parameter such as `$1`, starting from one.
 pub fn parameter_number(name: &str) -> Option<usize> {
     name.strip_prefix('$')?.parse().ok().filter(|number| *number > 0)
 }
 
-/// Type of an expression over a row of `columns`; [`UNKNOWN`] where the context decides.
+/// Type of an expression on rows with `columns`; [`UNKNOWN`] if it depends on the context.
 pub fn expression_type(expression: &Expr, columns: &[Column]) -> u32 {
     let column = |name: &str| {
         let found = columns.iter().find(|column| column.name.eq_ignore_ascii_case(name));
@@ -130,7 +131,7 @@
     }
 }
 
-/// The first argument of a call, if it is an expression.
+/// The first argument of a function call, if it is an expression.
 pub fn first_argument(arguments: &FunctionArguments) -> Option<&Expr> {
     match arguments {
         FunctionArguments::List(list) => match list.args.first() {
@@ -141,7 +142,7 @@
     }
 }
 
-/// Columns that a select list yields over rows of `columns`.
+/// Result columns of a select list on rows with `columns`.
 pub fn result_columns(items: &[SelectItem], columns: &[Column]) -> Result<Vec<Column>, SqlError> {
     let mut result = Vec::new();
     for item in items {
@@ -176,7 +177,7 @@
     }
 }
 
-/// Columns of the rows that a statement returns, or `None` if it returns none.
+/// Result columns of a statement, or `None` if it returns no rows.
 pub fn describe(
     statement: &Statement,
     lookup: ColumnLookup,
@@ -209,7 +210,7 @@
     returning.map(|items| result_columns(items, columns)).transpose()
 }
 
-/// Types of a statement's parameters: as declared, or else as their use tells.
+/// Types of a statement's parameters: as declared, or else inferred from their use.
 pub fn parameter_types(
     statement: &Statement,
     declared: &[u32],
--- a/crates/lab/src/standin/group/arrivals.rs
+++ b/crates/lab/src/standin/group/arrivals.rs
@@ -1,5 +1,5 @@
-//! What reached an instance: texts of queries and their parameters, kept only where a judge asks
-//! for them.
+//! Log of the statements that reached an instance, with their text and parameters. It is filled
+//! only while recording is enabled, for checkers that need it.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,23 +7,23 @@
 
 use super::connections::ConnectionNumber;
 
-/// Longest part of a text that is kept, in bytes.
+/// Statement texts are truncated to this many bytes.
 const TEXT_LIMIT_BYTES: usize = 160;
 
-/// A simple query, or an execution of a prepared statement, that reached an instance.
+/// A simple query or an execution of a prepared statement that reached an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatementArrival {
-    /// When.
+    /// When it arrived.
     pub at: Instant,
-    /// Connection that carried it.
+    /// Connection on which it arrived.
     pub connection: ConnectionNumber,
-    /// Whether the instance was primary.
+    /// Whether the instance was primary at that time.
     pub primary: bool,
-    /// The head of its text; parameters follow the text of a prepared statement.
+    /// Start of its text. For a prepared statement, the parameters follow the text.
     pub text: String,
 }
 
-/// The arrivals at one instance.
+/// The statements that reached one instance.
 #[derive(Debug, Default)]
 pub struct ArrivalLog {
     recording: AtomicBool,
@@ -31,17 +31,17 @@
 }
 
 impl ArrivalLog {
-    /// Begins to keep arrivals.
+    /// Starts recording.
     pub fn record(&self) {
         self.recording.store(true, Ordering::Release);
     }
 
-    /// Whether arrivals are kept.
+    /// Whether recording is enabled.
     pub fn is_recording(&self) -> bool {
         self.recording.load(Ordering::Acquire)
     }
 
-    /// Keeps an arrival that happens now.
+    /// Records a statement that arrives now.
     pub fn add(&self, connection: ConnectionNumber, primary: bool, text: &str) {
         let end = text.floor_char_boundary(TEXT_LIMIT_BYTES);
         let text = text[..end].to_owned();
@@ -49,7 +49,7 @@
         self.arrivals.lock().expect("a holder of the arrivals lock panicked").push(arrival);
     }
 
-    /// All arrivals so far.
+    /// All recorded statements so far.
     pub fn all(&self) -> Vec<StatementArrival> {
         self.arrivals.lock().expect("a holder of the arrivals lock panicked").clone()
     }
--- a/crates/lab/src/standin/group/connections.rs
+++ b/crates/lab/src/standin/group/connections.rs
@@ -1,4 +1,4 @@
-//! The client connections of one instance: their cancel keys, and ways to end them.
+//! Registry of an instance's client connections: admission, cancel requests and resets.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -9,21 +9,21 @@
 
 use super::evaluate::SqlError;
 
-/// Longest time between two looks at whether a waiting statement was cancelled.
+/// Interval at which a waiting statement checks for cancellation.
 pub const CANCEL_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 static NEXT_PROCESS: AtomicI32 = AtomicI32::new(1000);
 
-/// Number of a client connection, unique in the process.
+/// Number of a client connection, unique within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionNumber(pub i32);
 
-/// What others may do to a connection.
+/// Handle with which other threads cancel a connection's statement or reset the connection.
 #[derive(Debug)]
 pub struct Control {
-    /// Process number told to the client.
+    /// Process number sent to the client in BackendKeyData.
     pub process: i32,
-    /// Secret that a cancel request must carry.
+    /// Secret key that a cancel request must carry.
     pub secret: i32,
     admitted: AtomicBool,
     cancelled: AtomicBool,
@@ -36,12 +36,12 @@
         ConnectionNumber(self.process)
     }
 
-    /// A new statement begins: a cancel request for an earlier one is void.
+    /// Starts a new statement: discards a cancel request for an earlier one.
     pub fn begin_statement(&self) {
         self.cancelled.store(false, Ordering::Release);
     }
 
-    /// An error if the statement under way was cancelled.
+    /// Fails if the current statement was cancelled, and resets the cancel flag.
     pub fn check_cancelled(&self) -> Result<(), SqlError> {
         if self.cancelled.swap(false, Ordering::AcqRel) {
             return Err(SqlError::new("57014", "canceling statement due to user request"));
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Sleeps, unless cancelled.
+    /// Sleeps for `time`. Fails early if the statement is cancelled.
     pub fn sleep(&self, time: Duration) -> Result<(), SqlError> {
         let end = Instant::now() + time;
         loop {
@@ -62,10 +62,10 @@
         }
     }
 
-    /// Breaks the connection off.
+    /// Shuts the connection down.
     pub fn reset(&self) {
         if let Some(stream) = &self.stream {
-            // The connection may be gone already.
+            // The connection may already be closed.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -82,10 +82,10 @@
         self.open.lock().expect("a holder of the connections lock panicked")
     }
 
-    /// Notes a new connection.
+    /// Registers a new connection.
     pub fn open(&self, stream: &TcpStream) -> Arc<Control> {
         let process = NEXT_PROCESS.fetch_add(1, Ordering::Relaxed);
-        // Each `RandomState` is keyed from the operating system's randomness.
+        // Each `RandomState` has keys from the operating system's random number generator.
         let secret = RandomState::new().hash_one(process) as i32;
         let control = Arc::new(Control {
             process,
@@ -98,13 +98,13 @@
         control
     }
 
-    /// Forgets a connection.
+    /// Removes a closed connection.
     pub fn close(&self, control: &Control) {
         self.locked().remove(&control.process);
     }
 
-    /// Admits a connection unless `limit` others are admitted already. Those that only cancel
-    /// or are refused take no place.
+    /// Admits a connection unless `limit` others are admitted. Connections that only carry a cancel
+    /// request, and rejected ones, do not count towards the limit.
     pub fn admit(&self, control: &Control, limit: usize) -> bool {
         let open = self.locked();
         let is_admitted = |control: &&Arc<Control>| control.admitted.load(Ordering::Acquire);
@@ -113,13 +113,13 @@
         fits
     }
 
-    /// How many are admitted.
+    /// Number of admitted connections.
     pub fn count(&self) -> usize {
         let open = self.locked();
         open.values().filter(|control| control.admitted.load(Ordering::Acquire)).count()
     }
 
-    /// Cancels the statement that the connection runs, if the secret is right.
+    /// Cancels the current statement of a connection if the secret matches.
     pub fn cancel(&self, process: i32, secret: i32) {
         if let Some(control) =
             self.locked().get(&process).filter(|control| control.secret == secret)
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Breaks every connection off.
+    /// Shuts every connection down.
     pub fn reset_all(&self) {
         self.locked().values().for_each(|control| control.reset());
     }
--- a/crates/lab/src/standin/group/ddl.rs
+++ b/crates/lab/src/standin/group/ddl.rs
@@ -1,4 +1,4 @@
-//! Statements that change the definition of tables.
+//! CREATE TABLE, CREATE INDEX and DROP TABLE.
 
 use sqlparser::ast::{
     ColumnDef, ColumnOption, CreateIndex, CreateTable, DataType, Expr, IndexColumn, ObjectType,
@@ -13,7 +13,7 @@
 use super::transaction::{ExecutionContext, ExecutionError, StatementResult};
 use super::values::type_oid;
 
-/// Runs a statement that changes definitions.
+/// Executes a statement that changes table definitions.
 pub fn run(
     context: &mut ExecutionContext,
     statement: &Statement,
--- a/crates/lab/src/standin/group/dml.rs
+++ b/crates/lab/src/standin/group/dml.rs
@@ -1,6 +1,7 @@
-//! Statements that change rows.
+//! INSERT, UPDATE and DELETE.
 //!
-//! Each takes all its locks before its first change, so that it can be run anew after a wait.
+//! Each statement acquires all its locks before its first change, so that it can be retried from
+//! the start after it waited for a lock.
 
 use sqlparser::ast::{
     Assignment, AssignmentTarget, Delete, DoUpdate, Expr, FromTable, Insert, OnConflictAction,
@@ -18,7 +19,7 @@
 use super::transaction::{ExecutionContext, ExecutionError, StatementResult};
 use super::values::coerce;
 
-/// Runs a statement that changes something.
+/// Executes a statement that changes rows or table definitions.
 pub fn run(
     context: &mut ExecutionContext,
     statement: &Statement,
@@ -31,7 +32,7 @@
     }
 }
 
-/// An empty copy of a table's definition, to work with while the overlay changes.
+/// Copies a table's definition without its rows, so that the overlay can change meanwhile.
 fn definition(context: &ExecutionContext, name: &str) -> Result<Table, SqlError> {
     let table = context.overlay.table(context.state, name)?;
     let keys: Vec<Vec<usize>> = table.keys.iter().map(|key| key.columns.clone()).collect();
@@ -52,7 +53,7 @@
     Ok(())
 }
 
-/// A row, other than the one numbered `own`, that has a unique key in common with `row`.
+/// Finds a row other than `own` that has the same values as `row` in a unique key.
 fn conflicting(
     context: &ExecutionContext,
     name: &str,
@@ -235,7 +236,7 @@
     Ok(row)
 }
 
-/// A row after assignments.
+/// Evaluates the assignments of an UPDATE. Returns the new row.
 fn assign(scope: &Scope, table: &Table, assignments: &[Assignment]) -> Result<Row, SqlError> {
     let mut changed = scope.row.to_vec();
     for assignment in assignments {
--- a/crates/lab/src/standin/group/evaluate.rs
+++ b/crates/lab/src/standin/group/evaluate.rs
@@ -1,4 +1,4 @@
-//! Evaluation of SQL expressions over one row, or over a group of rows.
+//! Evaluation of SQL expressions on one row or on a group of rows.
 
 use sqlparser::ast::{
     BinaryOperator, Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, InTarget,
@@ -15,54 +15,54 @@
 /// An SQL error with its SQLSTATE.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SqlError {
-    /// SQLSTATE.
+    /// SQLSTATE code.
     pub state: &'static str,
-    /// Message.
+    /// Message text.
     pub message: String,
 }
 
 impl SqlError {
-    /// An error.
+    /// Creates an error.
     pub fn new(state: &'static str, message: impl Into<String>) -> Self {
         Self { state, message: message.into() }
     }
 
-    /// A feature the stand-in lacks.
+    /// Error for a feature that the stand-in does not support.
     pub fn unsupported(what: impl std::fmt::Display) -> Self {
         Self::new("0A000", format!("not supported by this server: {what}"))
     }
 }
 
-/// What an expression may refer to.
+/// Everything that an expression may refer to.
 pub struct Scope<'a> {
-    /// The instance.
+    /// State of the instance.
     pub state: &'a State,
-    /// Columns of the row.
+    /// Columns of `row`.
     pub columns: &'a [Column],
-    /// The row.
+    /// Row on which the expression is evaluated.
     pub row: &'a [Value],
-    /// Values of the statement's parameters.
+    /// Parameter values of the statement.
     pub parameters: &'a [Value],
-    /// Rows over which aggregates go, where there are aggregates.
+    /// Rows for aggregate functions, if the query has any.
     pub group: Option<&'a [Row]>,
-    /// The row that an insert proposed, where one conflicted.
+    /// Row proposed by an INSERT that met a conflicting row (`EXCLUDED` in ON CONFLICT).
     pub excluded: Option<&'a [Value]>,
-    /// Number of the client's process.
+    /// Process number of the client's connection, as `pg_backend_pid()` returns it.
     pub process: i32,
 }
 
-/// Text of a truth value.
+/// A boolean in PostgreSQL's text format.
 pub fn boolean(value: bool) -> Value {
     Some(if value { "t" } else { "f" }.to_owned())
 }
 
-/// Whether a value counts as true.
+/// Whether a value is true; null is not.
 pub fn is_true(value: &Value) -> bool {
     value.as_deref().is_some_and(|text| text == "t" || text == "true")
 }
 
 impl<'a> Scope<'a> {
-    /// A scope over one row.
+    /// Creates a scope for one row.
     pub fn for_row(context: &'a ExecutionContext, columns: &'a [Column], row: &'a [Value]) -> Self {
         Self {
             state: context.state,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Evaluates an expression to text.
+    /// Evaluates an expression. Returns its value in text format.
     pub fn evaluate(&self, expression: &Expr) -> Result<Value, SqlError> {
         match expression {
             Expr::Nested(inner) => self.evaluate(inner),
@@ -148,7 +148,8 @@
         }
     }
 
-    /// The one-row system view `pg_stat_wal_receiver`.
+    /// Evaluates a scalar subquery. Supports only the view `pg_stat_wal_receiver`,
+    /// which has one row.
     fn scalar_subquery(&self, body: &SetExpr) -> Result<Value, SqlError> {
         let SetExpr::Select(select) = body else { return Err(SqlError::unsupported(body)) };
         let from = select.from.first().map(|table| relation_name(&table.relation));
--- a/crates/lab/src/standin/group/events.rs
+++ b/crates/lab/src/standin/group/events.rs
@@ -1,49 +1,49 @@
-//! What happened in a group, and the signal that wakes its coordinator.
+//! Log of the events in a group, and the signal that wakes its replicator.
 
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Something that happened in a group.
+/// An event in a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupEvent {
-    /// When.
+    /// When it happened.
     pub at: Instant,
-    /// What.
+    /// What happened.
     pub kind: GroupEventKind,
 }
 
 /// Kinds of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupEventKind {
-    /// The primary no longer reaches a majority.
+    /// The primary lost contact with the majority.
     PrimaryLost {
         /// Its index.
         index: usize,
         /// Its term.
         term: u32,
     },
-    /// The primary reaches a majority again, and no other was elected meanwhile.
+    /// The primary regained contact with a majority before another one was elected.
     PrimaryRegained {
         /// Its index.
         index: usize,
         /// Its term.
         term: u32,
     },
-    /// An instance was elected and takes writes.
+    /// An instance was elected and accepts writes.
     Elected {
         /// Its index.
         index: usize,
         /// Its term.
         term: u32,
     },
-    /// A replaced primary heard of its replacement and takes no more writes.
+    /// An old primary learned of its replacement and accepts no more writes.
     SteppedDown {
         /// Its index.
         index: usize,
-        /// The term it led.
+        /// Term that it led.
         term: u32,
     },
-    /// The first commit of a term.
+    /// A primary made its first commit in a term.
     FirstWrite {
         /// Index of the primary.
         index: usize,
@@ -52,7 +52,7 @@
     },
 }
 
-/// The events of a group, in order.
+/// The events of a group in chronological order.
 #[derive(Debug, Default)]
 pub struct EventLog {
     events: Mutex<Vec<GroupEvent>>,
@@ -63,7 +63,7 @@
         self.events.lock().expect("a holder of the event lock panicked")
     }
 
-    /// Adds an event that happens now.
+    /// Records an event that happens now.
     pub fn add(&self, kind: GroupEventKind) {
         self.locked().push(GroupEvent { at: Instant::now(), kind });
     }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Wakes the coordinator when there is something to ship.
+/// Wakes the replicator when there are records to ship.
 #[derive(Debug, Default)]
 pub struct Signal {
     raised: Mutex<bool>,
@@ -82,7 +82,7 @@
 }
 
 impl Signal {
-    /// Wakes the waiter.
+    /// Wakes the waiting thread.
     pub fn raise(&self) {
         let mut raised = self.raised.lock().expect("a holder of the signal lock panicked");
         if !*raised {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Waits until raised, at most `limit`.
+    /// Waits up to `limit` until the signal is raised, then resets it.
     pub fn wait(&self, limit: Duration) {
         let raised = self.raised.lock().expect("a holder of the signal lock panicked");
         let waited = self.changed.wait_timeout_while(raised, limit, |raised| !*raised);
--- a/crates/lab/src/standin/group/functions.rs
+++ b/crates/lab/src/standin/group/functions.rs
@@ -1,4 +1,4 @@
-//! Operators and functions over text values.
+//! SQL operators and functions on values in text format.
 
 use std::cmp::Ordering;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -9,10 +9,11 @@
 use super::tables::Value;
 use super::values::timestamp_text;
 
-/// Seconds from 1970-01-01 to 2000-01-01.
+/// Seconds from the Unix epoch to PostgreSQL's epoch, 2000-01-01.
 const POSTGRES_EPOCH_UNIX_SECONDS: u64 = 946_684_800;
 
-/// Compares two values: as numbers where both are, unless they are known to be text.
+/// Compares two values. Values that both parse as numbers compare numerically, unless `textual`
+/// says that an operand has type text.
 pub fn compare(left: &str, right: &str, textual: bool) -> Ordering {
     if textual {
         return left.cmp(right);
@@ -32,7 +33,7 @@
     })
 }
 
-/// Applies a binary operator other than AND and OR to values that are not null.
+/// Applies a binary operator other than AND and OR to two non-null values.
 pub fn binary(
     left: &str,
     operator: &BinaryOperator,
@@ -71,12 +72,12 @@
     }
 }
 
-/// Whether a function goes over a group of rows.
+/// Whether a function is an aggregate.
 pub fn is_aggregate(name: &str) -> bool {
     matches!(name, "count" | "sum" | "max" | "min")
 }
 
-/// Applies an aggregate function to the values that are not null.
+/// Applies an aggregate function to the non-null values of a group.
 pub fn aggregate(name: &str, values: &[String], textual: bool) -> Result<Value, SqlError> {
     match name {
         "count" => Ok(Some(values.len().to_string())),
@@ -94,7 +95,7 @@
     }
 }
 
-/// Whether a text matches a LIKE pattern.
+/// Whether `text` matches a LIKE pattern.
 pub fn like(text: &str, pattern: &str) -> bool {
     let mut rest = pattern.chars();
     match rest.next() {
@@ -113,7 +114,7 @@
     }
 }
 
-/// Calls a function that goes over one row.
+/// Calls a scalar function.
 pub fn call(scope: &Scope, name: &str, arguments: &[Value]) -> Result<Value, SqlError> {
     let state = scope.state;
     match (name, arguments) {
--- a/crates/lab/src/standin/group/instance.rs
+++ b/crates/lab/src/standin/group/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its state, its connections, and the faults it was told to have.
+//! One instance of a group: its state, its connections and its injected faults.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -14,34 +14,34 @@
 use super::state::{LogEntry, Record, State};
 use super::tables::Change;
 
-/// Time between two looks at whether a paused instance goes on.
+/// Interval at which a connection checks whether its instance is reachable again.
 const PAUSE_POLL_INTERVAL: Duration = Duration::from_micros(500);
 
-/// What becomes of the answer to a commit that has taken effect.
+/// How the response to a commit that has taken effect is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LostResponse {
-    /// Nothing is sent, and the connection stays open.
+    /// No response is sent, and the connection stays open.
     Silent,
     /// The connection is reset.
     Reset,
 }
 
-/// One back-end server.
+/// One server process of a group.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its position in the group.
+    /// Its index in the group.
     pub index: usize,
     /// Its zone.
     pub zone: ZoneName,
     /// Its client connections.
     pub connections: Connections,
-    /// What reached it.
+    /// Statements that reached it.
     pub arrivals: ArrivalLog,
-    /// Its slots.
+    /// Its execution slots.
     pub service: ServiceQueue,
-    /// Most client connections it accepts.
+    /// Maximum number of client connections.
     pub connection_limit: usize,
-    /// How long it takes to set a connection up.
+    /// Time that it takes to establish a connection.
     pub connection_setup: Duration,
     state: Mutex<State>,
     locks_released: Condvar,
@@ -55,29 +55,29 @@
     signal: Arc<Signal>,
 }
 
-/// What an instance is made of.
+/// Configuration of an instance.
 #[derive(Debug)]
 pub struct InstanceConfig {
-    /// Its position in the group; the first begins as primary.
+    /// Its index in the group; the first instance starts as primary.
     pub index: usize,
     /// Its zone.
     pub zone: ZoneName,
-    /// Its slots.
+    /// Its execution slots.
     pub service: ServiceQueue,
-    /// Most client connections it accepts.
+    /// Maximum number of client connections.
     pub connection_limit: usize,
-    /// How long it takes to set a connection up.
+    /// Time that it takes to establish a connection.
     pub connection_setup: Duration,
-    /// How far its readers stay behind.
+    /// Its replication lag while it is a replica.
     pub lag: LagSource,
-    /// Where events of the group go.
+    /// Event log of the group.
     pub events: Arc<EventLog>,
-    /// Wakes the group's coordinator.
+    /// Wakes the group's replicator.
     pub signal: Arc<Signal>,
 }
 
 impl Instance {
-    /// An empty instance at term 1.
+    /// Creates an empty instance at term 1.
     pub fn new(parts: InstanceConfig) -> Self {
         let state = State::new(parts.index == 0);
         Self {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The state, locked.
+    /// Locks its state.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("a holder of the instance lock panicked")
     }
@@ -111,7 +111,7 @@
         self.state().primary
     }
 
-    /// Commits changes to the log.
+    /// Commits changes: appends them to the log and applies them.
     pub fn append(&self, state: &mut State, changes: Vec<Change>) {
         state.append(changes);
         if !state.wrote_in_term {
@@ -121,7 +121,7 @@
         self.signal.raise();
     }
 
-    /// Waits until locks are released, at most `limit`.
+    /// Waits up to `limit` until locks are released.
     pub fn wait_for_locks<'a>(
         &self,
         mut state: MutexGuard<'a, State>,
@@ -145,19 +145,19 @@
         self.lag.lock().expect("a holder of the lag lock panicked")
     }
 
-    /// Changes how far its readers stay behind, also for records already received.
+    /// Changes the replication lag, also for records already received.
     pub fn set_lag(&self, lag: Lag, seed: u64) {
         *self.lag() = LagSource::new(lag, seed);
         self.signal.raise();
     }
 
-    /// Adds a record received from the primary.
+    /// Appends a record received from the primary.
     pub fn receive(&self, state: &mut State, record: Arc<Record>, now: Instant) {
         let lag = self.lag().draw();
         state.log.push(LogEntry { record, received: now, lag });
     }
 
-    /// Applies the records that are old enough. Returns when the next one will be.
+    /// Applies the records whose lag has elapsed. Returns when the next record is due.
     pub fn apply_due(&self, now: Instant) -> Option<Instant> {
         let mut state = self.state();
         let lag = self.lag();
@@ -171,27 +171,27 @@
         None
     }
 
-    /// Whether its process runs, paused or not.
+    /// Whether its process exists, even if it is paused.
     pub fn is_alive(&self) -> bool {
         self.alive.load(Ordering::Acquire)
     }
 
-    /// Whether its process runs and is not paused.
+    /// Whether its process exists and is not paused.
     pub fn is_running(&self) -> bool {
         self.is_alive() && !self.paused.load(Ordering::Acquire)
     }
 
-    /// Whether it is cut off from everything outside its zone.
+    /// Whether it is isolated from everything outside its zone.
     pub fn is_isolated(&self) -> bool {
         self.isolated.load(Ordering::Acquire)
     }
 
-    /// Whether it takes log from the primary.
+    /// Whether it accepts log records from the primary.
     pub fn is_receiving(&self) -> bool {
         self.receiving.load(Ordering::Acquire)
     }
 
-    /// Ends its process. The log stays.
+    /// Kills its process. The log survives.
     pub fn kill(&self) {
         let mut state = self.state();
         self.alive.store(false, Ordering::Release);
@@ -201,7 +201,7 @@
         self.signal.raise();
     }
 
-    /// Starts its process again, as a replica with the log it had.
+    /// Restarts its process as a replica with the log it had.
     pub fn restart(&self) {
         let mut state = self.state();
         state.step_down();
@@ -214,35 +214,36 @@
         self.signal.raise();
     }
 
-    /// Stops or continues its process at any point of what it does.
+    /// Pauses or resumes its process wherever it is.
     pub fn set_paused(&self, paused: bool) {
         self.paused.store(paused, Ordering::Release);
         self.signal.raise();
     }
 
-    /// Cuts it off from everything outside its zone, or undoes that.
+    /// Isolates it from everything outside its zone, or ends the isolation.
     pub fn set_isolated(&self, isolated: bool) {
         self.isolated.store(isolated, Ordering::Release);
         self.signal.raise();
     }
 
-    /// Makes it take log from the primary, or stop doing so.
+    /// Sets whether it accepts log records from the primary.
     pub fn set_receiving(&self, receiving: bool) {
         self.receiving.store(receiving, Ordering::Release);
         self.signal.raise();
     }
 
-    /// The answer to the next commit is lost after the commit has taken effect.
+    /// Loses the response to the next commit after the commit has taken effect.
     pub fn lose_next_response(&self, lost: LostResponse) {
         self.lost_responses.lock().expect("a holder of the faults lock panicked").push(lost);
     }
 
-    /// What becomes of the answer to the commit just made.
+    /// Returns how the response to the commit just made is to be lost, if it is.
     pub fn take_lost_response(&self) -> Option<LostResponse> {
         self.lost_responses.lock().expect("a holder of the faults lock panicked").pop()
     }
 
-    /// Waits while the process is paused, or while `outside` and cut off. False once it is dead.
+    /// Waits while the process is paused or, for a `cross_zone` connection, isolated. Returns false
+    /// once the process is killed.
     pub fn wait_until_reachable(&self, cross_zone: bool) -> bool {
         loop {
             if !self.is_alive() {
--- a/crates/lab/src/standin/group/lag.rs
+++ b/crates/lab/src/standin/group/lag.rs
@@ -1,4 +1,4 @@
-//! How far the readers of a replica stay behind what it has received.
+//! Replication lag: the delay between receiving a log record and applying it.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 use super::state::LogEntry;
 
-/// How long a record waits between being received and being seen by readers.
+/// How long a record waits, after it was received, until readers see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lag {
-    /// The same for every record; [`Duration::MAX`] stops application.
+    /// The same lag for every record; [`Duration::MAX`] stops the application of records.
     Fixed(Duration),
-    /// Drawn for each record, evenly between two bounds. Records stay in order.
+    /// Drawn for each record uniformly between two bounds. Records are still applied in order.
     Uniform {
         /// Lower bound.
         shortest: Duration,
@@ -27,7 +27,7 @@
     }
 }
 
-/// A [`Lag`] with its source of randomness.
+/// A [`Lag`] and its random number generator.
 #[derive(Debug)]
 pub struct LagSource {
     lag: Lag,
@@ -35,12 +35,12 @@
 }
 
 impl LagSource {
-    /// A lag whose draws follow from `seed`.
+    /// Creates a lag source that draws reproducibly from `seed`.
     pub fn new(lag: Lag, seed: u64) -> Self {
         Self { lag, random: StdRng::seed_from_u64(seed) }
     }
 
-    /// Draws the lag of a record, where each has its own.
+    /// Draws the lag of a new record. `None` if the lag is fixed.
     pub fn draw(&mut self) -> Option<Duration> {
         match self.lag {
             Lag::Fixed(_) => None,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The lag of a record.
+    /// The lag that applies to a received record.
     pub fn for_entry(&self, entry: &LogEntry) -> Duration {
         match self.lag {
             Lag::Fixed(lag) => lag,
--- a/crates/lab/src/standin/group/locks.rs
+++ b/crates/lab/src/standin/group/locks.rs
@@ -5,7 +5,7 @@
 use super::connections::ConnectionNumber;
 use super::tables::KeyValues;
 
-/// What a transaction may lock.
+/// An object that a transaction can lock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LockKey {
     /// The definition of a table.
@@ -14,30 +14,31 @@
     Row {
         /// Table.
         table: String,
-        /// Number of the row.
+        /// Row number.
         number: u64,
     },
-    /// The values of a unique key, whether a row has them or not.
+    /// The values of a unique key, even if no row has them yet.
     Key {
         /// Table.
         table: String,
-        /// Position of the key among the table's keys.
+        /// Index of the key among the table's unique keys.
         key: usize,
-        /// Values.
+        /// Values of the key's columns.
         values: KeyValues,
     },
 }
 
-/// Who holds what.
+/// The held locks and their holders.
 #[derive(Debug, Default)]
 pub struct LockTable {
     holders: HashMap<LockKey, ConnectionNumber>,
-    /// Statements that wait for a lock.
+    /// Number of statements that wait for a lock.
     pub waiting: usize,
 }
 
 impl LockTable {
-    /// Takes a lock; false if another connection holds it. New locks are added to `held`.
+    /// Acquires a lock and adds it to `held`, unless the connection already holds it. Returns false
+    /// if another connection holds it.
     pub fn take(
         &mut self,
         lock: LockKey,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Gives locks back.
+    /// Releases all locks in `held`.
     pub fn release(&mut self, connection: ConnectionNumber, held: &mut Vec<LockKey>) {
         for lock in held.drain(..) {
             if self.holders.get(&lock) == Some(&connection) {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Forgets every lock, as a restart does.
+    /// Releases every lock, as a restart does.
     pub fn clear(&mut self) {
         self.holders.clear();
     }
--- a/crates/lab/src/standin/group/mod.rs
+++ b/crates/lab/src/standin/group/mod.rs
@@ -1,4 +1,10 @@
-//! A database group: instances that speak PostgreSQL v3 and replicate one log.
+//! Stand-in for a database group that elects its own primary.
+//!
+//! Each instance listens on loopback, speaks the PostgreSQL v3 protocol and executes SQL on tables
+//! in memory. The instances replicate one log and elect a new primary when a majority has lost
+//! contact with the previous one (see [`replication`]). Tests and benchmarks inject faults through
+//! [`DatabaseGroup`]: killed, paused or isolated instances, replication lag, lost commit responses
+//! and reset connections.
 
 pub mod analysis;
 pub mod arrivals;
@@ -38,25 +44,25 @@
 use self::tables::{Change, Row};
 use super::listener::RestartableListener;
 
-/// Time between two looks while waiting for a condition.
+/// Interval at which the `wait_for_*` methods check their condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A transaction in the log of a primary.
+/// A committed transaction in the log of a primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommittedRecord {
-    /// Term under which it was written.
+    /// Term in which it was written.
     pub term: u32,
-    /// Offset just after it.
+    /// Log offset just after it.
     pub end: u64,
-    /// Its changes.
+    /// Changes that it made.
     pub changes: Vec<Change>,
 }
 
-/// A running group of instances.
+/// A running database group.
 pub struct DatabaseGroup {
-    /// Its instances; the first is the first primary.
+    /// All instances; the first one starts as primary.
     pub instances: Vec<Arc<Instance>>,
-    /// Where callers reach each instance.
+    /// Address at which clients reach each instance: its relay if the group is on a network.
     pub addresses: Vec<SocketAddr>,
     listeners: Vec<RestartableListener>,
     events: Arc<EventLog>,
@@ -65,7 +71,7 @@
 }
 
 impl DatabaseGroup {
-    /// Starts the instances on ports that the system chooses.
+    /// Starts the instances on ports chosen by the operating system.
     pub fn start(options: GroupOptions) -> std::io::Result<Self> {
         let stopping = Arc::new(AtomicBool::new(false));
         let events = Arc::new(EventLog::default());
@@ -102,31 +108,31 @@
         Ok(Self { instances, addresses, listeners, events, stopping, replicator })
     }
 
-    /// Ends an instance's process; its log stays.
+    /// Kills an instance. Its log survives.
     pub fn kill(&self, index: usize) {
         self.listeners[index].close();
         self.instances[index].kill();
     }
 
-    /// Starts a killed instance again, as a replica with the log it had. What the primary of a
-    /// newer term does not have is dropped when it follows that primary.
+    /// Restarts a killed instance as a replica with the log it had. Once it follows a primary of a
+    /// newer term, it drops the records that this primary does not have.
     pub fn restart(&self, index: usize) {
         self.instances[index].restart();
         self.listeners[index].reopen();
     }
 
-    /// Stops an instance's process at whatever point it is; its connections stay open.
+    /// Pauses an instance's process wherever it is. Its connections stay open.
     pub fn pause(&self, index: usize) {
         self.instances[index].set_paused(true);
     }
 
-    /// Continues a paused instance.
+    /// Resumes a paused instance.
     pub fn resume(&self, index: usize) {
         self.instances[index].set_paused(false);
     }
 
-    /// Cuts an instance off from the other instances and, on a network, from callers of other
-    /// zones. A primary cut off goes on to believe that it leads.
+    /// Isolates an instance from the other instances and, on a network, from clients in other
+    /// zones. An isolated primary still considers itself primary.
     pub fn isolate(&self, index: usize) {
         self.instances[index].set_isolated(true);
     }
@@ -136,12 +142,13 @@
         self.instances[index].set_isolated(false);
     }
 
-    /// Changes how far the readers of an instance stay behind; [`Duration::MAX`] stops them.
+    /// Sets a fixed lag between receiving and applying a record; [`Duration::MAX`] stops the
+    /// application of records.
     pub fn set_lag(&self, index: usize, lag: Duration) {
         self.instances[index].set_lag(Lag::Fixed(lag), 0);
     }
 
-    /// Draws the lag of each record evenly between two bounds.
+    /// Draws the lag of each record uniformly between two bounds.
     pub fn set_lag_distribution(
         &self,
         index: usize,
@@ -152,27 +159,28 @@
         self.instances[index].set_lag(Lag::Uniform { shortest, longest }, seed);
     }
 
-    /// Stops or continues the flow of log to a replica, which still hears the primary.
+    /// Stops or resumes the flow of log records to a replica. The replica stays in contact with the
+    /// primary, so that it does not start an election.
     pub fn set_receiving(&self, index: usize, receiving: bool) {
         self.instances[index].set_receiving(receiving);
     }
 
-    /// The next commit takes effect and is never answered.
+    /// Lets the next commit take effect without a response; its connection stays open.
     pub fn hang_after_commit(&self, index: usize) {
         self.instances[index].lose_next_response(LostResponse::Silent);
     }
 
-    /// The next commit takes effect and its connection is reset instead of an answer.
+    /// Lets the next commit take effect, but resets its connection instead of responding.
     pub fn reset_after_commit(&self, index: usize) {
         self.instances[index].lose_next_response(LostResponse::Reset);
     }
 
-    /// Breaks every client connection of an instance off.
+    /// Resets every client connection of an instance.
     pub fn reset_connections(&self, index: usize) {
         self.instances[index].connections.reset_all();
     }
 
-    /// Index of the running primary with the highest term.
+    /// Index of the running primary with the highest term, if there is one.
     pub fn primary(&self) -> Option<usize> {
         self.instances
             .iter()
@@ -181,7 +189,7 @@
             .map(|instance| instance.index)
     }
 
-    /// Waits until a primary at `term` or above runs, at most `limit`. Returns its index.
+    /// Waits up to `limit` for a running primary at `term` or above. Returns its index.
     pub fn wait_for_term(&self, term: u32, limit: Duration) -> Option<usize> {
         let end = Instant::now() + limit;
         loop {
@@ -194,7 +202,8 @@
         }
     }
 
-    /// Waits until every running replica has applied what the primary had, at most `limit`.
+    /// Waits up to `limit` until every running replica has applied the primary's log.
+    /// Returns whether they have.
     pub fn wait_for_replicas(&self, limit: Duration) -> bool {
         let end = Instant::now() + limit;
         loop {
@@ -219,18 +228,18 @@
         }
     }
 
-    /// Begins to keep the queries that reach each instance.
+    /// Starts to record the statements that reach each instance.
     pub fn record_arrivals(&self) {
         self.instances.iter().for_each(|instance| instance.arrivals.record());
     }
 
-    /// What happened so far.
+    /// All events so far.
     pub fn events(&self) -> Vec<GroupEvent> {
         self.events.all()
     }
 
-    /// Rows of a table at the current primary, in the order of their insertion. `None` if there
-    /// is no primary or no such table.
+    /// Rows of a table at the current primary in insertion order. `None` if there is no primary or
+    /// no such table.
     pub fn final_rows(&self, table: &str) -> Option<Vec<Row>> {
         let state = self.instances[self.primary()?].state();
         let table = state.tables.tables.get(table)?;
@@ -257,7 +266,7 @@
             instance.kill();
         }
         if let Some(replicator) = self.replicator.take() {
-            // A coordinator that panicked has said so itself.
+            // The panic hook has already reported a panic of this thread.
             let _ = replicator.join();
         }
     }
--- a/crates/lab/src/standin/group/options.rs
+++ b/crates/lab/src/standin/group/options.rs
@@ -1,4 +1,4 @@
-//! How a group is set up.
+//! Options of a database group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use super::service::ServiceTimes;
 use crate::standin::network::Network;
 
-/// How a group is set up.
+/// Options of a database group.
 #[derive(Clone, Debug)]
 pub struct GroupOptions {
-    /// Zone of each instance; the first instance begins as primary.
+    /// Zone of each instance; the first instance starts as primary.
     pub zones: Vec<ZoneName>,
-    /// Statements that an instance runs at once.
+    /// Number of statements that an instance executes concurrently.
     pub slots: usize,
-    /// How long statements hold a slot.
+    /// How long statements of each class take.
     pub service_times: ServiceTimes,
-    /// Connections that an instance accepts; more are refused with SQLSTATE 53300.
+    /// Maximum number of connections of an instance; it rejects more with SQLSTATE 53300.
     pub connections: usize,
-    /// How long it takes to set a connection up.
+    /// Time that it takes to establish a connection.
     pub connection_setup: Duration,
-    /// How far readers of a replica stay behind.
+    /// Replication lag of the replicas.
     pub replica_lag: Lag,
-    /// How long members wait without word of a primary before they elect another.
+    /// Time without contact with a primary after which the instances elect another one.
     pub election_timeout: Duration,
-    /// How long a replaced primary that hears of the new term still takes writes.
+    /// Time for which an old primary still accepts writes after it learned of a newer term.
     pub step_down_delay: Duration,
-    /// Seed of everything drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Network between the zones; without one there is neither delay nor cut.
+    /// Network between the zones. Without one there are no delays and no cuts.
     pub network: Option<Arc<Network>>,
 }
 
--- a/crates/lab/src/standin/group/overlay.rs
+++ b/crates/lab/src/standin/group/overlay.rs
@@ -1,4 +1,4 @@
-//! Changes of a transaction that is not yet committed, laid over the committed tables.
+//! Uncommitted changes of a transaction, applied over the committed tables when it reads.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -7,21 +7,21 @@
 use super::state::State;
 use super::tables::{Change, Column, KeyValues, Row, Table, UniqueKey};
 
-/// Rows of one table changed by a transaction.
+/// Uncommitted changes to one table.
 #[derive(Clone, Debug, Default)]
 struct TableOverlay {
-    /// New content by number; `None` where deleted.
+    /// New content by row number; `None` if the row was deleted.
     rows: BTreeMap<u64, Option<Row>>,
-    /// Rows put by this transaction, by key and values.
+    /// Numbers of the rows written by this transaction, by unique key index and values.
     keys: HashMap<(usize, KeyValues), u64>,
 }
 
-/// All changes of a transaction.
+/// All uncommitted changes of a transaction.
 #[derive(Clone, Debug, Default)]
 pub struct Overlay {
-    /// Changes in the order in which they were made.
+    /// Changes in the order in which they were made, as the log will carry them.
     pub changes: Vec<Change>,
-    /// Tables created here; `None` where dropped.
+    /// Tables created by this transaction; `None` if it dropped the table.
     definitions: BTreeMap<String, Option<Table>>,
     tables: HashMap<String, TableOverlay>,
 }
@@ -29,14 +29,14 @@
 /// A row and its number.
 #[derive(Clone, Debug)]
 pub struct NumberedRow {
-    /// Number.
+    /// Its number.
     pub number: u64,
-    /// Content.
+    /// Its content.
     pub row: Row,
 }
 
 impl Overlay {
-    /// Definition of a table as this transaction sees it. Its rows are the committed ones.
+    /// The definition of a table as this transaction sees it. Its rows are the committed ones.
     pub fn table<'a>(&'a self, state: &'a State, name: &str) -> Result<&'a Table, SqlError> {
         let found = match self.definitions.get(name) {
             Some(own) => own.as_ref(),
@@ -86,7 +86,7 @@
         self.changes.push(Change::Delete { table: table.to_owned(), number });
     }
 
-    /// The row that has the values in the unique key at `index`.
+    /// Finds the row that has `values` in the unique key at `index`.
     pub fn find(
         &self,
         definition: &Table,
@@ -108,7 +108,7 @@
         Some(NumberedRow { number, row: definition.rows.get(&number)?.clone() })
     }
 
-    /// Calls `visit` with each row of a table, in the order of their numbers.
+    /// Calls `visit` for each row of a table, in ascending order of row numbers.
     pub fn each_row(
         &self,
         definition: &Table,
--- a/crates/lab/src/standin/group/replication.rs
+++ b/crates/lab/src/standin/group/replication.rs
@@ -1,10 +1,15 @@
-//! Shipping of the log, detection of a lost primary, elections and step downs of one group.
+//! Log shipping, failure detection, elections and step-downs of one group.
 //!
-//! The rules are those of a replicated log with terms. A member takes log only from a term that is
-//! at least the highest it has promised. It drops what the primary of a higher term does not have
-//! before it takes over that term. A member votes only when it has not heard a primary for the
-//! election timeout, and the winner has the highest (term of last record, flushed offset) of a
-//! majority. So a record that a majority has flushed under the term of its primary is never lost.
+//! The rules are those of a replicated log with terms, as in Raft:
+//!
+//! - A member accepts log records only from a term that is at least the highest term it has
+//!   promised.
+//! - Before a member adopts a higher term, it drops the records that the primary of that term does
+//!   not have.
+//! - A member votes only if it has had no contact with a primary for its election timeout.
+//! - The winner has the highest (term of the last record, flushed offset) of a majority.
+//!
+//! A record that a majority has flushed in the term of its primary is therefore never lost.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,23 +23,24 @@
 use super::options::GroupOptions;
 use super::state::{Generation, Record, State};
 
-/// Longest time between two looks at the group.
+/// Longest interval between two ticks of the replicator.
 const TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// Share of the election timeout by which a member's own timeout may be longer.
+/// A member's election timeout is longer than the configured one by up to this fraction, so that
+/// members do not all time out together.
 const ELECTION_TIMEOUT_SPREAD: f64 = 0.2;
 
-/// What the coordinator remembers of a member.
+/// The replicator's view of one member.
 #[derive(Debug)]
 struct Member {
     instance: Arc<Instance>,
     last_contact: Instant,
     timeout: Duration,
-    /// Since when it has known that a higher term than the one it leads exists.
+    /// When it learned that a higher term than the one it leads exists.
     newer_term_since: Option<Instant>,
     generation: Generation,
 }
 
-/// The elected primary, as far as the coordinator has seen.
+/// The most recently elected primary.
 #[derive(Clone, Copy, Debug)]
 struct Leader {
     index: usize,
@@ -42,7 +48,7 @@
     is_lost: bool,
 }
 
-/// Carries log and votes between the members of one group.
+/// Carries log records and votes between the members of one group.
 pub struct Replicator {
     members: Vec<Member>,
     options: GroupOptions,
@@ -53,7 +59,7 @@
 }
 
 impl Replicator {
-    /// A coordinator for instances of which the first is primary at term 1.
+    /// Creates a replicator for `instances`, of which the first is primary at term 1.
     pub fn new(
         instances: &[Arc<Instance>],
         options: GroupOptions,
@@ -76,7 +82,7 @@
         Self { members, options, events, signal, random, leader }
     }
 
-    /// Works until `stopping` is set.
+    /// Runs until `stopping` is set.
     pub fn run(mut self, stopping: &AtomicBool) {
         while !stopping.load(Ordering::Acquire) {
             let next = self.tick(Instant::now());
@@ -86,7 +92,7 @@
         }
     }
 
-    /// Does what is due. Returns when a record will next be old enough to be applied.
+    /// Performs all steps that are due. Returns when the next received record is due to be applied.
     pub fn tick(&mut self, now: Instant) -> Option<Instant> {
         self.detect_restarts(now);
         self.ship_all(now);
@@ -100,7 +106,7 @@
             .min()
     }
 
-    /// Members that begin a new life know nothing of a primary or of higher terms.
+    /// Resets the view of restarted members: they know of no primary and of no higher term.
     fn detect_restarts(&mut self, now: Instant) {
         for member in &mut self.members {
             let generation = member.instance.state().generation;
@@ -116,7 +122,7 @@
         &self.members[index].instance
     }
 
-    /// Time of the way from one member to another, or `None` if there is none.
+    /// One-way delay between two members, or `None` if they are not connected in this direction.
     fn delay(&self, from: usize, to: usize) -> Option<Duration> {
         let (from, to) = (self.instance(from), self.instance(to));
         if !from.is_running() || !to.is_running() || from.is_isolated() || to.is_isolated() {
@@ -128,7 +134,7 @@
         }
     }
 
-    /// Whether two members can talk, both ways.
+    /// Whether two members can communicate in both directions.
     fn can_communicate(&self, first: usize, second: usize) -> bool {
         first == second
             || (self.delay(first, second).is_some() && self.delay(second, first).is_some())
@@ -153,7 +159,8 @@
         }
     }
 
-    /// Carries log from a primary to another member, or word of a higher term back.
+    /// Ships log records from a primary to another member. If the member knows of a higher term, the
+    /// primary learns of it instead; a member that is itself an outdated primary learns of this one.
     fn ship(&mut self, source: usize, target: usize, now: Instant) {
         let Some(delay) = self.delay(source, target) else { return };
         let (primary, replica) = (self.instance(source).clone(), self.instance(target).clone());
@@ -181,7 +188,8 @@
             missing_records(&primary, &replica, follows.then_some(log_length));
         let arrived = |record: &&Arc<Record>| record.committed + delay <= now;
         state = replica.state();
-        // Only this thread changes the log of a replica, and a restart keeps it.
+        // `common_length` is still valid after the lock was released: only this thread changes the
+        // log of a replica, and a restart keeps the log.
         state.truncate(common_length);
         state.term = term;
         state.promised = term;
@@ -192,7 +200,7 @@
         self.members[target].last_contact = now;
     }
 
-    /// Notes when the elected primary loses or regains a majority.
+    /// Records an event when the elected primary loses or regains contact with a majority.
     fn update_leader_contact(&mut self) {
         let Leader { index, term, is_lost } = self.leader;
         let leads = {
@@ -216,7 +224,7 @@
         self.members.len() / 2 + 1
     }
 
-    /// Ends the leadership of members that have known of a higher term for long enough.
+    /// Demotes primaries that have known of a higher term for the step-down delay.
     fn step_down_outdated(&mut self, now: Instant) {
         for index in 0..self.members.len() {
             let Some(since) = self.members[index].newer_term_since else { continue };
@@ -238,7 +246,7 @@
         }
     }
 
-    /// Elects a primary if a majority has not heard one for long enough.
+    /// Elects a primary if a majority has had no contact with one for their election timeouts.
     fn elect(&mut self, now: Instant) {
         let waiting: Vec<usize> = (0..self.members.len())
             .filter(|index| {
@@ -284,7 +292,8 @@
     base.mul_f64(1.0 + ELECTION_TIMEOUT_SPREAD * random.random::<f64>())
 }
 
-/// How many first records of the replica's log the primary has too, and what follows them there.
+/// Returns the length of the log prefix that both instances share, and the primary's records after
+/// it.
 fn missing_records(
     primary: &Instance,
     replica: &Instance,
@@ -300,7 +309,7 @@
     let source: Vec<Arc<Record>> = records_after(&primary.state(), 0);
     let target = replica.state();
     let shorter = source.len().min(target.log.len());
-    // Equal (term, end) means equal logs up to there: a term has one primary.
+    // Equal (term, end) implies equal logs up to that record, since a term has only one primary.
     let common_length = (0..shorter)
         .rev()
         .find(|index| {
--- a/crates/lab/src/standin/group/rows.rs
+++ b/crates/lab/src/standin/group/rows.rs
@@ -1,4 +1,5 @@
-//! Finding the rows that a condition chooses, through a unique key where it names one whole.
+//! Finds the rows that satisfy a WHERE clause. Uses a unique key if the clause fixes all its
+//! columns, and scans the table otherwise.
 
 use sqlparser::ast::{BinaryOperator, Expr, Value as Literal};
 
@@ -8,10 +9,10 @@
 use super::transaction::ExecutionContext;
 use super::values::{TEXT, coerce};
 
-/// SQLSTATE of a name that is no column.
+/// SQLSTATE `undefined_column`.
 const UNDEFINED_COLUMN: &str = "42703";
 
-/// Rows of a table that satisfy a condition, in the order of their numbers.
+/// Rows of a table that satisfy a condition, in ascending order of row numbers.
 pub fn matching_rows(
     context: &ExecutionContext,
     name: &str,
@@ -48,7 +49,8 @@
     Ok(found)
 }
 
-/// An error if an expression names what does not exist. Where there are rows, evaluation tells.
+/// Fails if an expression names a column that does not exist. Needed only if no row was found;
+/// otherwise the evaluation on a row reports the error.
 pub fn check_names<'a>(
     context: &ExecutionContext,
     columns: &[Column],
@@ -65,7 +67,8 @@
     Ok(())
 }
 
-/// The unique key and values that a condition demands, if it fixes all columns of one.
+/// The index of the first unique key whose columns the condition all compares with constants, and
+/// these constants.
 fn key_lookup(
     context: &ExecutionContext,
     definition: &Table,
@@ -79,7 +82,7 @@
     Ok(whole.and_then(|index| Some((index, definition.keys[index].values_of(&constants)?))))
 }
 
-/// Notes the columns that a conjunction compares with a constant.
+/// Collects the constants with which a conjunction compares columns for equality.
 fn collect_constants(
     context: &ExecutionContext,
     definition: &Table,
@@ -101,7 +104,8 @@
                 },
             };
             let value = Scope::for_row(context, &[], &[]).evaluate(constant)?;
-            // A value that is no value of the column's type is left to the comparison itself.
+            // If the constant is not valid for the column's type, no key is used and the
+            // comparison itself decides.
             constants[column] = coerce(value, definition.columns[column].type_id).unwrap_or(None);
             Ok(())
         }
@@ -127,7 +131,7 @@
     }
 }
 
-/// Position of a column by its name.
+/// Finds the position of a column by its name.
 pub fn column_index(definition: &Table, name: &str) -> Result<usize, SqlError> {
     let name = name.to_lowercase().replace('"', "");
     definition
@@ -137,7 +141,7 @@
         .ok_or_else(|| SqlError::new("42703", format!("column {name:?} does not exist")))
 }
 
-/// Type of the column at a position, text where there is none.
+/// Type of the column at `position`; text if there is no such column.
 pub fn type_at(definition: &Table, position: usize) -> u32 {
     definition.columns.get(position).map_or(TEXT, |column| column.type_id)
 }
--- a/crates/lab/src/standin/group/select.rs
+++ b/crates/lab/src/standin/group/select.rs
@@ -1,4 +1,4 @@
-//! Queries over one table or none.
+//! SELECT statements on one table or without a table.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 use super::transaction::{ExecutionContext, ExecutionError, StatementResult};
 use super::values::TEXT;
 
-/// How long a `SELECT pg_sleep(n)` sleeps, before anything else is done.
+/// Duration of a `SELECT pg_sleep(n)`. The statement sleeps before it does anything else.
 pub fn sleep_time(
     statement: &Statement,
     parameters: &[Value],
@@ -47,7 +47,7 @@
     Ok(None)
 }
 
-/// Runs a query.
+/// Executes a query.
 pub fn run(
     context: &mut ExecutionContext,
     query: &Query,
@@ -134,7 +134,7 @@
     project_items(scope, &select.projection)
 }
 
-/// The values of a select list over one row.
+/// Evaluates a select list on one row.
 pub fn project_items(scope: &Scope, items: &[SelectItem]) -> Result<Row, SqlError> {
     let mut row = Vec::with_capacity(items.len());
     for item in items {
@@ -213,7 +213,7 @@
     }
 }
 
-/// A row with the values that it is ordered by.
+/// A row and its sort keys.
 struct SortableRow {
     keys: Vec<Value>,
     row: Row,
@@ -242,7 +242,7 @@
     Ok(sortable_rows.into_iter().map(|sortable_rows| sortable_rows.row).collect())
 }
 
-/// The value to order by; a plain number is the position of a column.
+/// Evaluates a sort key; a plain number is the position of a column.
 fn order_key(scope: &Scope, expression: &Expr) -> Result<Value, SqlError> {
     if let Expr::Value(literal) = expression
         && let Literal::Number(text, _) = &literal.value
--- a/crates/lab/src/standin/group/service.rs
+++ b/crates/lab/src/standin/group/service.rs
@@ -1,4 +1,4 @@
-//! Slots of an instance and how long each class of statement holds one.
+//! Execution slots of an instance, and the time for which each class of statement occupies one.
 
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use super::connections::{CANCEL_CHECK_INTERVAL, Control};
 use super::evaluate::SqlError;
 
-/// What a statement does, as far as its service time goes.
+/// Class of a statement, which determines its service time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementClass {
     /// Reads a table.
     Read,
-    /// Changes or locks rows or tables.
+    /// Changes or locks rows or table definitions.
     Write,
-    /// Flushes a transaction to the log. Takes no slot.
+    /// Flushes a transaction to the log. Occupies no slot.
     Commit,
-    /// Touches no table. Takes no slot and no time.
+    /// Accesses no table. Occupies no slot and takes no time.
     Control,
 }
 
 impl StatementClass {
-    /// The class of a statement other than transaction control.
+    /// The class of a statement that is not a transaction control statement.
     pub fn of(statement: &Statement) -> Self {
         let Statement::Query(query) = statement else { return Self::Write };
         if !query.locks.is_empty() {
@@ -37,15 +37,15 @@
     }
 }
 
-/// How long a statement holds its slot.
+/// Distribution of the time for which a statement occupies its slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ServiceTime {
-    /// No longer than its execution takes.
+    /// No time beyond its execution, and no slot.
     #[default]
     None,
-    /// Always the same.
+    /// A constant time.
     Fixed(Duration),
-    /// Anything between two bounds, evenly.
+    /// Uniformly distributed between two bounds.
     Uniform {
         /// Lower bound.
         shortest: Duration,
@@ -60,7 +60,7 @@
 }
 
 impl ServiceTime {
-    /// Draws a time; zero for [`ServiceTime::None`].
+    /// Draws a service time; zero for [`ServiceTime::None`].
     pub fn draw(self, random: &mut StdRng) -> Duration {
         match self {
             Self::None => Duration::ZERO,
@@ -75,14 +75,15 @@
     }
 }
 
-/// Service time of each class of statement.
+/// Service times of the statement classes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceTimes {
     /// Statements that read a table.
     pub read: ServiceTime,
     /// Statements that change or lock rows.
     pub write: ServiceTime,
-    /// Commits; they take no slot, since a transaction that ends frees what others wait for.
+    /// Commits. They occupy no slot, since a transaction that ends releases locks for which other
+    /// statements wait.
     pub commit: ServiceTime,
 }
 
@@ -95,7 +96,7 @@
     finished: u64,
 }
 
-/// The slots of one instance. Statements enter in the order in which they came.
+/// The execution slots of one instance. Statements get a slot in order of arrival.
 #[derive(Debug)]
 pub struct ServiceQueue {
     queue: Mutex<QueueState>,
@@ -103,7 +104,7 @@
 }
 
 impl ServiceQueue {
-    /// `slots` statements at once.
+    /// Creates a queue that serves `slots` statements concurrently.
     pub fn new(slots: usize, times: ServiceTimes, seed: u64) -> Self {
         let random = StdRng::seed_from_u64(seed);
         let queue = QueueState { times, random, slots: slots as u64, next_ticket: 0, finished: 0 };
@@ -114,18 +115,18 @@
         self.queue.lock().expect("a holder of the slot lock panicked")
     }
 
-    /// Changes the service times of statements to come.
+    /// Changes the service times of later statements.
     pub fn set_times(&self, times: ServiceTimes) {
         self.queue().times = times;
     }
 
-    /// Statements that run or wait for a slot now.
+    /// Number of statements that occupy a slot or wait for one.
     pub fn in_progress(&self) -> u64 {
         let queue = self.queue();
         queue.next_ticket - queue.finished
     }
 
-    /// Waits for a slot if the class takes one, and holds it for the service time.
+    /// Waits for a slot if the class needs one, and occupies it for the service time.
     pub fn serve(&self, class: StatementClass, control: &Control) -> Result<(), SqlError> {
         let mut queue = self.queue();
         let times = queue.times;
--- a/crates/lab/src/standin/group/state.rs
+++ b/crates/lab/src/standin/group/state.rs
@@ -1,4 +1,4 @@
-//! The log, the tables and the role of one instance.
+//! State of one instance: its role, its term, its log and its tables.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,61 +6,64 @@
 use super::locks::LockTable;
 use super::tables::{Change, Tables};
 
-/// Where the log begins; a real server's first offset is not zero either.
+/// Offset of the start of the log. Not zero, as on a real server.
 const FIRST_OFFSET: u64 = 0x0100_0000;
-/// Log bytes counted for a record and for each change in it.
+/// Bytes by which a record advances the log offset, without its changes.
 const RECORD_BYTES: u64 = 48;
+/// Bytes by which each change in a record advances the log offset.
 const CHANGE_BYTES: u64 = 80;
+
 /// One committed transaction in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Offset just after the record.
+    /// Log offset just after the record.
     pub end: u64,
-    /// Term under which it was written.
+    /// Term in which it was written.
     pub term: u32,
-    /// Its changes; none in the record that a new primary begins with.
+    /// Its changes; empty in the first record of a new primary.
     pub changes: Vec<Change>,
     /// When the primary flushed it.
     pub committed: Instant,
 }
 
-/// A record as one instance has it.
+/// A record in the log of one instance.
 #[derive(Clone, Debug)]
 pub struct LogEntry {
     /// The record.
     pub record: Arc<Record>,
     /// When this instance received it.
     pub received: Instant,
-    /// How long it waits before readers see it, if that was drawn for it alone.
+    /// Its own lag, if the lag is drawn for each record.
     pub lag: Option<Duration>,
 }
 
-/// One life of an instance; a restart or a step down begins the next.
+/// Incremented when an instance is killed, restarts or steps down. Transactions of an earlier
+/// generation cannot commit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Generation(pub u64);
 
-/// What an instance holds.
+/// State of an instance.
 #[derive(Debug)]
 pub struct State {
     /// Whether it accepts writes.
     pub primary: bool,
-    /// Its term: that of the primary it follows, or its own.
+    /// Its term: that of the primary it follows, or the one it leads.
     pub term: u32,
-    /// Highest term it has voted for or followed; it takes no log from a lower one.
+    /// Highest term that it has voted for or followed. It accepts no log records from a lower one.
     pub promised: u32,
-    /// Its log, flushed.
+    /// Its log, which counts as flushed.
     pub log: Vec<LogEntry>,
-    /// How many records of the log its tables contain.
+    /// Number of log records that are applied to its tables.
     pub applied: usize,
     /// Its tables.
     pub tables: Tables,
     /// Locks of its open transactions.
     pub locks: LockTable,
-    /// Records that a newer primary did not have and that were dropped for it.
+    /// Records that it dropped because the primary of a newer term did not have them.
     pub discarded: Vec<Arc<Record>>,
-    /// Its present life.
+    /// Its current generation.
     pub generation: Generation,
-    /// Whether it has committed in the term that it leads.
+    /// Whether it has committed a transaction in the term that it leads.
     pub wrote_in_term: bool,
 }
 
@@ -81,17 +84,17 @@
         }
     }
 
-    /// Offset up to which the log is flushed.
+    /// Offset up to which its log is flushed.
     pub fn flushed(&self) -> u64 {
         self.log.last().map_or(FIRST_OFFSET, |entry| entry.record.end)
     }
 
-    /// Term of the last record.
+    /// Term of its last record, or zero if its log is empty.
     pub fn last_term(&self) -> u32 {
         self.log.last().map_or(0, |entry| entry.record.term)
     }
 
-    /// Offset up to which readers see the log.
+    /// Offset up to which its log is applied and visible to readers.
     pub fn applied_offset(&self) -> u64 {
         match self.applied {
             0 => FIRST_OFFSET,
@@ -111,7 +114,7 @@
         self.applied = self.log.len();
     }
 
-    /// Applies the record after those already applied.
+    /// Applies the next unapplied record.
     pub fn apply_next(&mut self) {
         let record = self.log[self.applied].record.clone();
         for change in &record.changes {
@@ -120,7 +123,7 @@
         self.applied += 1;
     }
 
-    /// Drops the records after the first `kept`, and what they did to the tables.
+    /// Drops the records after the first `kept`. Rebuilds the tables if they contain any of them.
     pub fn truncate(&mut self, kept: usize) {
         if kept >= self.log.len() {
             return;
@@ -137,13 +140,13 @@
         }
     }
 
-    /// Ends every open transaction, as a restart does.
+    /// Aborts every open transaction, as a restart does.
     pub fn start_new_generation(&mut self) {
         self.generation.0 += 1;
         self.locks.clear();
     }
 
-    /// Becomes primary at `term`, once every record it has is applied.
+    /// Applies all its records, then becomes primary of `term`.
     pub fn promote(&mut self, term: u32) {
         while self.applied < self.log.len() {
             self.apply_next();
@@ -155,7 +158,7 @@
         self.append(Vec::new());
     }
 
-    /// Stops being primary.
+    /// Becomes a replica and aborts every open transaction.
     pub fn step_down(&mut self) {
         self.primary = false;
         self.start_new_generation();
--- a/crates/lab/src/standin/group/tables.rs
+++ b/crates/lab/src/standin/group/tables.rs
@@ -1,4 +1,4 @@
-//! The data of one instance: tables of text values, and changes to them.
+//! Data of one instance: tables with values in text format, and the changes that the log carries.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -9,35 +9,35 @@
 pub type Value = Option<String>;
 /// One row.
 pub type Row = Vec<Value>;
-/// Values of the columns of a unique key, none of them null.
+/// Values of the columns of a unique key; none of them is null.
 pub type KeyValues = Vec<String>;
 
-/// A column of a table or of a result.
+/// A column of a table or of a result set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Column {
     /// Name in lower case.
     pub name: String,
-    /// PostgreSQL type number.
+    /// OID of its PostgreSQL type.
     pub type_id: u32,
-    /// Whether null is refused.
+    /// Whether the column is NOT NULL.
     pub not_null: bool,
-    /// Whether rows without a value get the next number.
+    /// Whether it is a serial column, which takes the next number if a row gives no value.
     pub serial: bool,
-    /// Value of rows that give none.
+    /// Default expression for rows that give no value.
     pub default: Option<Expr>,
 }
 
-/// Columns of which no two rows may have the same values, and an index over them.
+/// A unique key with its index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UniqueKey {
-    /// Positions of the columns.
+    /// Positions of its columns.
     pub columns: Vec<usize>,
-    /// Number of the row by its values.
+    /// Row numbers by key values.
     pub entries: HashMap<KeyValues, u64>,
 }
 
 impl UniqueKey {
-    /// The key's values in a row; `None` if one is null, which never conflicts.
+    /// The key's values in a row. `None` if one of them is null, since null never conflicts.
     pub fn values_of(&self, row: &[Value]) -> Option<KeyValues> {
         self.columns.iter().map(|column| row[*column].clone()).collect()
     }
@@ -46,16 +46,16 @@
 /// A table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
-    /// Columns in order.
+    /// Its columns in order.
     pub columns: Arc<[Column]>,
-    /// Unique keys; the primary key first, if there is one.
+    /// Its unique keys; the primary key comes first if there is one.
     pub keys: Vec<UniqueKey>,
-    /// Rows by their number.
+    /// Its rows by row number.
     pub rows: BTreeMap<u64, Row>,
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(columns: Arc<[Column]>, keys: &[Vec<usize>]) -> Self {
         let new_key =
             |columns: &Vec<usize>| UniqueKey { columns: columns.clone(), ..UniqueKey::default() };
@@ -92,7 +92,7 @@
     }
 }
 
-/// One change, as the log carries it.
+/// A change to the data, as the log carries it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A table was created.
@@ -139,7 +139,7 @@
 pub struct Tables {
     /// Tables by name.
     pub tables: BTreeMap<String, Table>,
-    /// A number above that of every row ever put.
+    /// A number greater than that of every row ever written.
     pub next_row: u64,
 }
 
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Draws the number of a new row.
+    /// Allocates the number of a new row.
     pub fn allocate_row_number(&mut self) -> u64 {
         let number = self.next_row;
         self.next_row += 1;
--- a/crates/lab/src/standin/group/transaction.rs
+++ b/crates/lab/src/standin/group/transaction.rs
@@ -1,6 +1,7 @@
-//! One connection's transaction: statements, locks, savepoints, commit and roll-back.
+//! A connection's transaction: statements, locks, savepoints, commit and rollback.
 //!
-//! Isolation is read committed. A statement that meets a lock waits and is then run anew.
+//! The isolation level is read committed. A statement that needs a lock held by another transaction
+//! waits, and is then retried from the start.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,15 +19,15 @@
 use super::state::{Generation, State};
 use super::tables::{Column, Row, Value};
 
-/// A wait for a lock longer than this counts as a deadlock.
+/// A statement that waits longer than this for a lock fails with a deadlock error.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for a lock between two looks at the cancel flag.
+/// Interval at which a statement that waits for a lock checks for cancellation.
 const LOCK_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a statement answers.
+/// Result of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StatementResult {
-    /// Columns, where rows are returned.
+    /// Columns, if the statement returns rows.
     pub columns: Option<Vec<Column>>,
     /// Rows.
     pub rows: Vec<Row>,
@@ -35,18 +36,18 @@
 }
 
 impl StatementResult {
-    /// An answer without rows.
+    /// Creates a result without rows.
     pub fn with_tag(tag: &str) -> Self {
         Self { tag: tag.to_owned(), ..Self::default() }
     }
 }
 
-/// Why an attempt to run a statement ended without an answer.
+/// Why the execution of a statement ended without a result.
 #[derive(Debug)]
 pub enum ExecutionError {
-    /// It failed.
+    /// The statement failed.
     Sql(SqlError),
-    /// Another transaction holds a lock that it needs.
+    /// Another transaction holds a lock that the statement needs; it can be retried.
     LockUnavailable,
 }
 
@@ -56,22 +57,22 @@
     }
 }
 
-/// What a statement works with while the instance's state is locked.
+/// Everything that a statement uses while the instance's state is locked.
 pub struct ExecutionContext<'a> {
     /// The instance's state.
     pub state: &'a mut State,
     /// Changes of the transaction so far.
     pub overlay: &'a mut Overlay,
-    /// Values of the parameters.
+    /// Parameter values.
     pub parameters: &'a [Value],
-    /// Number of the client's process.
+    /// Process number of the client's connection.
     pub process: i32,
     held: &'a mut Vec<LockKey>,
     control: &'a Control,
 }
 
 impl ExecutionContext<'_> {
-    /// Takes a lock for the transaction.
+    /// Acquires a lock, which the transaction holds until it ends.
     pub fn lock(&mut self, lock: LockKey) -> Result<(), ExecutionError> {
         match self.state.locks.take(lock, self.control.number(), self.held) {
             true => Ok(()),
@@ -94,12 +95,12 @@
     held: Vec<LockKey>,
     savepoints: Vec<Savepoint>,
     read_only: bool,
-    /// Life of the instance in which the first change was made.
+    /// Generation of the instance at the transaction's first lock or change.
     generation: Option<Generation>,
 }
 
 impl Transaction {
-    /// An empty transaction.
+    /// Creates an empty transaction.
     pub fn new(control: Arc<Control>) -> Self {
         Self {
             control,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Opens a block.
+    /// Starts a transaction block.
     pub fn begin(&mut self, modes: &[TransactionMode]) {
         self.read_only =
             modes.contains(&TransactionMode::AccessMode(TransactionAccessMode::ReadOnly));
@@ -129,14 +130,14 @@
             .ok_or_else(|| SqlError::new("3B001", format!("savepoint {name:?} does not exist")))
     }
 
-    /// Forgets a savepoint and keeps what followed it.
+    /// Releases a savepoint and keeps the changes made after it.
     pub fn release(&mut self, name: &str) -> Result<(), SqlError> {
         let index = self.savepoint_index(name)?;
         self.savepoints.truncate(index);
         Ok(())
     }
 
-    /// Undoes what followed a savepoint. Its locks stay held.
+    /// Undoes the changes made after a savepoint. Locks stay held.
     pub fn roll_back_to(&mut self, name: &str) -> Result<(), SqlError> {
         let index = self.savepoint_index(name)?;
         self.overlay = self.savepoints[index].overlay.clone();
@@ -149,12 +150,13 @@
         self.overlay.columns(&instance.state(), table)
     }
 
-    /// Whether there is something to commit.
+    /// Whether there are changes to commit.
     pub fn has_changes(&self) -> bool {
         !self.overlay.changes.is_empty()
     }
 
-    /// Commits.
+    /// Commits the changes. Fails if the instance is no longer primary, or was restarted or demoted
+    /// since the transaction's first change.
     pub fn commit(&mut self, instance: &Instance) -> Result<(), SqlError> {
         if !self.has_changes() {
             self.roll_back(instance);
@@ -176,7 +178,7 @@
         outcome
     }
 
-    /// Forgets every change and gives the locks back.
+    /// Discards all changes and releases all locks.
     pub fn roll_back(&mut self, instance: &Instance) {
         self.overlay = Overlay::default();
         self.savepoints.clear();
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Runs one statement other than transaction control.
+    /// Executes one statement that is not a transaction control statement.
     pub fn run(
         &mut self,
         instance: &Instance,
--- a/crates/lab/src/standin/group/values.rs
+++ b/crates/lab/src/standin/group/values.rs
@@ -1,6 +1,6 @@
-//! Types of the published protocol, and their text and binary formats.
+//! PostgreSQL data types and their text and binary formats.
 //!
-//! Values are kept in PostgreSQL's text format; binary exists on the wire only.
+//! Tables store values in PostgreSQL's text format; the binary format is used on the wire only.
 
 use bytes::{BufMut, BytesMut};
 use sqlparser::ast::DataType;
@@ -8,24 +8,24 @@
 use super::evaluate::SqlError;
 use super::tables::Value;
 
-/// Type number of `boolean`.
+/// OID of type `boolean`.
 pub const BOOLEAN: u32 = 16;
-/// Type number of `bigint`.
+/// OID of type `bigint`.
 pub const BIGINT: u32 = 20;
-/// Type number of `integer`.
+/// OID of type `integer`.
 pub const INTEGER: u32 = 23;
-/// Type number of `text`.
+/// OID of type `text`.
 pub const TEXT: u32 = 25;
-/// Type number of `double precision`.
+/// OID of type `double precision`.
 pub const DOUBLE: u32 = 701;
-/// Type number of a literal whose type the context decides.
+/// OID of type `unknown`: a literal whose type depends on its context.
 pub const UNKNOWN: u32 = 705;
-/// Type number of `timestamp with time zone`.
+/// OID of type `timestamp with time zone`.
 pub const TIMESTAMP: u32 = 1184;
-/// Type number of `void`.
+/// OID of type `void`.
 pub const VOID: u32 = 2278;
 
-/// Format code of binary values; every other code means text.
+/// Format code of the binary format; every other code means text.
 pub const BINARY_FORMAT: i16 = 1;
 
 const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
@@ -35,7 +35,7 @@
 const DAYS_PER_ERA: i64 = 146_097;
 const YEARS_PER_ERA: i64 = 400;
 
-/// The type number of a declared type.
+/// OID of a declared type.
 pub fn type_oid(declared: &DataType) -> u32 {
     match declared {
         DataType::BigInt(_) | DataType::Int8(_) => BIGINT,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Bytes of a value of the type, or -1 where they vary.
+/// Size in bytes of a value of the type, or -1 if it varies.
 pub fn type_size(type_id: u32) -> i16 {
     match type_id {
         BOOLEAN => 1,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Checks a value for a column of the type and brings it to the form it is kept in.
+/// Validates a value for a column of the given type and converts it to its stored form.
 pub fn coerce(value: Value, type_id: u32) -> Result<Value, SqlError> {
     let Some(text) = value else { return Ok(None) };
     let invalid = |name: &str| {
@@ -82,7 +82,7 @@
     Ok(Some(text))
 }
 
-/// Reads a parameter as the wire carries it.
+/// Decodes a bind parameter from its wire format.
 pub fn decode_parameter(bytes: &[u8], type_id: u32, format: i16) -> Result<Value, SqlError> {
     let malformed = || SqlError::new("22P03", "incorrect binary data format in bind parameter");
     if format != BINARY_FORMAT {
@@ -105,7 +105,7 @@
     Ok(Some(text))
 }
 
-/// Appends a value with its length, as a data row carries it.
+/// Appends a value with its length prefix, as in a DataRow message.
 pub fn encode_value(value: &Value, type_id: u32, format: i16, output: &mut BytesMut) {
     let Some(text) = value else { return output.put_i32(-1) };
     if format != BINARY_FORMAT {
@@ -128,7 +128,7 @@
     output.put_slice(bytes);
 }
 
-/// Text of a moment given in microseconds since 2000-01-01 UTC.
+/// Formats a timestamp given in microseconds since PostgreSQL's epoch, 2000-01-01 UTC.
 pub fn timestamp_text(micros: i64) -> String {
     let seconds = micros.div_euclid(MICROSECONDS_PER_SECOND);
     let fraction = micros.rem_euclid(MICROSECONDS_PER_SECOND);
--- a/crates/lab/src/standin/group/wire/extended.rs
+++ b/crates/lab/src/standin/group/wire/extended.rs
@@ -1,4 +1,4 @@
-//! The extended query protocol: prepared statements and portals.
+//! Extended query protocol: prepared statements and portals.
 
 use std::sync::Arc;
 
@@ -20,18 +20,18 @@
 
 /// A prepared statement.
 pub struct PreparedStatement {
-    /// The parsed text: one statement, or none.
+    /// The parsed text: one statement, or none for an empty query.
     statements: Arc<[Statement]>,
     parameter_types: Vec<u32>,
     columns: Option<Vec<Column>>,
 }
 
-/// A prepared statement with values for its parameters.
+/// A prepared statement with bound parameter values.
 pub struct Portal {
     prepared: Arc<PreparedStatement>,
     parameters: Vec<Value>,
     formats: Vec<i16>,
-    /// Rows not yet fetched, once it has run.
+    /// Progress of fetching its rows, once it has run.
     fetching: Option<FetchState>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Client<'_> {
-    /// Handles one message of the extended protocol other than Sync.
+    /// Handles a message of the extended protocol other than Sync.
     pub fn on_extended(&mut self, message: PgWireFrontendMessage) {
         let outcome = match message {
             PgWireFrontendMessage::Parse(parse) => self.on_parse(parse),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Ends the implicit transaction, if one is open.
+    /// Handles Sync: commits the implicit transaction unless a message failed.
     pub fn sync(&mut self) {
         if !self.skipping_until_sync {
             self.commit_implicit();
--- a/crates/lab/src/standin/group/wire/mod.rs
+++ b/crates/lab/src/standin/group/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL v3 protocol of one instance, a thread for each connection.
+//! PostgreSQL v3 protocol server of one instance, with one thread per connection.
 
 mod extended;
 mod settings;
@@ -34,13 +34,13 @@
 use crate::standin::listener::{RestartableListener, reset_on_close};
 use crate::standin::network::Network;
 
-/// Name of the threads that serve connections.
+/// Name of the threads that serve client connections.
 pub const THREAD_NAME: &str = "standin";
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Texts whose parsed form a connection keeps.
+/// Maximum number of query texts whose parsed form a connection caches.
 const PARSED_CACHE_LIMIT: usize = 256;
 
-/// Accepts connections until the door is stopped.
+/// Accepts connections until the listener is stopped.
 pub fn listen(
     listener: RestartableListener,
     instance: Arc<Instance>,
@@ -56,13 +56,13 @@
                 network.as_ref().is_some_and(|network| is_cross_zone(network, &stream, &instance));
             let instance = instance.clone();
             let serving = move || serve(stream, &instance, cross_zone);
-            // Without a thread the connection is closed, as a real server does.
+            // If no thread can be started, the connection is closed, as a real server does.
             let _ = thread::Builder::new().name(THREAD_NAME.into()).spawn(serving);
         }
     });
 }
 
-/// Whether a caller is of another zone than the instance.
+/// Whether a client is in another zone than the instance.
 fn is_cross_zone(network: &Network, stream: &TcpStream, instance: &Instance) -> bool {
     let peer = stream.peer_addr().ok();
     peer.and_then(|peer| network.zone_of(peer.ip())).is_none_or(|zone| zone != instance.zone)
@@ -78,11 +78,11 @@
     parsed: HashMap<String, Arc<[Statement]>>,
     statements: HashMap<String, Arc<PreparedStatement>>,
     portals: HashMap<String, Portal>,
-    /// An error was sent; messages are skipped up to the next Sync.
+    /// An error was sent in the extended protocol: messages are skipped until the next Sync.
     skipping_until_sync: bool,
-    /// What becomes of the answer that is being written.
+    /// How the response that is being written is to be lost, if it is.
     lost_response: Option<LostResponse>,
-    /// The caller is of another zone.
+    /// Whether the client is in another zone than the instance.
     cross_zone: bool,
 }
 
@@ -102,7 +102,7 @@
         lost_response: None,
         cross_zone,
     };
-    // A connection that breaks is the client's affair; its transaction is rolled back below.
+    // An I/O error ends only this connection; its transaction is rolled back below.
     let _ = client.serve(&mut stream);
     client.transaction.roll_back(instance);
     instance.connections.close(&control);
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    /// Handles one message; false to close.
+    /// Handles one message. Returns false if the connection is to be closed.
     fn on_message(&mut self, message: PgWireFrontendMessage, decoding: &mut DecodeContext) -> bool {
         match message {
             PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None) => {
@@ -181,7 +181,7 @@
         true
     }
 
-    /// Sets the connection up; false if it is refused.
+    /// Handles the startup message. Returns false if the connection is rejected.
     fn start_up(&mut self) -> bool {
         if !self.instance.connections.admit(&self.control, self.instance.connection_limit) {
             self.send_error_with_severity(
@@ -204,7 +204,7 @@
     }
 
     fn send(&mut self, message: PgWireBackendMessage) {
-        message.encode(&mut self.output).expect("a message of the stand-in does not encode");
+        message.encode(&mut self.output).expect("failed to encode a backend message");
     }
 
     fn send_ready(&mut self) {
@@ -254,7 +254,8 @@
         self.send_ready();
     }
 
-    /// Runs the statements of one message: one implicit transaction unless a block is open.
+    /// Runs the statements of one simple query in one implicit transaction, unless a transaction
+    /// block is open.
     fn run_all(&mut self, statements: &[Statement]) {
         for statement in statements {
             match self.run(statement, &[]) {
@@ -265,7 +266,7 @@
         self.commit_implicit();
     }
 
-    /// Commits what ran outside a block.
+    /// Commits the implicit transaction if no transaction block is open.
     fn commit_implicit(&mut self) {
         if self.status == TransactionStatus::Idle
             && let Err(error) = self.commit()
@@ -378,14 +379,15 @@
     }
 }
 
-/// Reads and drops what the client sends until it goes or the connection is broken off.
+/// Discards what the client sends until the connection is closed.
 fn wait_for_end(stream: &mut TcpStream) -> io::Result<()> {
     let mut chunk = [0_u8; READ_CHUNK_BYTES];
     while stream.read(&mut chunk)? > 0 {}
     Err(io::ErrorKind::ConnectionReset.into())
 }
 
-/// Format of the column at `index`: none given means text, one given holds for all.
+/// Format code of the column at `index`. No codes mean text for all columns, and a single code
+/// applies to all columns.
 fn format_of(formats: &[i16], index: usize) -> i16 {
     match formats {
         [] => 0,
--- a/crates/lab/src/standin/group/wire/settings.rs
+++ b/crates/lab/src/standin/group/wire/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one connection: SET, RESET and SHOW.
+//! Session settings: SET, RESET and SHOW.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use crate::standin::group::transaction::StatementResult;
 use crate::standin::group::values::TEXT;
 
-/// Settings told at start-up.
+/// Settings reported to the client at startup in ParameterStatus messages.
 pub const REPORTED: [(&str, &str); 6] = [
     ("server_version", "16.4"),
     ("server_encoding", "UTF8"),
@@ -19,7 +19,7 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// Settings changed on this connection.
+/// The settings that a session has changed.
 #[derive(Debug, Default)]
 pub struct SessionSettings {
     changed: BTreeMap<String, String>,
@@ -36,12 +36,12 @@
 }
 
 impl SessionSettings {
-    /// Forgets every change.
+    /// Resets all settings to their defaults.
     pub fn reset(&mut self) {
         self.changed.clear();
     }
 
-    /// Runs SET.
+    /// Executes SET.
     pub fn set(&mut self, set: &Set) -> Result<StatementResult, SqlError> {
         match set {
             Set::SingleAssignment { variable, values, .. } => {
@@ -60,7 +60,7 @@
         Ok(StatementResult::with_tag("SET"))
     }
 
-    /// Runs RESET.
+    /// Executes RESET.
     pub fn reset_one(&mut self, reset: &ResetStatement) -> Result<StatementResult, SqlError> {
         match &reset.reset {
             Reset::ALL => self.reset(),
@@ -72,7 +72,7 @@
         Ok(StatementResult::with_tag("RESET"))
     }
 
-    /// Runs SHOW.
+    /// Executes SHOW.
     pub fn show(&self, variable: &[Ident]) -> Result<StatementResult, SqlError> {
         let name = variable.iter().map(|part| part.value.to_lowercase()).collect::<Vec<_>>();
         let name = name.join(".");
