--- a/crates/lab/src/standin/http.rs
+++ b/crates/lab/src/standin/http.rs
@@ -1,4 +1,4 @@
-//! The little of HTTP/1.1 that the platform's stand-ins need, a thread for each connection.
+//! Minimal HTTP/1.1 server for the platform's stand-ins, with one thread per connection.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -8,59 +8,59 @@
 
 use super::listener::{RestartableListener, reset_on_close};
 
-/// Connections served at once; more are reset.
+/// Maximum number of concurrent connections; further ones are reset.
 const CONNECTION_LIMIT: usize = 2048;
 const BODY_LIMIT: usize = 16 * 1024 * 1024;
 
-/// A request.
+/// An HTTP request.
 #[derive(Debug)]
 pub struct Request {
-    /// Path with query.
+    /// Path with query string.
     pub path: String,
-    /// Headers, their names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// Writes an answer to a connection.
+/// Writes a response to a connection.
 pub type Writer = Box<dyn FnOnce(&mut TcpStream) -> io::Result<()> + Send>;
 
-/// What becomes of a request.
+/// How the server responds to a request.
 pub enum Reply {
-    /// A status and a JSON body; the connection stays open.
+    /// Responds with a status and a JSON body. The connection stays open.
     Json {
-        /// Status.
+        /// Status code.
         status: u16,
-        /// Further headers.
+        /// Additional headers.
         headers: Vec<(&'static str, String)>,
         /// Body.
         body: String,
     },
-    /// The connection is reset without an answer.
+    /// Resets the connection without a response.
     Reset,
-    /// Nothing is ever answered; the connection stays open until the client goes.
+    /// Never responds. The connection stays open until the client closes it.
     Silence,
-    /// The handler writes the answer itself, and the connection ends with it.
+    /// Lets the handler write the response itself. The connection closes afterwards.
     Stream(Writer),
 }
 
 impl Reply {
-    /// A success.
+    /// A successful response.
     pub fn ok(body: impl ToString) -> Self {
         Self::json(200, body.to_string())
     }
 
-    /// A status and a JSON body, without further headers.
+    /// A status and a JSON body without additional headers.
     pub fn json(status: u16, body: String) -> Self {
         Self::Json { status, headers: Vec::new(), body }
     }
 }
 
-/// Handles requests.
+/// Handles a request.
 pub type Handler = dyn Fn(Request) -> Reply + Send + Sync;
 
-/// Serves connections until the door is stopped.
+/// Accepts and serves connections until the listener is stopped.
 pub fn serve(listener: RestartableListener, handler: Arc<Handler>) {
     let connections = Arc::new(AtomicUsize::new(0));
     thread::spawn(move || {
@@ -72,7 +72,7 @@
             connections.fetch_add(1, Ordering::AcqRel);
             let (handler, connections) = (handler.clone(), connections.clone());
             thread::spawn(move || {
-                // A client that goes away is part of what the stand-in stands for.
+                // Clients may disconnect at any time.
                 let _ = serve_connection(stream, handler.as_ref());
                 connections.fetch_sub(1, Ordering::AcqRel);
             });
@@ -145,21 +145,21 @@
     stream.write_all(answer.as_bytes())
 }
 
-/// Begins an answer of chunks.
+/// Starts a chunked response.
 pub fn begin_chunks(stream: &mut TcpStream) -> io::Result<()> {
     stream.write_all(
         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n",
     )
 }
 
-/// Writes one message as a chunk.
+/// Writes one message and a line feed as a chunk.
 pub fn write_chunk(stream: &mut TcpStream, message: &serde_json::Value) -> io::Result<()> {
     let line = format!("{message}\n");
     let chunk = format!("{:x}\r\n{line}\r\n", line.len());
     stream.write_all(chunk.as_bytes())
 }
 
-/// Ends an answer of chunks.
+/// Ends a chunked response.
 pub fn end_chunks(stream: &mut TcpStream) -> io::Result<()> {
     stream.write_all(b"0\r\n\r\n")
 }
--- a/crates/lab/src/standin/instances/mod.rs
+++ b/crates/lab/src/standin/instances/mod.rs
@@ -1,6 +1,8 @@
-//! A database group as the users' platform runs one: instances on the line wire that replicate, say
-//! in the store how they stand, and never elect. Whoever replaces a primary stops the replicas and
-//! has one promoted.
+//! Stand-in for a database group as the users' platform runs it.
+//!
+//! The instances speak the platform's line protocol, replicate, and publish their entries in the
+//! store. They never elect a primary themselves: a coordinator replaces a primary by stopping the
+//! replicas and having one of them promoted through the [`PromotionService`].
 
 mod promotions;
 mod replication;
@@ -24,24 +26,24 @@
 pub use state::{Commit, ExecutedStatement};
 use state::{Instance, State};
 
-/// How a group is set up.
+/// Options of a group.
 #[derive(Clone, Debug)]
 pub struct InstanceOptions {
     /// Name of the group.
     pub group: String,
-    /// Zone of each instance; the first one leads.
+    /// Zone of each instance; the first instance starts as primary.
     pub zones: Vec<String>,
-    /// Replicas that a commit must have reached before it is answered.
+    /// Number of replicas that must have received a commit before it is acknowledged.
     pub synchronous: usize,
-    /// How long replicas apply after they have received.
+    /// Delay between receiving a commit and applying it at a replica.
     pub lag: Duration,
-    /// Connections that an instance accepts.
+    /// Maximum number of connections of an instance.
     pub connections: usize,
-    /// Statements that an instance tells it runs at once.
+    /// Number of statements that an instance executes concurrently, according to its entry.
     pub slots: u32,
 }
 
-/// What the threads of a group share.
+/// State shared by the threads of a group.
 pub(crate) struct Shared {
     state: Mutex<State>,
     changed: Condvar,
@@ -58,7 +60,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Lets the store know how an instance stands.
+    /// Writes the entry of an instance to the store.
     fn publish_entry(&self, state: &State, name: &str) {
         let Some(instance) = state.instances.get(name) else { return };
         let entry = InstanceEntry {
@@ -81,14 +83,15 @@
 }
 
 impl InstanceGroup {
-    /// Has the instances that run write their entries again, as after a return of the store from a copy.
+    /// Writes the entries of all running instances to the store again, as they do after a store
+    /// restore.
     pub fn republish_entries(&self) {
         let state = self.shared.state();
         let running = state.instances.iter().filter(|(_, instance)| instance.running);
         running.for_each(|(name, _)| self.shared.publish_entry(&state, name));
     }
 
-    /// Starts the instances, and has them enter themselves in the store.
+    /// Starts the instances and writes their entries to the store.
     pub fn start(options: InstanceOptions, store: StoreWriter) -> io::Result<Self> {
         let mut listeners = Vec::new();
         let mut state = State::new(options);
@@ -122,7 +125,7 @@
         self.shared.state().instances.keys().cloned().collect()
     }
 
-    /// The running instance that leads under the highest term.
+    /// The running primary with the highest term.
     pub fn primary(&self) -> Option<String> {
         let state = self.shared.state();
         let is_primary = |instance: &&Instance| instance.running && instance.role == Role::Primary;
@@ -131,33 +134,33 @@
         primary.map(|instance| instance.name.clone())
     }
 
-    /// Where an instance listens.
+    /// Address on which an instance listens.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.shared.state().instances.get(name).map(|instance| instance.address)
     }
 
-    /// Kills an instance: its connections break, and nothing listens at its address.
+    /// Kills an instance: its connections close, and nothing listens on its address.
     pub fn kill(&self, name: &str) {
         self.shared.state().kill(name);
         self.shared.changed.notify_all();
     }
 
-    /// An instance that was killed comes back with its log; as a replica if another one leads.
+    /// Restarts a killed instance with its log. It becomes a replica if another instance is primary.
     pub fn restart(&self, name: &str) {
         let mut state = self.shared.state();
         state.restart(name);
         self.shared.publish_entry(&state, name);
     }
 
-    /// An instance that was killed starts again under its name, with nothing.
+    /// Restarts a killed instance under the same name with an empty log, as a new incarnation.
     pub fn restart_empty(&self, name: &str) {
         let mut state = self.shared.state();
         state.restart_empty(name);
         self.shared.publish_entry(&state, name);
     }
 
-    /// An instance that was killed comes back at its address, with its log, under the name `new_name`. Its
-    /// entry under the old name stays in the store, as it does where an instance crashes.
+    /// Restarts a killed instance with its address and log under the name `new_name`. The entry
+    /// under the old name stays in the store, as after a crash.
     pub fn restart_as(&self, name: &str, new_name: &str) {
         let Some(listener) =
             self.shared.state().instances.get(name).map(|instance| instance.listener.clone())
@@ -170,7 +173,7 @@
         self.restart(new_name);
     }
 
-    /// An instance says that it leaves; it serves on.
+    /// Marks an instance as leaving in its entry. It continues to serve.
     pub fn leave(&self, name: &str) {
         let mut state = self.shared.state();
         if let Some(instance) = state.instances.get_mut(name) {
@@ -179,14 +182,14 @@
         self.shared.publish_entry(&state, name);
     }
 
-    /// A replica receives nothing, or receives again.
+    /// Blocks or unblocks replication to a replica.
     pub fn set_replication_blocked(&self, name: &str, blocked: bool) {
         if let Some(instance) = self.shared.state().instances.get_mut(name) {
             instance.replication_blocked = blocked;
         }
     }
 
-    /// The reads of an instance wait, or go on.
+    /// Blocks or unblocks the reads of an instance.
     pub fn set_reads_blocked(&self, name: &str, blocked: bool) {
         if let Some(instance) = self.shared.state().instances.get_mut(name) {
             instance.reads_blocked = blocked;
@@ -200,22 +203,22 @@
         state.instances.get(name).map(|instance| instance.log.clone()).unwrap_or_default()
     }
 
-    /// Whether a replica has been stopped.
+    /// Whether a replica is stopped.
     pub fn is_stopped(&self, name: &str) -> bool {
         self.shared.state().instances.get(name).is_some_and(|instance| instance.min_term.0 > 0)
     }
 
-    /// Statements with ids that ran, in order.
+    /// All executed reads and writes with their statement ids, in order of execution.
     pub fn executed_statements(&self) -> Vec<ExecutedStatement> {
         self.shared.state().executed_statements.clone()
     }
 
-    /// Statements of the proxy's own that ran: questions how an instance stands.
+    /// Number of status queries that the proxy has sent.
     pub fn status_queries(&self) -> u64 {
         self.shared.state().status_queries
     }
 
-    /// The promotion call for this and other groups.
+    /// The group's shared state, for the promotion service.
     pub(crate) fn shared(&self) -> Arc<Shared> {
         self.shared.clone()
     }
--- a/crates/lab/src/standin/instances/promotions.rs
+++ b/crates/lab/src/standin/instances/promotions.rs
@@ -1,4 +1,4 @@
-//! The platform's promotion call.
+//! Stand-in for the platform's promotion service.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,27 +17,27 @@
 
 const BAD_REQUEST: u16 = 400;
 
-/// A promotion that was asked for.
+/// A promotion request that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromotionRequest {
-    /// The group.
+    /// Group.
     pub group: String,
-    /// The instance.
+    /// Instance to promote.
     pub instance: String,
-    /// Who asked.
+    /// Coordinator that sent the request.
     pub coordinator: String,
-    /// Number of its right to ask.
+    /// Fencing token of the coordinator.
     pub fence: u64,
 }
 
-/// A service that promotes instances of groups.
+/// A service that promotes instances on request.
 pub struct PromotionService {
     listener: RestartableListener,
     calls: Arc<Mutex<Vec<PromotionRequest>>>,
 }
 
 impl PromotionService {
-    /// Starts the service; a promotion takes `duration`.
+    /// Starts the service. A promotion takes effect `duration` after its request.
     pub fn start(groups: &[InstanceGroup], duration: Duration) -> io::Result<Self> {
         let listener = RestartableListener::bind()?;
         let groups: BTreeMap<String, Arc<Shared>> =
@@ -49,12 +49,12 @@
         Ok(Self { listener, calls })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.listener.address()
     }
 
-    /// Promotions asked for so far.
+    /// All accepted promotion requests so far.
     pub fn calls(&self) -> Vec<PromotionRequest> {
         self.calls.lock().expect("a holder of the lock panicked").clone()
     }
--- a/crates/lab/src/standin/instances/replication.rs
+++ b/crates/lab/src/standin/instances/replication.rs
@@ -1,5 +1,9 @@
-//! Replication: replicas receive what the primary of the highest term has, unless they have been
-//! stopped or are deaf; an old primary steps down a second after it can reach a newer one.
+//! Replication between the instances of a group.
+//!
+//! A replica receives the log of the running primary with the highest term, provided that this term
+//! is at least the replica's own term and its minimum term, and that replication to the replica is
+//! not blocked. The replica drops the commits that this primary does not have. An old primary
+//! becomes a replica one second after it first reached a primary of a newer term.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -11,7 +15,7 @@
 use super::state::{Commit, Instance, State};
 
 const REPLICATION_INTERVAL: Duration = Duration::from_millis(1);
-/// Time for which an old primary goes on that can reach a newer one.
+/// Time for which an old primary stays primary after it first reached a newer one.
 const STEP_DOWN_DELAY: Duration = Duration::from_secs(1);
 
 /// Replicates until the group is stopped.
@@ -28,7 +32,7 @@
     }
 }
 
-/// Lets every replica receive. Returns the instances whose role has changed.
+/// Performs one replication step for every instance. Returns the instances whose role has changed.
 fn replicate(state: &mut State, now: Instant) -> Vec<String> {
     let primaries = state
         .instances
--- a/crates/lab/src/standin/instances/session.rs
+++ b/crates/lab/src/standin/instances/session.rs
@@ -1,4 +1,4 @@
-//! One connection to an instance.
+//! Server side of one connection to an instance.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -19,12 +19,12 @@
 use super::state::{Commit, ExecutedStatement, Instance};
 use crate::standin::listener::RestartableListener;
 
-/// Longest wait for replicas to receive a commit.
+/// Longest wait for the replicas to receive a commit.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 const NO_SIGNATURE: &str = "-";
 
-/// Serves an instance's connections until it is stopped.
+/// Accepts and serves an instance's connections until the listener is stopped.
 pub fn serve(shared: &Arc<Shared>, name: &str, listener: RestartableListener) {
     let (shared, name) = (shared.clone(), name.to_owned());
     thread::spawn(move || {
@@ -35,7 +35,7 @@
     });
 }
 
-/// A transaction under way.
+/// An open transaction.
 #[derive(Default)]
 struct Transaction {
     read_only: bool,
@@ -57,13 +57,13 @@
     output: BytesMut,
 }
 
-/// What a statement comes to.
+/// Outcome of a statement.
 enum Outcome {
-    /// Its signature; rows are in the output already.
+    /// The statement succeeded, with this signature. Its rows are already in the output.
     Done(String),
-    /// An error.
+    /// The statement failed with an error response.
     Refused(InstanceError),
-    /// Nobody will ever hear of it.
+    /// The outcome is unknown: the connection closes without a response.
     Lost,
 }
 
@@ -101,7 +101,7 @@
     }
 
     fn run(&mut self) {
-        // Answers are small and waited for.
+        // Responses are small, and clients wait for them.
         let _ = self.stream.set_nodelay(true);
         let mut input = BytesMut::new();
         let mut chunk = vec![0; READ_BUFFER_BYTES];
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Handles a call; false if the connection is over.
+    /// Handles one request. Returns false if the connection is to be closed.
     fn handle(&mut self, call: InstanceRequest) -> bool {
         match call {
             InstanceRequest::Startup { group, account, instance } => {
@@ -325,7 +325,7 @@
         format!("{}:{id}", self.name)
     }
 
-    /// Waits while the instance holds its reads.
+    /// Waits while the instance's reads are blocked.
     fn wait_until_reads_allowed(&self) {
         let mut state = self.shared.state();
         let is_blocked = |instance: &Instance| instance.running && instance.reads_blocked;
@@ -393,7 +393,7 @@
         }
     }
 
-    /// Commits, and waits until enough replicas have received it.
+    /// Commits the writes and waits until enough replicas have received the commit.
     fn commit_writes(&self, id: &str, writes: Vec<(String, String)>, ids: Vec<String>) -> Outcome {
         let mut state = self.shared.state();
         let needed = state.options.synchronous;
--- a/crates/lab/src/standin/instances/state.rs
+++ b/crates/lab/src/standin/instances/state.rs
@@ -1,4 +1,4 @@
-//! What the instances of a group hold.
+//! State of the instances of a group.
 
 use std::collections::BTreeMap;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -10,7 +10,7 @@
 use super::InstanceOptions;
 use crate::standin::listener::RestartableListener;
 
-/// Start of the first processes, in milliseconds since 1970.
+/// Incarnation of the initial processes: their start time in milliseconds since the Unix epoch.
 const FIRST_INCARNATION: u64 = 1_790_000_000_000;
 
 /// One commit in a log.
@@ -18,30 +18,30 @@
 pub struct Commit {
     /// Term of the primary that made it.
     pub term: Term,
-    /// Its number.
+    /// Its number in the log, starting from one.
     pub number: u64,
-    /// What it wrote: things and data.
+    /// The rows that it wrote, with their new data.
     pub writes: Vec<(String, String)>,
-    /// Ids of the statements that wrote.
+    /// Ids of the statements that wrote them.
     pub ids: Vec<String>,
 }
 
-/// A statement with an id that ran.
+/// An executed read or write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExecutedStatement {
-    /// Its id.
+    /// Its statement id.
     pub id: String,
-    /// The instance.
+    /// Instance that executed it.
     pub instance: String,
-    /// Values of the session in force.
+    /// Settings of the session at that time.
     pub values: BTreeMap<String, String>,
-    /// What it was: a plain statement's thing, or a prepared one's shape and thing.
+    /// The row of a plain statement, or the shape and the row of a prepared statement.
     pub text: String,
     /// Whether it ran inside a transaction.
     pub in_transaction: bool,
     /// Number of the connection.
     pub connection: u64,
-    /// On whose behalf the connection was opened.
+    /// Account for which the connection was opened.
     pub account: String,
 }
 
@@ -51,44 +51,45 @@
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Its listening socket.
     pub listener: RestartableListener,
     /// Whether it runs.
     pub running: bool,
-    /// Whether it says that it leaves.
+    /// Whether its entry marks it as leaving.
     pub leaving: bool,
     /// Its role.
     pub role: Role,
-    /// Which start of its process it is: the instances' entries tell a time, of which only equality counts.
+    /// Identifies this start of its process. Entries carry a start time, which readers compare for
+    /// equality only.
     pub incarnation: u64,
     /// Its term.
     pub term: Term,
-    /// What it has received.
+    /// The commits that it has received.
     pub log: Vec<Commit>,
     /// When it received each commit.
     pub received: Vec<Instant>,
-    /// Term below which it receives nothing; zero if it receives.
+    /// Lowest term from which it accepts replication while it is stopped; zero otherwise.
     pub min_term: Term,
-    /// Whether nothing reaches it.
+    /// Whether replication to it is blocked.
     pub replication_blocked: bool,
-    /// Whether its reads wait.
+    /// Whether its reads are blocked.
     pub reads_blocked: bool,
-    /// Open connections.
+    /// Open connections by number.
     pub streams: BTreeMap<u64, TcpStream>,
-    /// Since when another instance of a higher term can be reached.
+    /// When it first reached a primary of a higher term.
     pub outdated_since: Option<Instant>,
 }
 
 impl Instance {
-    /// Where its log ends.
+    /// Position of the end of its log.
     pub fn position(&self) -> Position {
         let number = self.log.last().map_or(0, |commit| commit.number);
         Position { term: self.term, offset: LogOffset(number) }
     }
 
-    /// Commits that its readers see.
+    /// Number of commits that its readers see.
     pub fn applied(&self, lag: Duration, now: Instant) -> usize {
         if self.role == Role::Primary {
             return self.log.len();
@@ -96,7 +97,7 @@
         self.received.iter().take_while(|at| now >= **at + lag).count()
     }
 
-    /// The data of a thing, as its readers see it.
+    /// The data of a row, as its readers see it.
     pub fn read(&self, row: &str, lag: Duration, now: Instant) -> Option<String> {
         let visible = &self.log[..self.applied(lag, now)];
         let writes = visible.iter().rev().flat_map(|commit| commit.writes.iter().rev());
@@ -109,29 +110,29 @@
         self.received.push(now);
     }
 
-    /// Drops everything behind the first `length` commits.
+    /// Drops all commits after the first `length`.
     pub fn truncate(&mut self, length: usize) {
         self.log.truncate(length);
         self.received.truncate(length);
     }
 }
 
-/// A group.
+/// State of a group.
 pub struct State {
-    /// How it is set up.
+    /// Its options.
     pub options: InstanceOptions,
     /// Its instances by name.
     pub instances: BTreeMap<String, Instance>,
-    /// Statements that ran.
+    /// Executed reads and writes.
     pub executed_statements: Vec<ExecutedStatement>,
-    /// Questions how an instance stands.
+    /// Number of status queries.
     pub status_queries: u64,
     /// Number of the next connection.
     pub next_connection: u64,
 }
 
 impl State {
-    /// A group without instances.
+    /// Creates a group without instances.
     pub fn new(options: InstanceOptions) -> Self {
         let instances = BTreeMap::new();
         Self {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Adds instance `number`; the first one leads. Returns its name.
+    /// Adds instance `number`; instance 0 starts as primary. Returns its name.
     pub fn add(&mut self, number: usize, listener: RestartableListener) -> String {
         let name = format!("i-{}-{number}", self.options.group);
         let instance = Instance {
@@ -174,12 +175,12 @@
         instance.running = false;
         instance.listener.close();
         for stream in std::mem::take(&mut instance.streams).into_values() {
-            // One that is closed already is what is wanted.
+            // An error means that the connection is already closed.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Starts a killed instance again.
+    /// Restarts a killed instance. It becomes a replica if another instance is primary.
     pub fn restart(&mut self, name: &str) {
         let has_other_primary = self.instances.values().any(|instance| {
             instance.name != name && instance.running && instance.role == Role::Primary
@@ -193,7 +194,7 @@
         instance.listener.reopen();
     }
 
-    /// Starts a killed instance again under its name with nothing, as a replica.
+    /// Restarts a killed instance under the same name as a replica with an empty log.
     pub fn restart_empty(&mut self, name: &str) {
         let Some(instance) = self.instances.get_mut(name) else { return };
         instance.incarnation += 1;
@@ -203,7 +204,8 @@
         self.restart(name);
     }
 
-    /// What a killed instance holds belongs to `new_name` from now on, which listens at `door`.
+    /// Moves the state of a killed instance to `new_name`, which accepts connections from
+    /// `listener`.
     pub fn rename(&mut self, name: &str, new_name: &str, listener: RestartableListener) {
         let Some(mut instance) = self.instances.remove(name) else { return };
         instance.name = new_name.to_owned();
@@ -211,14 +213,14 @@
         self.instances.insert(new_name.to_owned(), instance);
     }
 
-    /// Replicas that have received a commit.
+    /// Number of replicas that have received a commit.
     pub fn received_by(&self, commit: &Commit) -> usize {
         let has_received =
             |instance: &&Instance| instance.role == Role::Replica && instance.log.contains(commit);
         self.instances.values().filter(has_received).count()
     }
 
-    /// The highest term of any instance.
+    /// The highest term or minimum term of any instance.
     pub fn highest_term(&self) -> Term {
         self.instances
             .values()
--- a/crates/lab/src/standin/listener.rs
+++ b/crates/lab/src/standin/listener.rs
@@ -1,4 +1,4 @@
-//! A listening socket that can be made to refuse connections without giving its port up.
+//! A listening socket that can refuse connections for a while without losing its port.
 
 use std::io;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,14 +9,14 @@
 use socket2::SockRef;
 
 const LISTEN_BACKLOG: i32 = 1024;
-/// Attempts to bind a port that was free a moment before.
+/// Maximum retries when a port that was just free is taken before it is bound by number.
 const MAX_BIND_RETRIES: usize = 50;
-/// Time between two attempts to accept while the door is shut.
+/// Delay between attempts to accept while the listener is closed.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(1);
-/// Time in which whoever waits in `accept` of a shut door leaves it.
+/// Time within which a thread that waits in `accept` of a closed listener returns from it.
 const TRANSFER_DELAY: Duration = Duration::from_millis(20);
 
-/// A listening socket on loopback.
+/// A listening socket on loopback that can be closed and reopened on the same port.
 #[derive(Clone, Debug)]
 pub struct RestartableListener {
     listener: Arc<TcpListener>,
@@ -25,20 +25,20 @@
 }
 
 impl RestartableListener {
-    /// Listens on a port that the system chooses.
+    /// Listens on a port chosen by the operating system.
     pub fn bind() -> io::Result<Self> {
         let (listener, address) = bind_numbered_port()?;
         Ok(Self { listener: Arc::new(listener), address, stopped: Arc::default() })
     }
 
-    /// Where it listens.
+    /// Address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Refuses connections from now on; the operating system does so itself.
+    /// Stops listening, so that the operating system refuses connections.
     pub fn close(&self) {
-        // An error means that it does not listen, which is what is wanted.
+        // An error means that the socket is not listening anyway.
         let _ = SockRef::from(self.listener.as_ref()).shutdown(Shutdown::Both);
     }
 
@@ -46,10 +46,10 @@
     pub fn reopen(&self) {
         SockRef::from(self.listener.as_ref())
             .listen(LISTEN_BACKLOG)
-            .expect("a bound socket cannot listen again");
+            .expect("failed to listen again on a bound socket");
     }
 
-    /// The next connection, or `None` once stopped.
+    /// Waits for the next connection. Returns `None` once the listener is stopped.
     pub fn accept(&self) -> Option<TcpStream> {
         while !self.stopped.load(Ordering::Acquire) {
             match self.listener.accept() {
@@ -60,25 +60,26 @@
         None
     }
 
-    /// The same address for another owner: the [`Self::accept`] of this door, which is shut, ends, and the
-    /// new one's begins with [`Self::reopen`].
+    /// Transfers the address of a closed listener to another owner: [`Self::accept`] of this
+    /// listener returns `None`, and the new listener accepts connections after [`Self::reopen`].
     pub fn transfer(&self) -> Self {
-        // Shut once only: connections of a socket that is shut again while it does not listen end at once.
+        // Does not call `close` again: if a socket is shut down while it is not listening, its later
+        // connections end at once.
         self.stopped.store(true, Ordering::Release);
-        // Whoever waits in `accept` leaves it before connections come again.
+        // The thread that waits in `accept` must return before new connections arrive.
         std::thread::sleep(TRANSFER_DELAY);
         Self { listener: self.listener.clone(), address: self.address, stopped: Arc::default() }
     }
 
-    /// Ends [`Self::accept`] for good.
+    /// Closes the listener permanently: [`Self::accept`] returns `None`.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Release);
         self.close();
     }
 }
 
-/// Binds a free port by its number: a socket loses a port that it did not ask for by number when
-/// it stops listening.
+/// Binds a free port by its number. A socket whose port was chosen by the operating system would
+/// lose the port when it stops listening.
 fn bind_numbered_port() -> io::Result<(TcpListener, SocketAddr)> {
     let mut attempts = 0;
     loop {
@@ -91,8 +92,8 @@
     }
 }
 
-/// Makes the close of a connection a reset.
+/// Sets a connection to be reset, rather than shut down in order, when it is closed.
 pub fn reset_on_close(stream: &TcpStream) {
-    // The connection may be gone already.
+    // The connection may already be closed.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/lab/src/standin/machines.rs
+++ b/crates/lab/src/standin/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines, which lags and may be wrong.
+//! Stand-in for the platform's machine list, which may lag, be wrong, be slow or be unavailable.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,26 +15,26 @@
 const MACHINES_PATH: &str = "/machines";
 const NOT_FOUND: u16 = 404;
 
-/// What the platform knows of a machine.
+/// State of a machine according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// Believed to run.
+    /// The platform considers the machine running.
     Live,
-    /// About to go.
+    /// The machine is about to be removed.
     Leaving,
 }
 
-/// One entry of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ListedMachine {
-    /// What runs on it.
+    /// Node that runs on it.
     pub node: NodeName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Where it accepts others of its kind.
+    /// Address on which it accepts connections from other nodes.
     pub peer_address: SocketAddr,
-    /// State.
+    /// Its state.
     pub state: ListedState,
 }
 
@@ -46,7 +46,7 @@
 
 #[derive(Debug, Default)]
 struct Contents {
-    /// Versions in the order in which they become visible.
+    /// Versions of the list, ordered by the time at which they become visible.
     versions: Vec<ListVersion>,
     lag: Duration,
     false_list: Option<Vec<ListedMachine>>,
@@ -64,16 +64,16 @@
     }
 }
 
-/// A running machine list.
+/// A running machine list server.
 pub struct MachineListServer {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     listener: RestartableListener,
     contents: Arc<Mutex<Contents>>,
 }
 
 impl MachineListServer {
-    /// Starts an empty list on a port that the system chooses.
+    /// Starts a server with an empty list on a port chosen by the operating system.
     pub fn start() -> io::Result<Self> {
         let listener = RestartableListener::bind()?;
         let contents = Arc::new(Mutex::new(Contents::default()));
@@ -86,7 +86,7 @@
         lock(&self.contents)
     }
 
-    /// Its endpoint; the list is under `/machines`.
+    /// Base URL of the server; the list is at `/machines`.
     pub fn endpoint(&self) -> String {
         format!("http://{}", self.address)
     }
@@ -103,17 +103,17 @@
         self.contents().lag = lag;
     }
 
-    /// Tells another list than the true one, or the true one again.
+    /// Makes the server report a false list, or the true list again with `None`.
     pub fn set_false_list(&self, false_list: Option<Vec<ListedMachine>>) {
         self.contents().false_list = false_list;
     }
 
-    /// Waits before each answer.
+    /// Sets a delay before each response.
     pub fn set_response_delay(&self, response_delay: Duration) {
         self.contents().response_delay = response_delay;
     }
 
-    /// Refuses connections, or serves again.
+    /// Starts an outage, in which connections are refused, or ends it.
     pub fn set_outage(&self, outage: bool) {
         self.contents().outage = outage;
         match outage {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Requests so far.
+    /// Number of requests so far.
     pub fn requests(&self) -> u64 {
         self.contents().requests
     }
--- a/crates/lab/src/standin/mod.rs
+++ b/crates/lab/src/standin/mod.rs
@@ -1,6 +1,8 @@
-//! Stand-ins for the systems around the proxy, met through their published protocols.
+//! Stand-ins for the systems around the proxy: databases, the platform's store, its machine list,
+//! and the network between zones.
 //!
-//! They know nothing of the proxy.
+//! The proxy reaches them only through their published protocols, and they make no assumptions
+//! about the proxy.
 
 pub mod group;
 pub mod http;
