--- a/crates/lab/src/standin/group/replication.rs
+++ b/crates/lab/src/standin/group/replication.rs
@@ -159,8 +159,9 @@
         }
     }
 
-    /// Ships log records from a primary to another member. If the member knows of a higher term, the
-    /// primary learns of it instead; a member that is itself an outdated primary learns of this one.
+    /// Ships log records from a primary to another member. If the member knows of a higher term,
+    /// the primary learns of it instead. If the member is an outdated primary, it learns of this
+    /// primary's term instead.
     fn ship(&mut self, source: usize, target: usize, now: Instant) {
         let Some(delay) = self.delay(source, target) else { return };
         let (primary, replica) = (self.instance(source).clone(), self.instance(target).clone());
--- a/crates/lab/src/standin/instances/mod.rs
+++ b/crates/lab/src/standin/instances/mod.rs
@@ -145,7 +145,8 @@
         self.shared.changed.notify_all();
     }
 
-    /// Restarts a killed instance with its log. It becomes a replica if another instance is primary.
+    /// Restarts a killed instance with its log. It becomes a replica if another instance is
+    /// primary.
     pub fn restart(&self, name: &str) {
         let mut state = self.shared.state();
         state.restart(name);
--- a/crates/lab/src/standin/listener.rs
+++ b/crates/lab/src/standin/listener.rs
@@ -63,8 +63,8 @@
     /// Transfers the address of a closed listener to another owner: [`Self::accept`] of this
     /// listener returns `None`, and the new listener accepts connections after [`Self::reopen`].
     pub fn transfer(&self) -> Self {
-        // Does not call `close` again: if a socket is shut down while it is not listening, its later
-        // connections end at once.
+        // Does not call `close` again: if a socket is shut down while it is not listening, its
+        // later connections end at once.
         self.stopped.store(true, Ordering::Release);
         // The thread that waits in `accept` must return before new connections arrive.
         std::thread::sleep(TRANSFER_DELAY);
--- a/crates/lab/src/standin/machines.rs
+++ b/crates/lab/src/standin/machines.rs
@@ -91,14 +91,14 @@
         format!("http://{}", self.address)
     }
 
-    /// Changes the list; the change is visible_machines after the lag.
+    /// Changes the list. The change becomes visible after the lag.
     pub fn set_machines(&self, machines: Vec<ListedMachine>) {
         let mut contents = self.contents();
         let visible_from = Instant::now() + contents.lag;
         contents.versions.push(ListVersion { visible_from, machines });
     }
 
-    /// Time until later changes are visible_machines.
+    /// Sets the lag after which later changes become visible.
     pub fn set_lag(&self, lag: Duration) {
         self.contents().lag = lag;
     }
--- a/crates/lab/src/standin/network/datagrams.rs
+++ b/crates/lab/src/standin/network/datagrams.rs
@@ -1,7 +1,8 @@
-//! Relay of datagrams to one address.
+//! UDP relay to one target address.
 //!
-//! Each sender gets a socket at its own address, from which its datagrams go to the target. What
-//! the target sends back there returns to the sender.
+//! For each sender, the relay binds a socket on the sender's own IP address and forwards the
+//! sender's datagrams to the target from there. Datagrams that the target sends to this socket are
+//! forwarded to the sender.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
@@ -17,7 +18,7 @@
 
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// A socket that stands for one sender towards the target.
+/// A socket from which the relay sends one sender's datagrams to the target.
 #[derive(Debug)]
 pub struct Session {
     /// Key of the relay.
@@ -26,7 +27,7 @@
     sender: SocketAddr,
 }
 
-/// Where a datagram on its way goes.
+/// Destination of a datagram in flight.
 #[derive(Debug)]
 enum Route {
     ToTarget { session: usize },
@@ -39,14 +40,14 @@
     bytes: Vec<u8>,
 }
 
-/// Order in which datagrams arrive.
+/// Arrival time of a datagram. The number keeps datagrams with the same time in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Instant,
     number: u64,
 }
 
-/// A relay of datagrams to one address.
+/// A UDP relay to one target address.
 #[derive(Debug)]
 pub struct DatagramRelay {
     zone: ZoneNumber,
@@ -58,13 +59,13 @@
 }
 
 impl DatagramRelay {
-    /// A relay from `socket` to `target`, which is in `zone`.
+    /// Creates a relay from `socket` to `target`, which is in `zone`.
     pub fn new(zone: ZoneNumber, socket: UdpSocket, target: SocketAddr) -> Self {
         let (sessions, in_flight) = (HashMap::new(), BTreeMap::new());
         Self { zone, socket, target, sessions, in_flight, next_number: 0 }
     }
 
-    /// Takes in what senders sent.
+    /// Receives datagrams from senders.
     pub fn receive(&mut self, key: usize, shared: &mut Shared) {
         let mut buffer = vec![0_u8; MAX_DATAGRAM_BYTES];
         while let Ok((count, sender)) = self.socket.recv_from(&mut buffer) {
@@ -77,7 +78,7 @@
         self.deliver(shared);
     }
 
-    /// Takes in what the target sent to one sender's socket.
+    /// Receives the target's replies to one sender.
     pub fn receive_replies(&mut self, key: usize, session: usize, shared: &mut Shared) {
         let mut buffer = vec![0_u8; MAX_DATAGRAM_BYTES];
         loop {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Hands over what has arrived.
+    /// Forwards the datagrams whose delay has elapsed.
     pub fn deliver(&mut self, shared: &mut Shared) {
         let now = Instant::now();
         while let Some(first) = self.in_flight.first_entry() {
@@ -138,7 +139,7 @@
                 return;
             }
             let datagram = first.remove();
-            // A datagram that cannot be handed over is lost, as datagrams may be.
+            // UDP may lose datagrams, so a send error is ignored.
             let _ = match datagram.route {
                 Route::ToSender { sender } => self.socket.send_to(&datagram.bytes, sender),
                 Route::ToTarget { session } => match shared.endpoints.get(session) {
--- a/crates/lab/src/standin/network/event_loop.rs
+++ b/crates/lab/src/standin/network/event_loop.rs
@@ -1,4 +1,4 @@
-//! The one thread of a network: readiness of sockets, and deliveries that fall due.
+//! Event loop of a network: a single thread that handles ready sockets and delayed deliveries.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -22,99 +22,101 @@
 pub const WAKE_TOKEN: Token = Token(0);
 const FIRST_ENDPOINT_TOKEN: usize = 1;
 const EVENT_CAPACITY: usize = 1024;
-/// Longest wait without events; short, so that a loop that gets no processor time is found out.
+/// Longest wait without events. It is short, so that the loop notices when it gets no processor
+/// time.
 const IDLE_POLL_TIMEOUT: Duration = Duration::from_millis(20);
-/// A pause of the network that the log tells: a fraction of what a node waits for a sign of life.
+/// Pauses of the network of at least this length are logged. It is a fraction of the time after
+/// which a node suspects a silent peer.
 const LOGGED_PAUSE_THRESHOLD: Duration = Duration::from_millis(100);
-/// Readiness waits count whole milliseconds; shorter ones are slept.
+/// The poll timeout has a resolution of one millisecond; the loop sleeps instead for shorter waits.
 const MIN_POLL_TIMEOUT: Duration = Duration::from_millis(2);
-/// Longest sleep while a delivery is near, so that new events are seen in time.
+/// Longest sleep before a delivery that is almost due, so that new events are handled in time.
 const MAX_SLEEP: Duration = Duration::from_micros(60);
 
-/// A relay to be added.
+/// A relay to add.
 pub enum NewRelay {
-    /// Streams.
+    /// A TCP relay.
     Tcp {
         /// Zone of the target.
         zone: ZoneNumber,
-        /// Where callers come in.
+        /// Listener of the relay.
         listener: TcpListener,
-        /// Where they are led to.
+        /// Address of the target.
         target: SocketAddr,
     },
     /// Datagrams.
     Udp {
         /// Zone of the target.
         zone: ZoneNumber,
-        /// Where they come in.
+        /// Socket of the relay.
         socket: UdpSocket,
-        /// Where they are led to.
+        /// Address of the target.
         target: SocketAddr,
     },
 }
 
-/// What a token stands for.
+/// The socket that a token identifies, and its role.
 #[derive(Debug)]
 pub enum Endpoint {
-    /// A listener of streams.
+    /// Listener of a TCP relay.
     Listener {
         /// Zone of the target.
         zone: ZoneNumber,
-        /// The socket.
+        /// The listening socket.
         listener: TcpListener,
-        /// Where streams are led to.
+        /// Address of the target.
         target: SocketAddr,
     },
-    /// The caller's end of a stream; the value is the key of the relay.
+    /// Client side of a stream; the value is the key of the stream relay.
     Client(usize),
-    /// The target's end of a stream.
+    /// Target side of a stream; the value is the key of the stream relay.
     Target(usize),
-    /// A socket at which datagrams come in; the value is the key of the relay.
+    /// Socket of a UDP relay; the value is the key of the relay.
     Datagrams(usize),
-    /// A socket that stands for one sender towards the target.
+    /// Socket from which a UDP relay sends one sender's datagrams to the target.
     Session(Session),
 }
 
-/// What every relay works with.
+/// State that all relays use.
 pub struct Shared {
     /// State of the links.
     pub links: Arc<Links>,
-    /// Where sockets are registered.
+    /// Registry for socket readiness.
     pub registry: Registry,
-    /// Meaning of tokens.
+    /// The socket of each token.
     pub endpoints: Slab<Endpoint>,
-    /// When something falls due, and for which part.
+    /// Relays with pending deliveries, ordered by due time.
     pub due: BinaryHeap<Reverse<Due>>,
-    /// Source of losses.
+    /// Random number generator for datagram losses.
     pub random: StdRng,
 }
 
-/// Something that falls due.
+/// A time at which a relay has something to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Due {
-    /// When.
+    /// When it is due.
     pub at: Instant,
-    /// Which relay it is for.
+    /// The relay.
     pub relay: RelayKey,
 }
 
-/// A relay of either kind.
+/// Key of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RelayKey {
-    /// Of a stream.
+    /// A stream relay.
     Stream(usize),
-    /// Of datagrams.
+    /// A UDP relay.
     Datagrams(usize),
 }
 
 impl Shared {
-    /// Token of a part.
+    /// Token of the endpoint with this key.
     pub fn token(key: usize) -> Token {
         Token(key + FIRST_ENDPOINT_TOKEN)
     }
 }
 
-/// The event loop.
+/// The event loop of a network.
 pub struct EventLoop {
     poll: Poll,
     new_relays: Receiver<NewRelay>,
@@ -124,7 +126,7 @@
 }
 
 impl EventLoop {
-    /// A loop without relays.
+    /// Creates a loop without relays.
     pub fn new(poll: Poll, new_relays: Receiver<NewRelay>, links: Arc<Links>, seed: u64) -> Self {
         let registry = poll.registry().try_clone().expect("the readiness queue cannot be shared");
         let shared = Shared {
@@ -137,7 +139,7 @@
         Self { poll, new_relays, shared, streams: Slab::new(), datagrams: Slab::new() }
     }
 
-    /// Works until the network is dropped.
+    /// Runs until the network is dropped.
     pub fn run(mut self) {
         let mut events = Events::with_capacity(EVENT_CAPACITY);
         let mut last_iteration = Instant::now();
@@ -162,7 +164,8 @@
         }
     }
 
-    /// Notes time in which nothing was carried that might have been: the processor was not to be had.
+    /// Records time beyond the requested wait, in which the thread got no processor time, and logs
+    /// long pauses.
     fn record_pause(&self, pause: Duration) {
         self.shared.links.record_pause(pause);
         if pause >= LOGGED_PAUSE_THRESHOLD {
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Moves what a relay can move now, and forgets it if it is over.
+    /// Lets a relay make progress, and removes it once it is closed.
     fn advance(&mut self, relay: RelayKey) {
         match relay {
             RelayKey::Stream(key) => {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Takes new relays in, and moves what a healed link lets pass.
+    /// Adds new relays, and lets all streams make progress in case a link has healed.
     fn on_wake(&mut self) {
         while let Ok(relay) = self.new_relays.try_recv() {
             self.add(relay);
--- a/crates/lab/src/standin/network/links.rs
+++ b/crates/lab/src/standin/network/links.rs
@@ -10,65 +10,65 @@
 
 const SILENCES_LOCK_PANICKED: &str = "a holder of the silences lock panicked";
 
-/// Position of a zone in its network.
+/// Index of a zone in its network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ZoneNumber(pub usize);
 
-/// One way between two zones.
+/// The link from one zone to another, in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Link {
     /// One-way delay.
     pub delay: Duration,
-    /// Share of datagrams lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// Whether nothing passes.
+    /// Whether the link carries nothing.
     pub cut: bool,
 }
 
-/// Which bytes of a connection are swallowed.
+/// The direction of a connection in which bytes are discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SilencedDirection {
-    /// Those from the side that opened it.
+    /// From the client to the target.
     ToTarget,
-    /// Those to the side that opened it.
+    /// From the target to the client.
     FromTarget,
-    /// All.
+    /// Both directions.
     Both,
 }
 
-/// Connections that stand open and carry nothing any more.
+/// Selects open connections whose bytes are discarded.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
     /// Zone of the exposed targets.
     pub zone: ZoneNumber,
-    /// Which bytes are swallowed.
+    /// Direction in which bytes are discarded.
     pub direction: SilencedDirection,
-    /// Connections opened before this are silent, later ones work.
+    /// Connections opened before this time are affected; later ones work.
     pub opened_before: Instant,
 }
 
-/// One end of a zone's line: what goes to its targets, or what comes from them.
+/// One direction of a zone's line, which all streams to its exposed targets share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LineDirection {
     /// Zone of the exposed targets.
     pub zone: ZoneNumber,
-    /// Whether the bytes lead to the targets.
+    /// Whether the bytes go to the targets rather than come from them.
     pub to_target: bool,
 }
 
-/// What all streams of one end of a line share.
+/// State of one direction of a line.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneLine {
-    /// Bytes a second; `None` where nothing limits them.
+    /// Bandwidth in bytes per second; `None` if it is unlimited.
     rate: Option<f64>,
-    /// When everything that was sent before has passed.
+    /// When the line has carried all bytes sent so far.
     idle_at: Option<Instant>,
-    /// Bytes that were sent.
+    /// Number of bytes sent.
     bytes: u64,
 }
 
 impl ZoneLine {
-    /// Takes `bytes` in; the time at which they have passed.
+    /// Sends `bytes` over the line. Returns when the line will have carried them.
     fn transmit(&mut self, bytes: usize, now: Instant) -> Instant {
         self.bytes += bytes as u64;
         let Some(rate) = self.rate else { return now };
@@ -79,7 +79,7 @@
     }
 }
 
-/// All ways between the zones of a network.
+/// All links between the zones of a network.
 #[derive(Debug)]
 pub struct Links {
     zones: usize,
@@ -91,7 +91,7 @@
 }
 
 impl Links {
-    /// Links without delay, loss or cuts.
+    /// Creates links without delay, loss or cuts.
     pub fn new(zones: usize) -> Self {
         let links = Mutex::new(vec![Link::default(); zones * zones]);
         Self {
@@ -123,32 +123,32 @@
         work(lines.entry(direction).or_default())
     }
 
-    /// Limits what all streams of one end of a line carry together, in bytes a second.
+    /// Limits the total bandwidth of all streams in one direction of a line, in bytes per second.
     pub fn set_rate(&self, direction: LineDirection, rate: f64) {
         self.line(direction, |line| line.rate = Some(rate));
     }
 
-    /// Whether the bytes of one end of a line are limited.
+    /// Whether the bandwidth in one direction of a line is limited.
     pub fn is_limited(&self, direction: LineDirection) -> bool {
         self.line(direction, |line| line.rate.is_some())
     }
 
-    /// Puts bytes on a line; the time at which they have passed it.
+    /// Sends `bytes` over a line. Returns when the line will have carried them.
     pub fn transmit(&self, direction: LineDirection, bytes: usize, now: Instant) -> Instant {
         self.line(direction, |line| line.transmit(bytes, now))
     }
 
-    /// Bytes that streams have put on one end of a line.
+    /// Number of bytes that streams have sent in one direction of a line.
     pub fn bytes(&self, direction: LineDirection) -> u64 {
         self.line(direction, |line| line.bytes)
     }
 
-    /// Open connections go silent.
+    /// Silences open connections.
     pub fn silence(&self, silence: Silence) {
         self.silences.lock().expect(SILENCES_LOCK_PANICKED).push(silence);
     }
 
-    /// Whether the bytes that go `there` or back on a connection opened at `opened` are swallowed.
+    /// Whether bytes in the given direction are discarded on a connection opened at `opened`.
     pub fn discards(&self, zone: ZoneNumber, to_target: bool, opened: Instant) -> bool {
         let silences = self.silences.lock().expect(SILENCES_LOCK_PANICKED);
         silences.iter().any(|silence| {
@@ -161,27 +161,27 @@
         })
     }
 
-    /// The network has carried nothing for so long, though it might have.
+    /// Records a time for which the network has carried nothing for lack of processor time.
     pub fn record_pause(&self, pause: Duration) {
         self.longest_pause_us.fetch_max(pause.as_micros() as u64, Ordering::AcqRel);
     }
 
-    /// The longest time for which the network has carried nothing, though it might have.
+    /// The longest recorded pause.
     pub fn longest_pause(&self) -> Duration {
         Duration::from_micros(self.longest_pause_us.load(Ordering::Acquire))
     }
 
-    /// The zone of an address, or `otherwise` for addresses of none.
+    /// The zone that owns an address, or `otherwise` if no zone does.
     pub fn zone_or(&self, address: IpAddr, otherwise: ZoneNumber) -> ZoneNumber {
         zone_of(address, self.zones).unwrap_or(otherwise)
     }
 
-    /// Ends the event loop.
+    /// Tells the event loop to end.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Whether the event loop is to end.
+    /// Whether the event loop has been told to end.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
--- a/crates/lab/src/standin/network/mod.rs
+++ b/crates/lab/src/standin/network/mod.rs
@@ -1,8 +1,9 @@
-//! A network between zones: relays on loopback with delay, loss and cuts.
+//! Simulated network between zones: TCP and UDP relays on loopback with delay, loss and partitions.
 //!
-//! Zone k owns 127.(10+k).0.0/16. A relay tells the zone of a caller by its source address, and
-//! calls its target from that same address, so that the target can tell it too. A cut is silence:
-//! nothing is reset, what was under way waits, and goes on when the cut heals.
+//! Zone k owns 127.(10+k).0.0/16. A relay derives a client's zone from its source address. It
+//! connects to its target from the same address, so that the target can derive the zone too. A cut
+//! link drops datagrams and holds back streams: no connection is reset, and bytes in flight are
+//! delivered when the link heals.
 
 mod datagrams;
 mod event_loop;
@@ -24,9 +25,9 @@
 
 /// Second octet of the first zone's addresses.
 const FIRST_ZONE_OCTET: usize = 10;
-/// Host part at which relays listen.
+/// Host number on which the relays of a zone listen.
 const RELAY_HOST_NUMBER: u16 = 1;
-/// Attempts to find a port that is free for both TCP and UDP.
+/// Maximum attempts to find a port that is free for both TCP and UDP.
 const MAX_PORT_ATTEMPTS: usize = 50;
 
 /// Zones on loopback and the links between them.
@@ -40,7 +41,8 @@
 }
 
 impl Network {
-    /// Zones without delay, loss or cuts. Losses are drawn from `seed`.
+    /// Creates a network whose links have no delay, no loss and no cuts. Losses are drawn
+    /// reproducibly from `seed`.
     pub fn new(zones: &[ZoneName], seed: u64) -> io::Result<Arc<Self>> {
         let links = Arc::new(Links::new(zones.len()));
         let poll = Poll::new()?;
@@ -68,20 +70,20 @@
         ZoneNumber(found.unwrap_or_else(|| panic!("{zone} is no zone of this network")))
     }
 
-    /// The address of a host in a zone; hosts count from 2, below them are relays.
+    /// The address of a host in a zone. Host numbers start at 2; lower ones belong to the relays.
     pub fn address(&self, zone: &ZoneName, host: u16) -> Ipv4Addr {
         let octet = (FIRST_ZONE_OCTET + self.number(zone).0) as u8;
         let [high, low] = host.to_be_bytes();
         Ipv4Addr::new(127, octet, high, low)
     }
 
-    /// The zone of an address, if it is of one.
+    /// The zone that owns an address, if there is one.
     pub fn zone_of(&self, address: IpAddr) -> Option<ZoneName> {
         let number = links::zone_of(address, self.zones.len())?;
         Some(self.zones[number.0].clone())
     }
 
-    /// Makes a TCP address reachable for other zones. Returns the address to call.
+    /// Makes a TCP address reachable from other zones. Returns the address of the relay.
     pub fn expose_tcp(&self, zone: &ZoneName, target: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((self.address(zone, RELAY_HOST_NUMBER), 0))?;
         let address = listener.local_addr()?;
@@ -89,7 +91,7 @@
         Ok(address)
     }
 
-    /// Makes a UDP address reachable for other zones. Returns the address to send to.
+    /// Makes a UDP address reachable from other zones. Returns the address of the relay.
     pub fn expose_udp(&self, zone: &ZoneName, target: SocketAddr) -> io::Result<SocketAddr> {
         let socket = UdpSocket::bind((self.address(zone, RELAY_HOST_NUMBER), 0))?;
         let address = socket.local_addr()?;
@@ -97,7 +99,8 @@
         Ok(address)
     }
 
-    /// Makes an address reachable for other zones over both TCP and UDP, at one port.
+    /// Makes an address reachable from other zones over both TCP and UDP. Returns the address of
+    /// the relay, which uses the same port for both.
     pub fn expose(&self, zone: &ZoneName, target: SocketAddr) -> io::Result<SocketAddr> {
         let host = self.address(zone, RELAY_HOST_NUMBER);
         for _ in 0..MAX_PORT_ATTEMPTS {
@@ -134,7 +137,7 @@
         self.waker.wake()
     }
 
-    /// Tells the event loop that links changed.
+    /// Notifies the event loop of changed links.
     fn links_changed(&self) {
         self.waker.wake().expect("the event loop of the network cannot be woken");
     }
@@ -145,7 +148,7 @@
         self.links_changed();
     }
 
-    /// Sets the one-way delay between every two different zones, both ways.
+    /// Sets the one-way delay between all zones, in both directions.
     pub fn set_delay_everywhere(&self, delay: Duration) {
         for from in &self.zones {
             for to in self.zones.iter().filter(|to| *to != from) {
@@ -154,62 +157,63 @@
         }
     }
 
-    /// Sets the share of datagrams lost from one zone to another.
+    /// Sets the fraction of datagrams that are lost from one zone to another.
     pub fn set_loss(&self, from: &ZoneName, to: &ZoneName, loss: f64) {
         self.links.change(self.number(from), self.number(to), |link| link.loss = loss);
         self.links_changed();
     }
 
-    /// Limits what all streams to the exposed targets of a zone carry together, each way, in bytes a
-    /// second.
+    /// Limits the total bandwidth of all streams to the exposed targets of a zone, separately for
+    /// each direction, in bytes per second.
     pub fn limit_streams(&self, zone: &ZoneName, rate: f64) {
         for to_target in [true, false] {
             self.links.set_rate(LineDirection { zone: self.number(zone), to_target }, rate);
         }
     }
 
-    /// Bytes that streams have carried to and from the exposed targets of a zone.
+    /// Number of bytes that streams have carried to and from the exposed targets of a zone.
     pub fn stream_bytes(&self, zone: &ZoneName) -> u64 {
         let directions =
             [true, false].map(|to_target| LineDirection { zone: self.number(zone), to_target });
         directions.into_iter().map(|direction| self.links.bytes(direction)).sum()
     }
 
-    /// Cuts the way from one zone to another, and leaves the way back.
+    /// Cuts the link from one zone to another, but not the opposite direction.
     pub fn cut_one_way(&self, from: &ZoneName, to: &ZoneName) {
         self.set_cut(from, to, true);
     }
 
-    /// Cuts two zones off from each other.
+    /// Cuts the link between two zones in both directions.
     pub fn cut(&self, first: &ZoneName, second: &ZoneName) {
         self.set_cut(first, second, true);
         self.set_cut(second, first, true);
     }
 
-    /// Heals the link between two zones, both ways.
+    /// Heals the link between two zones in both directions.
     pub fn heal(&self, first: &ZoneName, second: &ZoneName) {
         self.set_cut(first, second, false);
         self.set_cut(second, first, false);
     }
 
-    /// Cuts a zone off from every other.
+    /// Cuts the links between a zone and all others.
     pub fn cut_zone(&self, zone: &ZoneName) {
         self.zones.iter().filter(|other| *other != zone).for_each(|other| self.cut(zone, other));
     }
 
-    /// Heals every link of a zone.
+    /// Heals the links between a zone and all others.
     pub fn heal_zone(&self, zone: &ZoneName) {
         self.zones.iter().filter(|other| *other != zone).for_each(|other| self.heal(zone, other));
     }
 
-    /// Open connections to exposed targets in `zone` go silent for good, without a reset; new ones work.
+    /// Silences the open connections to exposed targets in `zone` permanently: their bytes are
+    /// discarded without a reset. New connections work.
     pub fn silence_open_connections(&self, zone: &ZoneName, direction: SilencedDirection) {
         let opened_before = Instant::now();
         self.links.silence(Silence { zone: self.number(zone), direction, opened_before });
     }
 
-    /// The longest time for which the network has carried nothing because it got no processor time: a node that
-    /// hears nothing meanwhile is right to say so.
+    /// The longest time for which the network has carried nothing because its thread got no
+    /// processor time. A node that suspects another one during such a pause is not at fault.
     pub fn longest_pause(&self) -> Duration {
         self.links.longest_pause()
     }
@@ -219,7 +223,7 @@
         self.links_changed();
     }
 
-    /// One-way delay from one zone to another, or `None` if that way is cut.
+    /// One-way delay from one zone to another, or `None` if this direction is cut.
     pub fn delay(&self, from: &ZoneName, to: &ZoneName) -> Option<Duration> {
         let link = self.links.get(self.number(from), self.number(to));
         (!link.cut).then_some(link.delay)
@@ -229,10 +233,10 @@
 impl Drop for Network {
     fn drop(&mut self) {
         self.links.stop();
-        // Without a waker the loop still ends at its next time-out.
+        // If the loop cannot be woken, it still ends at its next timeout.
         let _ = self.waker.wake();
         if let Some(event_loop) = self.event_loop.take() {
-            // A loop that panicked has said so itself.
+            // The panic hook has already reported a panic of this thread.
             let _ = event_loop.join();
         }
     }
--- a/crates/lab/src/standin/network/streams.rs
+++ b/crates/lab/src/standin/network/streams.rs
@@ -14,21 +14,23 @@
 use super::links::{LineDirection, ZoneNumber};
 
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that may be on their way in one direction; more are left with the sender.
+/// Maximum number of bytes in flight in one direction. The relay leaves further bytes unread, so
+/// that the sender blocks.
 const IN_FLIGHT_LIMIT_BYTES: usize = 4 * 1024 * 1024;
-/// The same where the line is limited, as of a system with small windows: what waits at a full line is
-/// this for each connection, and the rest waits with its sender.
+/// Maximum number of bytes in flight in one direction on a line with limited bandwidth. It is
+/// small, like the window of a system with small buffers: each connection queues at most this much
+/// at a saturated line, and the rest waits at its sender.
 const RATE_LIMITED_IN_FLIGHT_BYTES: usize = 64 * 1024;
 const EINPROGRESS: i32 = 115;
 
-/// Something on its way.
+/// Data or end of stream in flight.
 #[derive(Debug)]
 enum Segment {
     Bytes {
         bytes: Vec<u8>,
         written: usize,
     },
-    /// The sender closes its half.
+    /// The sender has closed its half.
     End,
 }
 
@@ -45,22 +47,22 @@
     to: ZoneNumber,
     /// Zone of the connection's target.
     target: ZoneNumber,
-    /// Whether it leads to the target.
+    /// Whether this is the direction from the client to the target.
     to_target: bool,
     opened: Instant,
     in_flight: VecDeque<InFlight>,
     bytes: usize,
     /// The sender has closed its half.
     sender_closed: bool,
-    /// The receiver was told so.
+    /// The receiver has been notified of that.
     receiver_closed: bool,
 }
 
-/// Why a relay ends at once.
+/// An I/O error on one side, after which the relay resets the connection.
 struct BrokenConnection;
 
 impl Direction {
-    /// Both directions of a connection that is opened now.
+    /// Creates both directions of a connection that opens now.
     fn pair(from: ZoneNumber, to: ZoneNumber) -> (Self, Self) {
         let opened = Instant::now();
         let direction = |from, to, target, to_target| Self {
@@ -77,7 +79,7 @@
         (direction(from, to, to, true), direction(to, from, to, false))
     }
 
-    /// Takes in what the sender has to say, unless the way is cut.
+    /// Reads what the sender has sent, unless the link is cut.
     fn collect(
         &mut self,
         source: &mut TcpStream,
@@ -123,7 +125,7 @@
         Ok(())
     }
 
-    /// Hands over what has arrived, unless the way is cut.
+    /// Writes the data whose delay has elapsed to the receiver, unless the link is cut.
     fn deliver(&mut self, sink: &mut TcpStream, shared: &Shared) -> Result<(), BrokenConnection> {
         if shared.links.get(self.from, self.to).cut {
             return Ok(());
@@ -132,7 +134,7 @@
         while let Some(first) = self.in_flight.front_mut().filter(|first| first.due <= now) {
             match &mut first.segment {
                 Segment::End => {
-                    // The receiver may be gone already.
+                    // The receiver may have closed the connection.
                     let _ = sink.shutdown(Shutdown::Write);
                     self.receiver_closed = true;
                     self.in_flight.pop_front();
@@ -159,7 +161,7 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::NotConnected)
 }
 
-/// One end of a relayed connection.
+/// One side of a relayed connection.
 #[derive(Debug)]
 struct End {
     endpoint: usize,
@@ -172,17 +174,17 @@
     client: End,
     client_address: IpAddr,
     target_address: SocketAddr,
-    /// Absent until the link lets the connection through.
+    /// `None` until the connection to the target is opened.
     target: Option<End>,
     to_target: Direction,
     from_target: Direction,
-    /// When a break of one end reaches the other.
+    /// When an error on one side reaches the other.
     broken_at: Option<Instant>,
     connects_at: Option<Instant>,
 }
 
 fn register(mut stream: TcpStream, endpoint: Endpoint, shared: &mut Shared) -> End {
-    // Only latency suffers if the option cannot be set.
+    // Without the option, only latency suffers.
     let _ = stream.set_nodelay(true);
     let key = shared.endpoints.insert(endpoint);
     shared
@@ -196,7 +198,7 @@
     let socket = Socket::new(Domain::for_address(target), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     if source.is_ipv4() == target.is_ipv4() {
-        // A node that is started again may need the port that the system picks here.
+        // A restarted node may need to bind the port that the operating system chooses here.
         socket.set_reuse_address(true)?;
         socket.bind(&SocketAddr::new(source, 0).into())?;
     }
@@ -208,7 +210,7 @@
 }
 
 impl StreamRelay {
-    /// A relay for a caller that has just come in.
+    /// Creates a relay for a client connection that was just accepted.
     pub fn new(
         key: usize,
         client: TcpStream,
@@ -231,7 +233,8 @@
         }
     }
 
-    /// Moves what can be moved. True once the relay is over.
+    /// Moves data as far as possible in both directions. Returns true once the relay is to be
+    /// closed.
     pub fn advance(&mut self, key: usize, shared: &mut Shared) -> bool {
         if let Some(at) = self.broken_at {
             return self.is_uncut(shared) && Instant::now() >= at;
@@ -254,13 +257,14 @@
         shared.links.get(self.to_target.from, self.to_target.to).delay
     }
 
-    /// Connects to the target once the link lets it; false while it does not.
+    /// Connects to the target once the link permits it. Returns false until then.
     fn open(&mut self, key: usize, shared: &mut Shared) -> bool {
         if !self.is_uncut(shared) {
             return false;
         }
         let now = Instant::now();
-        // The caller's kernel was answered at once: the round trip of the handshake comes here.
+        // The relay's listener completed the client's TCP handshake at once, so the round trip of
+        // the handshake over the link is added here.
         let round_trip = self.delay(shared) * 2;
         let at = *self.connects_at.get_or_insert(now + round_trip);
         if at > now {
@@ -289,7 +293,8 @@
         self.from_target.deliver(client, shared)
     }
 
-    /// One end broke: the other learns of it after the delay.
+    /// After an error on one side, schedules the reset of the other side for the end of the link's
+    /// delay. Returns true if the relay is to be closed now.
     fn schedule_reset(&mut self, key: usize, shared: &mut Shared) -> bool {
         let delay = self.delay(shared);
         let at = Instant::now() + delay;
@@ -298,11 +303,11 @@
         delay.is_zero() && self.is_uncut(shared)
     }
 
-    /// Closes both ends; with a reset if one broke.
+    /// Closes both sides, with a reset after an error.
     pub fn close(self, shared: &mut Shared) {
         let broken = self.broken_at.is_some();
         for mut end in [Some(self.client), self.target].into_iter().flatten() {
-            // A socket that is gone needs no deregistration.
+            // A socket that is already closed needs no deregistration.
             let _ = shared.registry.deregister(&mut end.stream);
             if broken {
                 let _ = SockRef::from(&end.stream).set_linger(Some(Duration::ZERO));
--- a/crates/lab/src/standin/store/contents.rs
+++ b/crates/lab/src/standin/store/contents.rs
@@ -1,36 +1,36 @@
-//! Keys, revisions, history and leases of the store.
+//! Contents of the store: keys, revisions, history and leases.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Era of a store that has never come back from a copy.
+/// Era of a store that has never been restored.
 const FIRST_ERA: u64 = 1;
 
-/// A key as the store holds it.
+/// The stored value of a key, with its metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     /// Value.
     pub value: Vec<u8>,
-    /// Revision of its creation.
+    /// Revision at which the key was created.
     pub created: u64,
-    /// Revision of its last write.
+    /// Revision of the last write.
     pub modified: u64,
-    /// Writes since its creation.
+    /// Number of writes since the key was created.
     pub version: u64,
-    /// Lease it is bound to; zero for none.
+    /// Lease to which the key is bound; zero for none.
     pub lease: u64,
 }
 
-/// One change of one key.
+/// A change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
     /// Revision of the change.
     pub revision: u64,
     /// Key.
     pub key: Vec<u8>,
-    /// What it was set to; `None` if it was deleted.
+    /// The new entry; `None` if the key was deleted.
     pub entry: Option<Entry>,
-    /// What it was before.
+    /// The previous entry, if there was one.
     pub previous: Option<Entry>,
 }
 
@@ -39,12 +39,12 @@
 pub struct KeyRange {
     /// First key.
     pub start: Vec<u8>,
-    /// Key after the last; `None` for the first alone, a zero byte for no end.
+    /// Exclusive end; `None` for the first key alone, a zero byte for an open end.
     pub end: Option<Vec<u8>>,
 }
 
 impl KeyRange {
-    /// Whether a key lies within.
+    /// Whether the range contains a key.
     pub fn contains(&self, key: &[u8]) -> bool {
         match self.end.as_deref() {
             None | Some([]) => key == self.start,
@@ -60,14 +60,14 @@
     expires: Instant,
 }
 
-/// What the store holds.
+/// Contents of the store.
 #[derive(Clone, Debug)]
 pub struct Contents {
     /// Revision of the last change.
     pub revision: u64,
-    /// Rises by one each time the store comes back from a copy.
+    /// Era, which increases by one with each restore.
     pub era: u64,
-    /// History below this revision is gone.
+    /// History before this revision is compacted.
     pub compacted: u64,
     entries: BTreeMap<Vec<u8>, Entry>,
     history: Vec<Event>,
@@ -90,18 +90,18 @@
 }
 
 impl Contents {
-    /// Goes back to what a copy holds: revisions and numbers of leases are given out again.
+    /// Restores a snapshot: revisions and lease numbers after it are assigned a second time.
     pub fn restore(&mut self, snapshot: &Contents) {
         let era = self.era + 1;
         *self = Self { era, ..snapshot.clone() };
     }
 
-    /// A key as it is now.
+    /// The current entry of a key.
     pub fn get(&self, key: &[u8]) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// The keys of a range, now or at an earlier revision.
+    /// The entries of a range, now or at an earlier revision.
     pub fn range(&self, range: &KeyRange, at: Option<u64>) -> Vec<(Vec<u8>, Entry)> {
         let at = at.filter(|at| *at > 0 && *at < self.revision);
         let Some(at) = at else {
@@ -118,7 +118,8 @@
         present.collect()
     }
 
-    /// Sets a key at `revision`, which becomes the store's. False if there is no such lease.
+    /// Writes a key at `revision`, which becomes the store's revision. Returns false if the lease
+    /// does not exist.
     pub fn put(&mut self, key: Vec<u8>, value: Vec<u8>, lease: u64, revision: u64) -> bool {
         if lease != 0 && !self.leases.contains_key(&lease) {
             return false;
@@ -137,7 +138,7 @@
         true
     }
 
-    /// Deletes the keys of a range at `revision`. Returns how many there were.
+    /// Deletes the keys of a range at `revision`. Returns the number of deleted keys.
     pub fn delete(&mut self, range: &KeyRange, revision: u64) -> usize {
         let deleted = self.range(range, None);
         for (key, entry) in &deleted {
@@ -149,13 +150,14 @@
         deleted.len()
     }
 
-    /// Changes of a range from a revision on.
+    /// Changes to a range since a revision, inclusive.
     pub fn events(&self, range: &KeyRange, from: u64) -> Vec<Event> {
         let first = self.history.partition_point(|event| event.revision < from);
         self.history[first..].iter().filter(|event| range.contains(&event.key)).cloned().collect()
     }
 
-    /// Forgets the history below a revision. False if that is already gone or still to come.
+    /// Compacts the history before a revision. Returns false if it is already compacted or is a
+    /// future revision.
     pub fn compact(&mut self, revision: u64) -> bool {
         if revision <= self.compacted || revision > self.revision {
             return false;
@@ -165,7 +167,7 @@
         true
     }
 
-    /// Grants a lease. Returns its number, or `None` if the wanted one is taken.
+    /// Grants a lease. Returns its number, or `None` if the requested number is in use.
     pub fn grant(&mut self, requested: u64, lifetime: Duration, now: Instant) -> Option<u64> {
         let number = match requested {
             0 => {
@@ -179,19 +181,19 @@
         Some(number)
     }
 
-    /// Renews a lease. Returns its lifetime, or `None` if it is gone.
+    /// Renews a lease. Returns its lifetime, or `None` if it does not exist.
     pub fn keep_alive(&mut self, number: u64, now: Instant) -> Option<Duration> {
         let lease = self.leases.get_mut(&number)?;
         lease.expires = now + lease.lifetime;
         Some(lease.lifetime)
     }
 
-    /// Time that a lease has left, or `None` if it is gone.
+    /// Remaining time of a lease, or `None` if it does not exist.
     pub fn time_left(&self, number: u64, now: Instant) -> Option<Duration> {
         Some(self.leases.get(&number)?.expires.saturating_duration_since(now))
     }
 
-    /// Ends a lease and deletes its keys. False if it is gone.
+    /// Revokes a lease and deletes its keys. Returns false if it does not exist.
     pub fn revoke(&mut self, number: u64) -> bool {
         if self.leases.remove(&number).is_none() {
             return false;
@@ -205,7 +207,7 @@
         true
     }
 
-    /// Ends the leases that have run out. Returns whether there were any.
+    /// Revokes the expired leases. Returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         let expired = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
         let numbers: Vec<u64> = expired.map(|(number, _)| *number).collect();
--- a/crates/lab/src/standin/store/faults.rs
+++ b/crates/lab/src/standin/store/faults.rs
@@ -1,43 +1,44 @@
-//! Faults that the store can be told to have, and what it counts.
+//! Injected faults of the store, and its request counters.
 
 use std::time::{Duration, Instant};
 
-/// What the store counts.
+/// Request counters of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreCounters {
-    /// Requests that arrived, whatever became of them.
+    /// All requests that arrived, regardless of their outcome.
     pub requests: u64,
-    /// Of those, refused for their rate.
+    /// Requests that were rejected by the rate limit.
     pub refused: u64,
-    /// Of those, watches.
+    /// Watch requests.
     pub watches: u64,
-    /// Requests that arrived within the busiest whole second since the store started.
+    /// Highest number of requests in any one second, counted in whole seconds since the store
+    /// started.
     pub busiest_second: u64,
 }
 
-/// What is to become of a request, before it is looked at.
+/// Decision on a request before it is parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is handled, after a delay.
+    /// Handle it after a delay.
     Handle(Duration),
-    /// It is refused for its rate.
+    /// Reject it because of the rate limit.
     Refuse,
-    /// It is never answered.
+    /// Never respond.
     Silence,
-    /// Its connection is reset.
+    /// Reset its connection.
     Reset,
 }
 
-/// Faults now in force.
+/// The active faults.
 #[derive(Debug)]
 pub struct Faults {
-    /// Time before a request is handled.
+    /// Delay before a request is handled.
     pub response_delay: Duration,
-    /// Whether connections that are still open are reset.
+    /// Whether requests on connections that are still open are reset.
     pub outage: bool,
-    /// Whether requests are taken and never answered.
+    /// Whether requests are accepted and never responded to.
     pub silent: bool,
-    /// Answers to changes still to be lost.
+    /// Number of responses to changes that are still to be lost.
     pub responses_to_lose: u64,
     rate_limit: Option<u32>,
     tokens: f64,
@@ -49,7 +50,7 @@
 }
 
 impl Faults {
-    /// No faults.
+    /// Creates a state without faults.
     pub fn new(now: Instant) -> Self {
         Self {
             response_delay: Duration::ZERO,
@@ -66,14 +67,15 @@
         }
     }
 
-    /// Limits the requests a second; a second's worth may come at once.
+    /// Limits the requests per second with a token bucket that holds one second's worth of
+    /// requests.
     pub fn set_rate_limit(&mut self, limit: Option<u32>, now: Instant) {
         self.rate_limit = limit;
         self.tokens = limit.map_or(0.0, f64::from);
         self.refilled_at = now;
     }
 
-    /// Counts a request and decides what becomes of it.
+    /// Counts a request and decides how it is handled.
     pub fn admit(&mut self, is_watch: bool, now: Instant) -> Admission {
         self.count(is_watch, now);
         if self.outage {
@@ -108,14 +110,14 @@
         self.counters.busiest_second = self.counters.busiest_second.max(self.requests_in_second);
     }
 
-    /// Whether the answer to a change is lost.
+    /// Returns whether the response to a change is lost, and counts it if so.
     pub fn loses_response(&mut self) -> bool {
         let loses_response = self.responses_to_lose > 0;
         self.responses_to_lose -= u64::from(loses_response);
         loses_response
     }
 
-    /// What was counted so far.
+    /// The counters so far.
     pub fn counters(&self) -> StoreCounters {
         self.counters
     }
--- a/crates/lab/src/standin/store/gateway.rs
+++ b/crates/lab/src/standin/store/gateway.rs
@@ -1,4 +1,4 @@
-//! The JSON of etcd's v3 gateway: requests to calls on the contents, and answers.
+//! JSON API of etcd's v3 gateway: executes requests on the contents and encodes the responses.
 
 use std::time::{Duration, Instant};
 
@@ -11,23 +11,23 @@
 const COMPACTED: &str = "etcdserver: mvcc: required revision has been compacted";
 const FUTURE: &str = "etcdserver: mvcc: required revision is a future revision";
 
-/// An error as the gateway tells it.
+/// An error response of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayError {
     /// HTTP status.
     pub status: u16,
-    /// gRPC code.
+    /// gRPC status code.
     pub code: u16,
     /// Message.
     pub message: &'static str,
 }
 
 impl GatewayError {
-    /// A request that cannot be read.
+    /// The request cannot be parsed.
     pub const MALFORMED: Self = Self { status: 400, code: 3, message: "malformed request" };
-    /// A path that is not served.
+    /// The path is not supported.
     pub const UNKNOWN: Self = Self { status: 404, code: 5, message: "Not Found" };
-    /// Too many requests.
+    /// The request exceeds the rate limit.
     pub const RATE: Self = Self { status: 429, code: 8, message: "etcdserver: too many requests" };
     const NO_LEASE: Self =
         Self { status: 404, code: 5, message: "etcdserver: requested lease not found" };
@@ -36,7 +36,7 @@
     const OLD_REVISION: Self = Self { status: 400, code: 11, message: COMPACTED };
     const FUTURE_REVISION: Self = Self { status: 400, code: 11, message: FUTURE };
 
-    /// Its JSON.
+    /// Body of the response.
     pub fn body(&self) -> String {
         json!({ "error": self.message, "code": self.code, "message": self.message }).to_string()
     }
@@ -44,7 +44,8 @@
 
 type GatewayResult = Result<Value, GatewayError>;
 
-/// A field by its name in the published form, or in the form that some clients send.
+/// Looks up a field by its name in snake case, as published, or in camel case, as some clients
+/// send it.
 fn field<'a>(value: &'a Value, name: &str) -> Option<&'a Value> {
     value.get(name).or_else(|| {
         let mut parts = name.split('_');
@@ -74,7 +75,7 @@
     field(value, name).and_then(Value::as_bool).unwrap_or(false)
 }
 
-/// The range that a request names.
+/// Parses the key range of a request.
 pub fn key_range(value: &Value) -> Result<KeyRange, GatewayError> {
     let start = bytes(value, "key")?.ok_or(GatewayError::MALFORMED)?;
     Ok(KeyRange { start, end: bytes(value, "range_end")? })
@@ -98,7 +99,7 @@
     described
 }
 
-/// An event as a watch carries it.
+/// Encodes an event of a watch.
 pub fn event_json(event: &Event, with_previous: bool) -> Value {
     let mut described = match &event.entry {
         Some(entry) => json!({ "kv": key_value_json(&event.key, entry) }),
@@ -113,18 +114,18 @@
     described
 }
 
-/// A watch as a client asks for it.
+/// A request to create a watch.
 #[derive(Clone, Debug)]
 pub struct WatchRequest {
-    /// Keys.
+    /// Keys to watch.
     pub range: KeyRange,
-    /// First revision wanted; zero for those to come.
+    /// First revision to send; zero for future changes only.
     pub start: u64,
-    /// Whether events carry what the key was before.
+    /// Whether events include the previous entry.
     pub with_previous: bool,
 }
 
-/// Reads a watch request.
+/// Parses a watch request.
 pub fn watch_request(body: &Value) -> Result<WatchRequest, GatewayError> {
     let create = field(body, "create_request").ok_or(GatewayError::MALFORMED)?;
     Ok(WatchRequest {
@@ -139,7 +140,7 @@
     json!({ "result": { "header": header(contents), "created": true } })
 }
 
-/// The only message of a watch whose history is gone.
+/// The only message of a watch whose start revision is compacted.
 pub fn watch_compacted(contents: &Contents) -> Value {
     json!({ "result": {
         "header": header(contents),
@@ -150,18 +151,18 @@
     } })
 }
 
-/// A message with events.
+/// A watch message with events.
 pub fn watch_events(contents: &Contents, events: &[Event], with_previous: bool) -> Value {
     let events: Vec<Value> = events.iter().map(|event| event_json(event, with_previous)).collect();
     json!({ "result": { "header": header(contents), "events": events } })
 }
 
-/// Whether a path may change something.
+/// Whether requests to a path may change the contents.
 pub fn is_change(path: &str) -> bool {
     !matches!(path, "/v3/kv/range" | "/v3/watch" | "/v3/lease/timetolive")
 }
 
-/// Handles a request other than a watch.
+/// Handles a request that is not a watch.
 pub fn handle(contents: &mut Contents, path: &str, body: &Value, now: Instant) -> GatewayResult {
     match path {
         "/v3/kv/range" => range(contents, body),
@@ -256,7 +257,7 @@
     Ok(json!({ "header": header(contents), "succeeded": succeeded, "responses": responses }))
 }
 
-/// Refuses a transaction whole before it changes anything.
+/// Validates all operations of a transaction before any of them takes effect.
 fn check_operations(contents: &Contents, operations: &[Value]) -> Result<(), GatewayError> {
     for operation in operations {
         let request = ["request_put", "request_range", "request_delete_range"]
--- a/crates/lab/src/standin/store/key_calls.rs
+++ b/crates/lab/src/standin/store/key_calls.rs
@@ -1,4 +1,4 @@
-//! The store as the users' platform serves it.
+//! The key calls with which the users' platform serves its store.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -11,11 +11,11 @@
 use super::contents::{Contents, Entry, Event, KeyRange};
 use super::{Reply, Shared, WATCH_CHECK_INTERVAL};
 
-/// Items of one page.
+/// Maximum number of items in one page of a range response.
 const PAGE_ITEMS: usize = 50;
 const BAD_REQUEST: u16 = 400;
 
-/// Status and body.
+/// HTTP status and body of a response.
 type Answer = (u16, String);
 
 fn success(body: String) -> Answer {
@@ -27,12 +27,12 @@
 }
 
 impl Shared {
-    /// The refusal of a call beyond the rate.
+    /// The response to a call above the rate limit.
     pub(super) fn rate_limited_reply(&self) -> Reply {
         reply(failure(RATE_LIMITED), &self.contents())
     }
 
-    /// Carries a call out.
+    /// Executes a call.
     pub(super) fn handle_key_call(&self, call: Option<KeyCall>) -> Reply {
         let Some(call) = call else { return reply(failure(BAD_REQUEST), &self.contents()) };
         if let KeyCall::Watch { prefix, after, wait } = &call {
@@ -77,7 +77,7 @@
     Reply::Json { status, headers: vec![(ERA_HEADER, contents.era.to_string())], body }
 }
 
-/// The keys that begin with `prefix`.
+/// The range of all keys with this prefix.
 fn range_of(prefix: &str) -> KeyRange {
     let start = prefix.as_bytes().to_vec();
     let mut end = start.clone();
--- a/crates/lab/src/standin/store/mod.rs
+++ b/crates/lab/src/standin/store/mod.rs
@@ -1,5 +1,8 @@
-//! The platform's store over a map in memory, with faults: etcd's v3 HTTP/JSON gateway, or the
-//! calls of the users' platform.
+//! Stand-in for the platform's store.
+//!
+//! It keeps its keys in memory and serves either etcd's v3 HTTP/JSON gateway or the key calls of
+//! the users' platform. Tests can inject outages, silence, delays, rate limits, lost responses,
+//! broken watches and restores of an older snapshot.
 
 pub mod contents;
 pub mod faults;
@@ -24,18 +27,18 @@
 use super::http::{self, Reply, Request};
 use super::listener::RestartableListener;
 
-/// Time between two looks of a watch at whether its client is still there.
+/// Interval at which a watch checks whether its client has disconnected.
 const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two looks for leases that have run out.
+/// Interval at which expired leases are revoked.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a store speaks.
+/// The protocol of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Dialect {
     /// etcd's v3 HTTP/JSON gateway.
     #[default]
     Etcd,
-    /// The calls of the users' platform.
+    /// The key calls of the users' platform.
     Platform,
 }
 
@@ -45,26 +48,26 @@
     contents: Mutex<Contents>,
     changed: Condvar,
     faults: Mutex<Faults>,
-    /// Raised to end every watch that is open.
+    /// Incremented to end all open watches.
     watch_epoch: AtomicU64,
     stopping: AtomicBool,
 }
 
 /// A running store.
 pub struct PlatformStore {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     listener: RestartableListener,
     shared: Arc<Shared>,
 }
 
 impl PlatformStore {
-    /// Starts a store that speaks etcd's protocol, on a port that the system chooses.
+    /// Starts a store with etcd's protocol on a port chosen by the operating system.
     pub fn start() -> io::Result<Self> {
         Self::start_as(Dialect::Etcd)
     }
 
-    /// Starts a store on a port that the system chooses.
+    /// Starts a store on a port chosen by the operating system.
     pub fn start_as(dialect: Dialect) -> io::Result<Self> {
         let listener = RestartableListener::bind()?;
         let shared = Arc::new(Shared {
@@ -82,17 +85,17 @@
         Ok(Self { address: listener.address(), listener, shared })
     }
 
-    /// Its endpoint, as clients are configured with it.
+    /// Base URL of the store, for the configuration of clients.
     pub fn endpoint(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Limits the requests a second; those above are refused with status 429.
+    /// Limits the requests per second. Requests above the limit fail with status 429.
     pub fn set_rate_limit(&self, limit: Option<u32>) {
         self.shared.faults().set_rate_limit(limit, Instant::now());
     }
 
-    /// Refuses connections and ends every watch, or serves again.
+    /// Starts an outage, in which connections are refused and all watches end, or ends it.
     pub fn set_outage(&self, outage: bool) {
         if outage {
             self.listener.close();
@@ -104,62 +107,63 @@
         }
     }
 
-    /// Accepts connections and answers nothing, or answers later requests again.
+    /// Makes the store accept requests without ever responding, or respond to later requests again.
     pub fn set_silent(&self, silent: bool) {
         self.shared.faults().silent = silent;
     }
 
-    /// Waits before each request is handled.
+    /// Sets a delay before each request is handled.
     pub fn set_response_delay(&self, response_delay: Duration) {
         self.shared.faults().response_delay = response_delay;
     }
 
-    /// The next `count` requests that may change something take effect, and their connection is
-    /// reset instead of an answer.
+    /// Loses the responses to the next `count` requests that may change the contents: they take
+    /// effect, but their connection is reset instead of a response.
     pub fn lose_next_responses(&self, count: u64) {
         self.shared.faults().responses_to_lose = count;
     }
 
-    /// Breaks every open watch off.
+    /// Ends all open watches.
     pub fn break_watches(&self) {
         self.shared.watch_epoch.fetch_add(1, Ordering::AcqRel);
         self.shared.changed.notify_all();
     }
 
-    /// Forgets the history below the present revision.
+    /// Compacts the history before the current revision.
     pub fn compact(&self) {
         let mut contents = self.shared.contents();
         let revision = contents.revision;
         contents.compact(revision);
     }
 
-    /// Takes a copy of what it holds.
+    /// Takes a snapshot of the contents.
     pub fn snapshot(&self) -> StoreSnapshot {
         StoreSnapshot { contents: self.shared.contents().clone() }
     }
 
-    /// Goes back to a copy: what was written since is gone, and revisions are given out again. Every watch ends.
+    /// Restores a snapshot: later writes are lost, and their revisions are assigned a second time.
+    /// All watches end.
     pub fn restore(&self, snapshot: &StoreSnapshot) {
         self.shared.contents().restore(&snapshot.contents);
         self.break_watches();
     }
 
-    /// Writes a key, as somebody else does who may.
+    /// Writes a key, as another authorized client would.
     pub fn put(&self, key: &str, value: &[u8]) {
         self.shared.put(key, value);
     }
 
-    /// Removes a key, as somebody else does who may.
+    /// Removes a key, as another authorized client would.
     pub fn remove(&self, key: &str) {
         self.shared.remove(key);
     }
 
-    /// The value of a key.
+    /// The current value of a key.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         self.shared.contents().get(key.as_bytes()).map(|entry| entry.value.clone())
     }
 
-    /// Writes keys from another thread, for as long as that likes.
+    /// A handle that other threads can keep to write keys.
     pub fn writer(&self) -> StoreWriter {
         StoreWriter { shared: self.shared.clone() }
     }
@@ -169,31 +173,31 @@
         self.shared.contents().revision
     }
 
-    /// How often it has come back from a copy, and once more.
+    /// Its era, which starts at one and increases with each restore.
     pub fn era(&self) -> StoreEra {
         StoreEra(self.shared.contents().era)
     }
 
-    /// Position of the last change in its history, as nodes know it.
+    /// Position of the last change, which combines era and revision.
     pub fn position(&self) -> u64 {
         let contents = self.shared.contents();
         let position = StoreEra(contents.era).position(contents.revision);
         position.expect("revisions of a stand-in are small")
     }
 
-    /// What it counted so far.
+    /// The request counters.
     pub fn counters(&self) -> StoreCounters {
         self.shared.faults().counters()
     }
 }
 
-/// What a store held at some moment.
+/// The contents of a store at one moment.
 #[derive(Clone, Debug)]
 pub struct StoreSnapshot {
     contents: Contents,
 }
 
-/// Writes keys of a store.
+/// Writes keys of a store from any thread.
 #[derive(Clone, Debug)]
 pub struct StoreWriter {
     shared: Arc<Shared>,
@@ -338,7 +342,7 @@
 /// Whether the client has closed its side.
 fn is_closed(stream: &TcpStream) -> bool {
     let peeked = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0_u8; 1]));
-    // The stream is closed in any case if it cannot be set back.
+    // If blocking mode cannot be restored, the stream counts as closed.
     let restored = stream.set_nonblocking(false);
     let is_open = matches!(&peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock);
     restored.is_err() || !(is_open || matches!(peeked, Ok(1..)))
