--- a/crates/lab/src/standin/group/connections.rs
+++ b/crates/lab/src/standin/group/connections.rs
@@ -54,11 +54,11 @@
         let end = Instant::now() + time;
         loop {
             self.check_cancelled()?;
-            let left = end.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = end.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(CANCEL_CHECK_INTERVAL));
+            std::thread::sleep(remaining.min(CANCEL_CHECK_INTERVAL));
         }
     }
 
--- a/crates/lab/src/standin/group/dml.rs
+++ b/crates/lab/src/standin/group/dml.rs
@@ -53,19 +53,19 @@
     Ok(())
 }
 
-/// Finds a row other than `own` that has the same values as `row` in a unique key.
+/// Finds a row other than `own_number` that has the same values as `row` in a unique key.
 fn conflicting(
     context: &ExecutionContext,
     name: &str,
     table: &Table,
-    own: Option<u64>,
+    own_number: Option<u64>,
     row: &[Value],
 ) -> Result<Option<NumberedRow>, SqlError> {
     let current = context.overlay.table(context.state, name)?;
     for (index, key) in table.keys.iter().enumerate() {
         let Some(values) = key.values_of(row) else { continue };
         let found = context.overlay.find(current, name, index, &values);
-        if let Some(found) = found.filter(|found| Some(found.number) != own) {
+        if let Some(found) = found.filter(|found| Some(found.number) != own_number) {
             return Ok(Some(found));
         }
     }
--- a/crates/lab/src/standin/group/rows.rs
+++ b/crates/lab/src/standin/group/rows.rs
@@ -76,10 +76,10 @@
 ) -> Result<Option<(usize, KeyValues)>, SqlError> {
     let mut constants: Vec<Value> = vec![None; definition.columns.len()];
     collect_constants(context, definition, condition, &mut constants)?;
-    let whole = definition.keys.iter().position(|key| {
+    let key_index = definition.keys.iter().position(|key| {
         !key.columns.is_empty() && key.columns.iter().all(|column| constants[*column].is_some())
     });
-    Ok(whole.and_then(|index| Some((index, definition.keys[index].values_of(&constants)?))))
+    Ok(key_index.and_then(|index| Some((index, definition.keys[index].values_of(&constants)?))))
 }
 
 /// Collects the constants with which a conjunction compares columns for equality.
--- a/crates/lab/src/standin/group/wire/extended.rs
+++ b/crates/lab/src/standin/group/wire/extended.rs
@@ -191,14 +191,14 @@
         }
         let Some(fetching) = &mut portal.fetching else { return Ok(()) };
         let columns = prepared.columns.as_deref().unwrap_or_default();
-        let left = fetching.result.rows.len() - fetching.next;
-        let count = usize::try_from(max_rows).ok().filter(|limit| *limit > 0).unwrap_or(left);
-        let count = count.min(left);
+        let remaining = fetching.result.rows.len() - fetching.next;
+        let count = usize::try_from(max_rows).ok().filter(|limit| *limit > 0).unwrap_or(remaining);
+        let count = count.min(remaining);
         for row in &fetching.result.rows[fetching.next..fetching.next + count] {
             self.send_row(row, columns, &portal.formats);
         }
         fetching.next += count;
-        if count < left {
+        if count < remaining {
             self.send(PgWireBackendMessage::PortalSuspended(PortalSuspended::new()));
             return Ok(());
         }
--- a/crates/lab/src/standin/http.rs
+++ b/crates/lab/src/standin/http.rs
@@ -139,10 +139,10 @@
     let length = body.len();
     let further: String =
         headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
-    let answer = format!(
+    let response = format!(
         "HTTP/1.1 {status} Status\r\nContent-Type: application/json\r\n{further}Content-Length: {length}\r\n\r\n{body}"
     );
-    stream.write_all(answer.as_bytes())
+    stream.write_all(response.as_bytes())
 }
 
 /// Starts a chunked response.
--- a/crates/lab/src/standin/instances/replication.rs
+++ b/crates/lab/src/standin/instances/replication.rs
@@ -65,9 +65,10 @@
 
 fn receive(instance: &mut Instance, term: Term, log: &[Commit], now: Instant) {
     instance.term = term;
-    let common = instance.log.iter().zip(log).take_while(|(own, other)| own == other).count();
-    instance.truncate(common);
-    for commit in &log[common..] {
+    let common_length =
+        instance.log.iter().zip(log).take_while(|(own, other)| own == other).count();
+    instance.truncate(common_length);
+    for commit in &log[common_length..] {
         instance.append(commit.clone(), now);
     }
 }
--- a/crates/lab/src/standin/network/event_loop.rs
+++ b/crates/lab/src/standin/network/event_loop.rs
@@ -128,7 +128,7 @@
 impl EventLoop {
     /// Creates a loop without relays.
     pub fn new(poll: Poll, new_relays: Receiver<NewRelay>, links: Arc<Links>, seed: u64) -> Self {
-        let registry = poll.registry().try_clone().expect("the readiness queue cannot be shared");
+        let registry = poll.registry().try_clone().expect("failed to clone the poll registry");
         let shared = Shared {
             links,
             registry,
@@ -170,14 +170,14 @@
         self.shared.links.record_pause(pause);
         if pause >= LOGGED_PAUSE_THRESHOLD {
             let paused_ms = pause.as_millis() as u64;
-            log::warn!(event = "network_paused", paused_ms = paused_ms; "the network carried nothing");
+            log::warn!(event = "network_paused", paused_ms = paused_ms; "the network thread got no processor time");
         }
     }
 
     fn wait_time(&self) -> Duration {
         let Some(Reverse(next)) = self.shared.due.peek() else { return IDLE_POLL_TIMEOUT };
-        let left = next.at.saturating_duration_since(Instant::now());
-        match left.checked_sub(MIN_POLL_TIMEOUT) {
+        let remaining = next.at.saturating_duration_since(Instant::now());
+        match remaining.checked_sub(MIN_POLL_TIMEOUT) {
             Some(rest) => Duration::from_millis(rest.as_millis() as u64).min(IDLE_POLL_TIMEOUT),
             None => Duration::ZERO,
         }
@@ -185,8 +185,8 @@
 
     fn sleep_until_due(&self) {
         let Some(Reverse(next)) = self.shared.due.peek() else { return };
-        let left = next.at.saturating_duration_since(Instant::now());
-        if left > MAX_SLEEP {
+        let remaining = next.at.saturating_duration_since(Instant::now());
+        if remaining > MAX_SLEEP {
             thread::sleep(MAX_SLEEP);
         }
     }
@@ -239,13 +239,13 @@
             NewRelay::Tcp { zone, mut listener, target } => {
                 registry
                     .register(&mut listener, token, Interest::READABLE)
-                    .expect("a listener cannot be registered");
+                    .expect("failed to register a listener");
                 entry.insert(Endpoint::Listener { zone, listener, target });
             }
             NewRelay::Udp { zone, mut socket, target } => {
                 registry
                     .register(&mut socket, token, Interest::READABLE)
-                    .expect("a socket cannot be registered");
+                    .expect("failed to register a socket");
                 let relay = self.datagrams.insert(DatagramRelay::new(zone, socket, target));
                 entry.insert(Endpoint::Datagrams(relay));
             }
--- a/crates/lab/src/standin/network/mod.rs
+++ b/crates/lab/src/standin/network/mod.rs
@@ -67,7 +67,7 @@
 
     fn number(&self, zone: &ZoneName) -> ZoneNumber {
         let found = self.zones.iter().position(|known| known == zone);
-        ZoneNumber(found.unwrap_or_else(|| panic!("{zone} is no zone of this network")))
+        ZoneNumber(found.unwrap_or_else(|| panic!("unknown zone {zone}")))
     }
 
     /// The address of a host in a zone. Host numbers start at 2; lower ones belong to the relays.
@@ -139,7 +139,7 @@
 
     /// Notifies the event loop of changed links.
     fn links_changed(&self) {
-        self.waker.wake().expect("the event loop of the network cannot be woken");
+        self.waker.wake().expect("failed to wake the event loop of the network");
     }
 
     /// Sets the one-way delay from one zone to another.
--- a/crates/lab/src/standin/network/streams.rs
+++ b/crates/lab/src/standin/network/streams.rs
@@ -190,7 +190,7 @@
     shared
         .registry
         .register(&mut stream, Shared::token(key), Interest::READABLE | Interest::WRITABLE)
-        .expect("a connection cannot be registered");
+        .expect("failed to register a connection");
     End { endpoint: key, stream }
 }
 
--- a/crates/lab/src/standin/store/contents.rs
+++ b/crates/lab/src/standin/store/contents.rs
@@ -189,7 +189,7 @@
     }
 
     /// Remaining time of a lease, or `None` if it does not exist.
-    pub fn time_left(&self, number: u64, now: Instant) -> Option<Duration> {
+    pub fn remaining_time(&self, number: u64, now: Instant) -> Option<Duration> {
         Some(self.leases.get(&number)?.expires.saturating_duration_since(now))
     }
 
--- a/crates/lab/src/standin/store/gateway.rs
+++ b/crates/lab/src/standin/store/gateway.rs
@@ -183,10 +183,11 @@
             false => Err(GatewayError::NO_LEASE),
         },
         "/v3/lease/timetolive" => {
-            let left = contents.time_left(number(body, "ID"), now);
-            let left = left.map_or("-1".to_owned(), |left| left.as_secs().to_string());
+            let remaining = contents.remaining_time(number(body, "ID"), now);
+            let remaining =
+                remaining.map_or("-1".to_owned(), |remaining| remaining.as_secs().to_string());
             Ok(
-                json!({ "header": header(contents), "ID": number(body, "ID").to_string(), "TTL": left }),
+                json!({ "header": header(contents), "ID": number(body, "ID").to_string(), "TTL": remaining }),
             )
         }
         "/v3/maintenance/status" => Ok(json!({ "header": header(contents), "version": "3.5.0" })),
@@ -208,17 +209,17 @@
         0 => count,
         limit => limit as usize,
     };
-    let mut answer = json!({ "header": header(contents), "count": count.to_string() });
+    let mut response = json!({ "header": header(contents), "count": count.to_string() });
     if flag(body, "count_only") {
-        return Ok(answer);
+        return Ok(response);
     }
     let described: Vec<Value> =
         found.iter().take(limit).map(|(key, entry)| key_value_json(key, entry)).collect();
-    answer["kvs"] = json!(described);
+    response["kvs"] = json!(described);
     if limit < count {
-        answer["more"] = json!(true);
+        response["more"] = json!(true);
     }
-    Ok(answer)
+    Ok(response)
 }
 
 fn put(contents: &mut Contents, body: &Value, revision: u64) -> GatewayResult {
@@ -228,11 +229,11 @@
     if !contents.put(key, value, number(body, "lease"), revision) {
         return Err(GatewayError::NO_LEASE);
     }
-    let mut answer = json!({ "header": header(contents) });
+    let mut response = json!({ "header": header(contents) });
     if let Some(previous) = previous.filter(|_| flag(body, "prev_kv")) {
-        answer["prev_kv"] = previous;
+        response["prev_kv"] = previous;
     }
-    Ok(answer)
+    Ok(response)
 }
 
 fn delete(contents: &mut Contents, body: &Value, revision: u64) -> GatewayResult {
@@ -267,7 +268,7 @@
         key_range(request)?;
         bytes(request, "value")?;
         let lease = number(request, "lease");
-        if lease != 0 && contents.time_left(lease, Instant::now()).is_none() {
+        if lease != 0 && contents.remaining_time(lease, Instant::now()).is_none() {
             return Err(GatewayError::NO_LEASE);
         }
     }
--- a/crates/lab/src/standin/store/key_calls.rs
+++ b/crates/lab/src/standin/store/key_calls.rs
@@ -16,13 +16,13 @@
 const BAD_REQUEST: u16 = 400;
 
 /// HTTP status and body of a response.
-type Answer = (u16, String);
+type CallResponse = (u16, String);
 
-fn success(body: String) -> Answer {
+fn success(body: String) -> CallResponse {
     (200, body)
 }
 
-fn failure(status: u16) -> Answer {
+fn failure(status: u16) -> CallResponse {
     (status, "{}".to_owned())
 }
 
@@ -39,9 +39,9 @@
             return self.wait_for_changes(prefix, *after, *wait);
         }
         let mut contents = self.contents();
-        let answer = execute(&mut contents, &call, Instant::now());
-        let is_success = answer.0 == 200;
-        let reply = reply(answer, &contents);
+        let response = execute(&mut contents, &call, Instant::now());
+        let is_success = response.0 == 200;
+        let reply = reply(response, &contents);
         drop(contents);
         self.changed.notify_all();
         match call.is_change() && is_success && self.faults().loses_response() {
@@ -61,8 +61,8 @@
             }
             let events = contents.events(&range, after + 1);
             if !events.is_empty() || Instant::now() >= end {
-                let answer = success(watch_answer(&events, contents.revision));
-                return reply(answer, &contents);
+                let response = success(watch_answer(&events, contents.revision));
+                return reply(response, &contents);
             }
             let waited = self.changed.wait_timeout(contents, WATCH_CHECK_INTERVAL);
             drop(waited.expect("a holder of the contents lock panicked"));
@@ -73,7 +73,7 @@
     }
 }
 
-fn reply((status, body): Answer, contents: &Contents) -> Reply {
+fn reply((status, body): CallResponse, contents: &Contents) -> Reply {
     Reply::Json { status, headers: vec![(ERA_HEADER, contents.era.to_string())], body }
 }
 
@@ -88,7 +88,7 @@
     KeyRange { start, end: Some(end) }
 }
 
-fn execute(contents: &mut Contents, call: &KeyCall, now: Instant) -> Answer {
+fn execute(contents: &mut Contents, call: &KeyCall, now: Instant) -> CallResponse {
     match call {
         KeyCall::Item { key } => match contents.get(key.as_bytes()) {
             Some(entry) => success(keys::item_answer(&stored_item(key, entry), contents.revision)),
@@ -112,7 +112,7 @@
     }
 }
 
-fn range(contents: &Contents, prefix: &str, after: Option<&str>) -> Answer {
+fn range(contents: &Contents, prefix: &str, after: Option<&str>) -> CallResponse {
     let found = contents.range(&range_of(prefix), None);
     let found: Vec<(String, Entry)> = found
         .into_iter()
@@ -124,7 +124,7 @@
     success(keys::range_answer(&items, found.len() > PAGE_ITEMS, contents.revision))
 }
 
-fn execute_change(contents: &mut Contents, change: &ChangeCall) -> Answer {
+fn execute_change(contents: &mut Contents, change: &ChangeCall) -> CallResponse {
     let is_unchanged = |(key, revision): &(String, u64)| {
         contents.get(key.as_bytes()).map_or(0, |entry| entry.modified) == *revision
     };
@@ -132,7 +132,7 @@
         return failure(CONDITION_FAILED);
     }
     let has_lost_lease = |(_, _, lease): &(String, Vec<u8>, u64)| {
-        *lease != 0 && contents.time_left(*lease, Instant::now()).is_none()
+        *lease != 0 && contents.remaining_time(*lease, Instant::now()).is_none()
     };
     if change.puts.iter().any(has_lost_lease) {
         return failure(NOT_FOUND);
--- a/crates/lab/src/standin/store/mod.rs
+++ b/crates/lab/src/standin/store/mod.rs
@@ -182,7 +182,7 @@
     pub fn position(&self) -> u64 {
         let contents = self.shared.contents();
         let position = StoreEra(contents.era).position(contents.revision);
-        position.expect("revisions of a stand-in are small")
+        position.expect("the revision does not fit into a position")
     }
 
     /// The request counters.
@@ -291,14 +291,14 @@
                 Err(error) => refuse(error),
             };
         }
-        let answer = gateway::handle(&mut self.contents(), &request.path, &body, Instant::now());
+        let response = gateway::handle(&mut self.contents(), &request.path, &body, Instant::now());
         self.changed.notify_all();
-        match answer {
+        match response {
             Err(error) => refuse(error),
             Ok(_) if gateway::is_change(&request.path) && self.faults().loses_response() => {
                 Reply::Reset
             }
-            Ok(answer) => Reply::ok(answer),
+            Ok(response) => Reply::ok(response),
         }
     }
 
