--- a/crates/lab/src/standin/group/ddl.rs
+++ b/crates/lab/src/standin/group/ddl.rs
@@ -47,7 +47,7 @@
         return Err(SqlError::new("42P07", format!("relation {name:?} already exists")).into());
     }
     let mut columns: Vec<Column> = create.columns.iter().map(column_of).collect();
-    let definition = Table::new(columns.clone().into(), &[]);
+    let table = Table::new(columns.clone().into(), &[]);
     let mut keys = Vec::new();
     for (position, definition) in create.columns.iter().enumerate() {
         if definition.options.iter().any(|option| is_key(&option.option)) {
@@ -56,8 +56,8 @@
     }
     for constraint in &create.constraints {
         let key = match constraint {
-            TableConstraint::PrimaryKey(primary) => positions(&definition, &primary.columns)?,
-            TableConstraint::Unique(unique) => positions(&definition, &unique.columns)?,
+            TableConstraint::PrimaryKey(primary) => positions(&table, &primary.columns)?,
+            TableConstraint::Unique(unique) => positions(&table, &unique.columns)?,
             _ => continue,
         };
         if matches!(constraint, TableConstraint::PrimaryKey(_)) {
@@ -73,11 +73,11 @@
     matches!(option, ColumnOption::PrimaryKey(_) | ColumnOption::Unique(_))
 }
 
-fn positions(definition: &Table, columns: &[IndexColumn]) -> Result<Vec<usize>, SqlError> {
+fn positions(table: &Table, columns: &[IndexColumn]) -> Result<Vec<usize>, SqlError> {
     columns
         .iter()
         .map(|column| match &column.column.expr {
-            Expr::Identifier(name) => column_index(definition, &name.value),
+            Expr::Identifier(name) => column_index(table, &name.value),
             other => Err(SqlError::unsupported(other)),
         })
         .collect()
--- a/crates/lab/src/standin/instances/session.rs
+++ b/crates/lab/src/standin/instances/session.rs
@@ -339,10 +339,10 @@
     fn read(&mut self, id: &str, row: &str, text: String) -> Outcome {
         self.wait_until_reads_allowed();
         let lag = self.shared.state().options.lag;
-        let own_write =
+        let own_writes =
             self.transaction.iter().flat_map(|transaction| transaction.writes.iter().rev());
         let own_write =
-            own_write.into_iter().find(|(written, _)| written == row).map(|(_, data)| data);
+            own_writes.into_iter().find(|(written, _)| written == row).map(|(_, data)| data);
         let data = match own_write {
             Some(data) => Some(data.clone()),
             None => {
