--- a/crates/lab/src/standin/group/functions.rs
+++ b/crates/lab/src/standin/group/functions.rs
@@ -1,18 +1,19 @@
-//! Operators and functions over text values.
+//! SQL operators and functions on values in text format.
 
 use std::cmp::Ordering;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use sqlparser::ast::BinaryOperator;
 
-use super::evaluate::{Scope, SqlError, truth};
+use super::evaluate::{Scope, SqlError, boolean};
 use super::tables::Value;
 use super::values::timestamp_text;
 
-/// Seconds from 1970-01-01 to 2000-01-01.
-const EPOCH_SECONDS: u64 = 946_684_800;
+/// Seconds from the Unix epoch to PostgreSQL's epoch, 2000-01-01.
+const POSTGRES_EPOCH_UNIX_SECONDS: u64 = 946_684_800;
 
-/// Compares two values: as numbers where both are, unless they are known to be text.
+/// Compares two values. Values that both parse as numbers compare numerically, unless `textual`
+/// says that an operand has type text.
 pub fn compare(left: &str, right: &str, textual: bool) -> Ordering {
     if textual {
         return left.cmp(right);
@@ -32,7 +33,7 @@
     })
 }
 
-/// Applies a binary operator other than AND and OR to values that are not null.
+/// Applies a binary operator other than AND and OR to two non-null values.
 pub fn binary(
     left: &str,
     operator: &BinaryOperator,
@@ -41,12 +42,12 @@
 ) -> Result<Value, SqlError> {
     let ordering = || compare(left, right, textual);
     match operator {
-        BinaryOperator::Eq => Ok(truth(ordering().is_eq())),
-        BinaryOperator::NotEq => Ok(truth(ordering().is_ne())),
-        BinaryOperator::Lt => Ok(truth(ordering().is_lt())),
-        BinaryOperator::LtEq => Ok(truth(ordering().is_le())),
-        BinaryOperator::Gt => Ok(truth(ordering().is_gt())),
-        BinaryOperator::GtEq => Ok(truth(ordering().is_ge())),
+        BinaryOperator::Eq => Ok(boolean(ordering().is_eq())),
+        BinaryOperator::NotEq => Ok(boolean(ordering().is_ne())),
+        BinaryOperator::Lt => Ok(boolean(ordering().is_lt())),
+        BinaryOperator::LtEq => Ok(boolean(ordering().is_le())),
+        BinaryOperator::Gt => Ok(boolean(ordering().is_gt())),
+        BinaryOperator::GtEq => Ok(boolean(ordering().is_ge())),
         BinaryOperator::StringConcat => Ok(Some(format!("{left}{right}"))),
         _ => arithmetic(number(left)?, operator, number(right)?),
     }
@@ -71,12 +72,12 @@
     }
 }
 
-/// Whether a function goes over a group of rows.
+/// Whether a function is an aggregate.
 pub fn is_aggregate(name: &str) -> bool {
     matches!(name, "count" | "sum" | "max" | "min")
 }
 
-/// Applies an aggregate function to the values that are not null.
+/// Applies an aggregate function to the non-null values of a group.
 pub fn aggregate(name: &str, values: &[String], textual: bool) -> Result<Value, SqlError> {
     match name {
         "count" => Ok(Some(values.len().to_string())),
@@ -94,7 +95,7 @@
     }
 }
 
-/// Whether a text matches a LIKE pattern.
+/// Whether `text` matches a LIKE pattern.
 pub fn like(text: &str, pattern: &str) -> bool {
     let mut rest = pattern.chars();
     match rest.next() {
@@ -113,11 +114,11 @@
     }
 }
 
-/// Calls a function that goes over one row.
+/// Calls a scalar function.
 pub fn call(scope: &Scope, name: &str, arguments: &[Value]) -> Result<Value, SqlError> {
     let state = scope.state;
     match (name, arguments) {
-        ("pg_is_in_recovery", []) => Ok(truth(!state.primary)),
+        ("pg_is_in_recovery", []) => Ok(boolean(!state.primary)),
         ("pg_current_wal_lsn" | "pg_current_wal_flush_lsn", []) if !state.primary => {
             Err(SqlError::new("55000", "recovery is in progress"))
         }
@@ -149,7 +150,7 @@
 
 fn now_micros() -> i64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.saturating_sub(Duration::from_secs(EPOCH_SECONDS)).as_micros() as i64
+    since.saturating_sub(Duration::from_secs(POSTGRES_EPOCH_UNIX_SECONDS)).as_micros() as i64
 }
 
 fn offset(value: u64) -> Value {
--- a/crates/lab/src/standin/group/rows.rs
+++ b/crates/lab/src/standin/group/rows.rs
@@ -1,61 +1,63 @@
-//! Finding the rows that a condition chooses, through a unique key where it names one whole.
+//! Finds the rows that satisfy a WHERE clause. Uses a unique key if the clause fixes all its
+//! columns, and scans the table otherwise.
 
 use sqlparser::ast::{BinaryOperator, Expr, Value as Literal};
 
 use super::evaluate::{Scope, SqlError, is_true};
 use super::overlay::NumberedRow;
 use super::tables::{Column, KeyValues, Table, Value};
-use super::transaction::Attempt;
+use super::transaction::ExecutionContext;
 use super::values::{TEXT, coerce};
 
-/// SQLSTATE of a name that is no column.
+/// SQLSTATE `undefined_column`.
 const UNDEFINED_COLUMN: &str = "42703";
 
-/// Rows of a table that satisfy a condition, in the order of their numbers.
-pub fn matching(
-    attempt: &Attempt,
+/// Rows of a table that satisfy a condition, in ascending order of row numbers.
+pub fn matching_rows(
+    context: &ExecutionContext,
     name: &str,
     selection: Option<&Expr>,
 ) -> Result<Vec<NumberedRow>, SqlError> {
-    let definition = attempt.overlay.table(attempt.state, name)?;
-    let chosen = |row: &[Value]| match selection {
+    let definition = context.overlay.table(context.state, name)?;
+    let is_match = |row: &[Value]| match selection {
         Some(condition) => {
-            let scope = Scope::over(attempt, &definition.columns, row);
+            let scope = Scope::for_row(context, &definition.columns, row);
             Ok(is_true(&scope.evaluate(condition)?))
         }
         None => Ok(true),
     };
     let mut found = Vec::new();
-    if let Some(lookup) = selection.map(|condition| key_lookup(attempt, definition, condition))
+    if let Some(lookup) = selection.map(|condition| key_lookup(context, definition, condition))
         && let Some((key, values)) = lookup?
     {
-        if let Some(candidate) = attempt.overlay.find(definition, name, key, &values)
-            && chosen(&candidate.row)?
+        if let Some(candidate) = context.overlay.find(definition, name, key, &values)
+            && is_match(&candidate.row)?
         {
             found.push(candidate);
         }
         return Ok(found);
     }
-    attempt.overlay.each_row(definition, name, |number, row| {
-        if chosen(row)? {
+    context.overlay.each_row(definition, name, |number, row| {
+        if is_match(row)? {
             found.push(NumberedRow { number, row: row.clone() });
         }
         Ok(())
     })?;
     if found.is_empty() {
-        check_names(attempt, &definition.columns, selection)?;
+        check_names(context, &definition.columns, selection)?;
     }
     Ok(found)
 }
 
-/// An error if an expression names what does not exist. Where there are rows, evaluation tells.
+/// Fails if an expression names a column that does not exist. Needed only if no row was found;
+/// otherwise the evaluation on a row reports the error.
 pub fn check_names<'a>(
-    attempt: &Attempt,
+    context: &ExecutionContext,
     columns: &[Column],
     expressions: impl IntoIterator<Item = &'a Expr>,
 ) -> Result<(), SqlError> {
     let nulls = vec![None; columns.len()];
-    let scope = Scope { group: Some(&[]), ..Scope::over(attempt, columns, &nulls) };
+    let scope = Scope { group: Some(&[]), ..Scope::for_row(context, columns, &nulls) };
     for expression in expressions {
         match scope.evaluate(expression) {
             Err(error) if error.state == UNDEFINED_COLUMN => return Err(error),
@@ -65,32 +67,33 @@
     Ok(())
 }
 
-/// The unique key and values that a condition demands, if it fixes all columns of one.
+/// The index of the first unique key whose columns the condition all compares with constants, and
+/// these constants.
 fn key_lookup(
-    attempt: &Attempt,
+    context: &ExecutionContext,
     definition: &Table,
     condition: &Expr,
 ) -> Result<Option<(usize, KeyValues)>, SqlError> {
-    let mut fixed: Vec<Value> = vec![None; definition.columns.len()];
-    collect_fixed(attempt, definition, condition, &mut fixed)?;
-    let whole = definition.keys.iter().position(|key| {
-        !key.columns.is_empty() && key.columns.iter().all(|column| fixed[*column].is_some())
+    let mut constants: Vec<Value> = vec![None; definition.columns.len()];
+    collect_constants(context, definition, condition, &mut constants)?;
+    let key_index = definition.keys.iter().position(|key| {
+        !key.columns.is_empty() && key.columns.iter().all(|column| constants[*column].is_some())
     });
-    Ok(whole.and_then(|index| Some((index, definition.keys[index].values_of(&fixed)?))))
+    Ok(key_index.and_then(|index| Some((index, definition.keys[index].values_of(&constants)?))))
 }
 
-/// Notes the columns that a conjunction compares with a constant.
-fn collect_fixed(
-    attempt: &Attempt,
+/// Collects the constants with which a conjunction compares columns for equality.
+fn collect_constants(
+    context: &ExecutionContext,
     definition: &Table,
     condition: &Expr,
-    fixed: &mut [Value],
+    constants: &mut [Value],
 ) -> Result<(), SqlError> {
     match condition {
-        Expr::Nested(inner) => collect_fixed(attempt, definition, inner, fixed),
+        Expr::Nested(inner) => collect_constants(context, definition, inner, constants),
         Expr::BinaryOp { left, op: BinaryOperator::And, right } => {
-            collect_fixed(attempt, definition, left, fixed)?;
-            collect_fixed(attempt, definition, right, fixed)
+            collect_constants(context, definition, left, constants)?;
+            collect_constants(context, definition, right, constants)
         }
         Expr::BinaryOp { left, op: BinaryOperator::Eq, right } => {
             let (column, constant) = match (column_position(definition, left), is_constant(right)) {
@@ -100,9 +103,10 @@
                     _ => return Ok(()),
                 },
             };
-            let value = Scope::over(attempt, &[], &[]).evaluate(constant)?;
-            // A value that is no value of the column's type is left to the comparison itself.
-            fixed[column] = coerce(value, definition.columns[column].type_id).unwrap_or(None);
+            let value = Scope::for_row(context, &[], &[]).evaluate(constant)?;
+            // If the constant is not valid for the column's type, no key is used and the
+            // comparison itself decides.
+            constants[column] = coerce(value, definition.columns[column].type_id).unwrap_or(None);
             Ok(())
         }
         _ => Ok(()),
@@ -127,7 +131,7 @@
     }
 }
 
-/// Position of a column by its name.
+/// Finds the position of a column by its name.
 pub fn column_index(definition: &Table, name: &str) -> Result<usize, SqlError> {
     let name = name.to_lowercase().replace('"', "");
     definition
@@ -137,7 +141,7 @@
         .ok_or_else(|| SqlError::new("42703", format!("column {name:?} does not exist")))
 }
 
-/// Type of the column at a position, text where there is none.
+/// Type of the column at `position`; text if there is no such column.
 pub fn type_at(definition: &Table, position: usize) -> u32 {
     definition.columns.get(position).map_or(TEXT, |column| column.type_id)
 }
--- a/crates/lab/src/standin/group/values.rs
+++ b/crates/lab/src/standin/group/values.rs
@@ -1,6 +1,6 @@
-//! Types of the published protocol, and their text and binary formats.
+//! PostgreSQL data types and their text and binary formats.
 //!
-//! Values are kept in PostgreSQL's text format; binary exists on the wire only.
+//! Tables store values in PostgreSQL's text format; the binary format is used on the wire only.
 
 use bytes::{BufMut, BytesMut};
 use sqlparser::ast::DataType;
@@ -8,35 +8,35 @@
 use super::evaluate::SqlError;
 use super::tables::Value;
 
-/// Type number of `boolean`.
+/// OID of type `boolean`.
 pub const BOOLEAN: u32 = 16;
-/// Type number of `bigint`.
+/// OID of type `bigint`.
 pub const BIGINT: u32 = 20;
-/// Type number of `integer`.
+/// OID of type `integer`.
 pub const INTEGER: u32 = 23;
-/// Type number of `text`.
+/// OID of type `text`.
 pub const TEXT: u32 = 25;
-/// Type number of `double precision`.
+/// OID of type `double precision`.
 pub const DOUBLE: u32 = 701;
-/// Type number of a literal whose type the context decides.
+/// OID of type `unknown`: a literal whose type depends on its context.
 pub const UNKNOWN: u32 = 705;
-/// Type number of `timestamp with time zone`.
+/// OID of type `timestamp with time zone`.
 pub const TIMESTAMP: u32 = 1184;
-/// Type number of `void`.
+/// OID of type `void`.
 pub const VOID: u32 = 2278;
 
-/// Format code of binary values; every other code means text.
+/// Format code of the binary format; every other code means text.
 pub const BINARY_FORMAT: i16 = 1;
 
-const MICROSECONDS_A_SECOND: i64 = 1_000_000;
-const SECONDS_A_DAY: i64 = 86_400;
+const MICROSECONDS_PER_SECOND: i64 = 1_000_000;
+const SECONDS_PER_DAY: i64 = 86_400;
 /// Days from 0000-03-01 to 2000-01-01 in the proleptic Gregorian calendar.
-const EPOCH_DAY: i64 = 730_425;
-const DAYS_IN_ERA: i64 = 146_097;
-const YEARS_IN_ERA: i64 = 400;
+const POSTGRES_EPOCH_DAY: i64 = 730_425;
+const DAYS_PER_ERA: i64 = 146_097;
+const YEARS_PER_ERA: i64 = 400;
 
-/// The type number of a declared type.
-pub fn type_number(declared: &DataType) -> u32 {
+/// OID of a declared type.
+pub fn type_oid(declared: &DataType) -> u32 {
     match declared {
         DataType::BigInt(_) | DataType::Int8(_) => BIGINT,
         DataType::Int(_) | DataType::Integer(_) | DataType::Int4(_) | DataType::SmallInt(_) => {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Bytes of a value of the type, or -1 where they vary.
+/// Size in bytes of a value of the type, or -1 if it varies.
 pub fn type_size(type_id: u32) -> i16 {
     match type_id {
         BOOLEAN => 1,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Checks a value for a column of the type and brings it to the form it is kept in.
+/// Validates a value for a column of the given type and converts it to its stored form.
 pub fn coerce(value: Value, type_id: u32) -> Result<Value, SqlError> {
     let Some(text) = value else { return Ok(None) };
     let invalid = |name: &str| {
@@ -82,7 +82,7 @@
     Ok(Some(text))
 }
 
-/// Reads a parameter as the wire carries it.
+/// Decodes a bind parameter from its wire format.
 pub fn decode_parameter(bytes: &[u8], type_id: u32, format: i16) -> Result<Value, SqlError> {
     let malformed = || SqlError::new("22P03", "incorrect binary data format in bind parameter");
     if format != BINARY_FORMAT {
@@ -105,7 +105,7 @@
     Ok(Some(text))
 }
 
-/// Appends a value with its length, as a data row carries it.
+/// Appends a value with its length prefix, as in a DataRow message.
 pub fn encode_value(value: &Value, type_id: u32, format: i16, output: &mut BytesMut) {
     let Some(text) = value else { return output.put_i32(-1) };
     if format != BINARY_FORMAT {
@@ -128,20 +128,20 @@
     output.put_slice(bytes);
 }
 
-/// Text of a moment given in microseconds since 2000-01-01 UTC.
+/// Formats a timestamp given in microseconds since PostgreSQL's epoch, 2000-01-01 UTC.
 pub fn timestamp_text(micros: i64) -> String {
-    let seconds = micros.div_euclid(MICROSECONDS_A_SECOND);
-    let fraction = micros.rem_euclid(MICROSECONDS_A_SECOND);
-    let day = seconds.div_euclid(SECONDS_A_DAY) + EPOCH_DAY;
-    let second = seconds.rem_euclid(SECONDS_A_DAY);
-    let era = day.div_euclid(DAYS_IN_ERA);
-    let of_era = day.rem_euclid(DAYS_IN_ERA);
+    let seconds = micros.div_euclid(MICROSECONDS_PER_SECOND);
+    let fraction = micros.rem_euclid(MICROSECONDS_PER_SECOND);
+    let day = seconds.div_euclid(SECONDS_PER_DAY) + POSTGRES_EPOCH_DAY;
+    let second = seconds.rem_euclid(SECONDS_PER_DAY);
+    let era = day.div_euclid(DAYS_PER_ERA);
+    let of_era = day.rem_euclid(DAYS_PER_ERA);
     let year_of_era = (of_era - of_era / 1460 + of_era / 36_524 - of_era / 146_096) / 365;
     let of_year = of_era - (365 * year_of_era + year_of_era / 4 - year_of_era / 100);
     let shifted_month = (5 * of_year + 2) / 153;
     let day_of_month = of_year - (153 * shifted_month + 2) / 5 + 1;
     let month = if shifted_month < 10 { shifted_month + 3 } else { shifted_month - 9 };
-    let year = year_of_era + era * YEARS_IN_ERA + i64::from(month <= 2);
+    let year = year_of_era + era * YEARS_PER_ERA + i64::from(month <= 2);
     format!(
         "{year:04}-{month:02}-{day_of_month:02} {:02}:{:02}:{:02}.{fraction:06}+00",
         second / 3600,
@@ -161,14 +161,14 @@
     let minute: i64 = parts.next()?.parse().ok()?;
     let (second, fraction) = seconds_and_fraction(parts.next().unwrap_or("0"))?;
     let shifted_year = year - i64::from(month <= 2);
-    let era = shifted_year.div_euclid(YEARS_IN_ERA);
-    let year_of_era = shifted_year.rem_euclid(YEARS_IN_ERA);
+    let era = shifted_year.div_euclid(YEARS_PER_ERA);
+    let year_of_era = shifted_year.rem_euclid(YEARS_PER_ERA);
     let shifted_month = if month > 2 { month - 3 } else { month + 9 };
     let of_year = (153 * shifted_month + 2) / 5 + day - 1;
     let of_era = year_of_era * 365 + year_of_era / 4 - year_of_era / 100 + of_year;
-    let days = era * DAYS_IN_ERA + of_era - EPOCH_DAY;
-    let seconds = days * SECONDS_A_DAY + hour * 3600 + minute * 60 + second;
-    Some(seconds * MICROSECONDS_A_SECOND + fraction)
+    let days = era * DAYS_PER_ERA + of_era - POSTGRES_EPOCH_DAY;
+    let seconds = days * SECONDS_PER_DAY + hour * 3600 + minute * 60 + second;
+    Some(seconds * MICROSECONDS_PER_SECOND + fraction)
 }
 
 fn seconds_and_fraction(text: &str) -> Option<(i64, i64)> {
--- a/crates/lab/src/standin/store/gateway.rs
+++ b/crates/lab/src/standin/store/gateway.rs
@@ -1,4 +1,4 @@
-//! The JSON of etcd's v3 gateway: requests to calls on the contents, and answers.
+//! JSON API of etcd's v3 gateway: executes requests on the contents and encodes the responses.
 
 use std::time::{Duration, Instant};
 
@@ -11,23 +11,23 @@
 const COMPACTED: &str = "etcdserver: mvcc: required revision has been compacted";
 const FUTURE: &str = "etcdserver: mvcc: required revision is a future revision";
 
-/// An error as the gateway tells it.
+/// An error response of the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayError {
     /// HTTP status.
     pub status: u16,
-    /// gRPC code.
+    /// gRPC status code.
     pub code: u16,
     /// Message.
     pub message: &'static str,
 }
 
 impl GatewayError {
-    /// A request that cannot be read.
+    /// The request cannot be parsed.
     pub const MALFORMED: Self = Self { status: 400, code: 3, message: "malformed request" };
-    /// A path that is not served.
+    /// The path is not supported.
     pub const UNKNOWN: Self = Self { status: 404, code: 5, message: "Not Found" };
-    /// Too many requests.
+    /// The request exceeds the rate limit.
     pub const RATE: Self = Self { status: 429, code: 8, message: "etcdserver: too many requests" };
     const NO_LEASE: Self =
         Self { status: 404, code: 5, message: "etcdserver: requested lease not found" };
@@ -36,15 +36,16 @@
     const OLD_REVISION: Self = Self { status: 400, code: 11, message: COMPACTED };
     const FUTURE_REVISION: Self = Self { status: 400, code: 11, message: FUTURE };
 
-    /// Its JSON.
+    /// Body of the response.
     pub fn body(&self) -> String {
         json!({ "error": self.message, "code": self.code, "message": self.message }).to_string()
     }
 }
 
-type Answer = Result<Value, GatewayError>;
+type GatewayResult = Result<Value, GatewayError>;
 
-/// A field by its name in the published form, or in the form that some clients send.
+/// Looks up a field by its name in snake case, as published, or in camel case, as some clients
+/// send it.
 fn field<'a>(value: &'a Value, name: &str) -> Option<&'a Value> {
     value.get(name).or_else(|| {
         let mut parts = name.split('_');
@@ -74,7 +75,7 @@
     field(value, name).and_then(Value::as_bool).unwrap_or(false)
 }
 
-/// The range that a request names.
+/// Parses the key range of a request.
 pub fn key_range(value: &Value) -> Result<KeyRange, GatewayError> {
     let start = bytes(value, "key")?.ok_or(GatewayError::MALFORMED)?;
     Ok(KeyRange { start, end: bytes(value, "range_end")? })
@@ -84,7 +85,7 @@
     json!({ "cluster_id": "1", "member_id": "1", "revision": contents.revision.to_string(), "raft_term": "1" })
 }
 
-fn describe(key: &[u8], entry: &Entry) -> Value {
+fn key_value_json(key: &[u8], entry: &Entry) -> Value {
     let mut described = json!({
         "key": STANDARD.encode(key),
         "create_revision": entry.created.to_string(),
@@ -98,33 +99,33 @@
     described
 }
 
-/// An event as a watch carries it.
-pub fn describe_event(event: &Event, with_previous: bool) -> Value {
+/// Encodes an event of a watch.
+pub fn event_json(event: &Event, with_previous: bool) -> Value {
     let mut described = match &event.entry {
-        Some(entry) => json!({ "kv": describe(&event.key, entry) }),
+        Some(entry) => json!({ "kv": key_value_json(&event.key, entry) }),
         None => json!({
             "type": "DELETE",
             "kv": { "key": STANDARD.encode(&event.key), "mod_revision": event.revision.to_string() },
         }),
     };
     if let Some(previous) = event.previous.as_ref().filter(|_| with_previous) {
-        described["prev_kv"] = describe(&event.key, previous);
+        described["prev_kv"] = key_value_json(&event.key, previous);
     }
     described
 }
 
-/// A watch as a client asks for it.
+/// A request to create a watch.
 #[derive(Clone, Debug)]
 pub struct WatchRequest {
-    /// Keys.
+    /// Keys to watch.
     pub range: KeyRange,
-    /// First revision wanted; zero for those to come.
+    /// First revision to send; zero for future changes only.
     pub start: u64,
-    /// Whether events carry what the key was before.
+    /// Whether events include the previous entry.
     pub with_previous: bool,
 }
 
-/// Reads a watch request.
+/// Parses a watch request.
 pub fn watch_request(body: &Value) -> Result<WatchRequest, GatewayError> {
     let create = field(body, "create_request").ok_or(GatewayError::MALFORMED)?;
     Ok(WatchRequest {
@@ -139,7 +140,7 @@
     json!({ "result": { "header": header(contents), "created": true } })
 }
 
-/// The only message of a watch whose history is gone.
+/// The only message of a watch whose start revision is compacted.
 pub fn watch_compacted(contents: &Contents) -> Value {
     json!({ "result": {
         "header": header(contents),
@@ -150,20 +151,19 @@
     } })
 }
 
-/// A message with events.
+/// A watch message with events.
 pub fn watch_events(contents: &Contents, events: &[Event], with_previous: bool) -> Value {
-    let events: Vec<Value> =
-        events.iter().map(|event| describe_event(event, with_previous)).collect();
+    let events: Vec<Value> = events.iter().map(|event| event_json(event, with_previous)).collect();
     json!({ "result": { "header": header(contents), "events": events } })
 }
 
-/// Whether a path may change something.
+/// Whether requests to a path may change the contents.
 pub fn is_change(path: &str) -> bool {
     !matches!(path, "/v3/kv/range" | "/v3/watch" | "/v3/lease/timetolive")
 }
 
-/// Handles a request other than a watch.
-pub fn handle(contents: &mut Contents, path: &str, body: &Value, now: Instant) -> Answer {
+/// Handles a request that is not a watch.
+pub fn handle(contents: &mut Contents, path: &str, body: &Value, now: Instant) -> GatewayResult {
     match path {
         "/v3/kv/range" => range(contents, body),
         "/v3/kv/put" => {
@@ -183,10 +183,11 @@
             false => Err(GatewayError::NO_LEASE),
         },
         "/v3/lease/timetolive" => {
-            let left = contents.time_left(number(body, "ID"), now);
-            let left = left.map_or("-1".to_owned(), |left| left.as_secs().to_string());
+            let remaining = contents.remaining_time(number(body, "ID"), now);
+            let remaining =
+                remaining.map_or("-1".to_owned(), |remaining| remaining.as_secs().to_string());
             Ok(
-                json!({ "header": header(contents), "ID": number(body, "ID").to_string(), "TTL": left }),
+                json!({ "header": header(contents), "ID": number(body, "ID").to_string(), "TTL": remaining }),
             )
         }
         "/v3/maintenance/status" => Ok(json!({ "header": header(contents), "version": "3.5.0" })),
@@ -194,7 +195,7 @@
     }
 }
 
-fn range(contents: &Contents, body: &Value) -> Answer {
+fn range(contents: &Contents, body: &Value) -> GatewayResult {
     let at = number(body, "revision");
     if at > contents.revision {
         return Err(GatewayError::FUTURE_REVISION);
@@ -208,56 +209,56 @@
         0 => count,
         limit => limit as usize,
     };
-    let mut answer = json!({ "header": header(contents), "count": count.to_string() });
+    let mut response = json!({ "header": header(contents), "count": count.to_string() });
     if flag(body, "count_only") {
-        return Ok(answer);
+        return Ok(response);
     }
     let described: Vec<Value> =
-        found.iter().take(limit).map(|(key, entry)| describe(key, entry)).collect();
-    answer["kvs"] = json!(described);
+        found.iter().take(limit).map(|(key, entry)| key_value_json(key, entry)).collect();
+    response["kvs"] = json!(described);
     if limit < count {
-        answer["more"] = json!(true);
+        response["more"] = json!(true);
     }
-    Ok(answer)
+    Ok(response)
 }
 
-fn put(contents: &mut Contents, body: &Value, revision: u64) -> Answer {
+fn put(contents: &mut Contents, body: &Value, revision: u64) -> GatewayResult {
     let key = bytes(body, "key")?.ok_or(GatewayError::MALFORMED)?;
     let value = bytes(body, "value")?.unwrap_or_default();
-    let previous = contents.get(&key).map(|entry| describe(&key, entry));
+    let previous = contents.get(&key).map(|entry| key_value_json(&key, entry));
     if !contents.put(key, value, number(body, "lease"), revision) {
         return Err(GatewayError::NO_LEASE);
     }
-    let mut answer = json!({ "header": header(contents) });
+    let mut response = json!({ "header": header(contents) });
     if let Some(previous) = previous.filter(|_| flag(body, "prev_kv")) {
-        answer["prev_kv"] = previous;
+        response["prev_kv"] = previous;
     }
-    Ok(answer)
+    Ok(response)
 }
 
-fn delete(contents: &mut Contents, body: &Value, revision: u64) -> Answer {
+fn delete(contents: &mut Contents, body: &Value, revision: u64) -> GatewayResult {
     let deleted = contents.delete(&key_range(body)?, revision);
     Ok(json!({ "header": header(contents), "deleted": deleted.to_string() }))
 }
 
-fn transaction(contents: &mut Contents, body: &Value) -> Answer {
+fn transaction(contents: &mut Contents, body: &Value) -> GatewayResult {
     let empty = Vec::new();
     let list = |name: &str| field(body, name).and_then(Value::as_array).unwrap_or(&empty);
     let mut succeeded = true;
     for compare in list("compare") {
-        succeeded &= holds(contents, compare)?;
+        succeeded &= comparison_holds(contents, compare)?;
     }
     let operations = list(if succeeded { "success" } else { "failure" });
     check_operations(contents, operations)?;
     let revision = contents.revision + 1;
     let mut responses = Vec::with_capacity(operations.len());
     for operation in operations {
-        responses.push(operate(contents, operation, revision)?);
+        responses.push(execute_operation(contents, operation, revision)?);
     }
     Ok(json!({ "header": header(contents), "succeeded": succeeded, "responses": responses }))
 }
 
-/// Refuses a transaction whole before it changes anything.
+/// Validates all operations of a transaction before any of them takes effect.
 fn check_operations(contents: &Contents, operations: &[Value]) -> Result<(), GatewayError> {
     for operation in operations {
         let request = ["request_put", "request_range", "request_delete_range"]
@@ -267,14 +268,14 @@
         key_range(request)?;
         bytes(request, "value")?;
         let lease = number(request, "lease");
-        if lease != 0 && contents.time_left(lease, Instant::now()).is_none() {
+        if lease != 0 && contents.remaining_time(lease, Instant::now()).is_none() {
             return Err(GatewayError::NO_LEASE);
         }
     }
     Ok(())
 }
 
-fn operate(contents: &mut Contents, operation: &Value, revision: u64) -> Answer {
+fn execute_operation(contents: &mut Contents, operation: &Value, revision: u64) -> GatewayResult {
     if let Some(request) = field(operation, "request_put") {
         return Ok(json!({ "response_put": put(contents, request, revision)? }));
     }
@@ -285,7 +286,7 @@
     Ok(json!({ "response_range": range(contents, request)? }))
 }
 
-fn holds(contents: &Contents, compare: &Value) -> Result<bool, GatewayError> {
+fn comparison_holds(contents: &Contents, compare: &Value) -> Result<bool, GatewayError> {
     let key = bytes(compare, "key")?.ok_or(GatewayError::MALFORMED)?;
     let entry = contents.get(&key);
     let target = field(compare, "target").and_then(Value::as_str).unwrap_or("VERSION");
@@ -309,7 +310,7 @@
     }
 }
 
-fn compact(contents: &mut Contents, body: &Value) -> Answer {
+fn compact(contents: &mut Contents, body: &Value) -> GatewayResult {
     let revision = number(body, "revision");
     if revision > contents.revision {
         return Err(GatewayError::FUTURE_REVISION);
@@ -320,14 +321,14 @@
     }
 }
 
-fn grant(contents: &mut Contents, body: &Value, now: Instant) -> Answer {
+fn grant(contents: &mut Contents, body: &Value, now: Instant) -> GatewayResult {
     let seconds = number(body, "TTL").max(1);
     let granted = contents.grant(number(body, "ID"), Duration::from_secs(seconds), now);
     let number = granted.ok_or(GatewayError::LEASE_EXISTS)?;
     Ok(json!({ "header": header(contents), "ID": number.to_string(), "TTL": seconds.to_string() }))
 }
 
-fn keep_alive(contents: &mut Contents, body: &Value, now: Instant) -> Answer {
+fn keep_alive(contents: &mut Contents, body: &Value, now: Instant) -> GatewayResult {
     let id = number(body, "ID");
     let lifetime = contents.keep_alive(id, now).unwrap_or_default();
     Ok(json!({ "result": {
