--- a/crates/core/tests/replacement/node.rs
+++ b/crates/core/tests/replacement/node.rs
@@ -1,4 +1,5 @@
-//! One node: what it believes, suspects and does.
+//! One node: its copy of the store's state, its evidence of the primary, its suspicions, and its
+//! state as coordinator.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,61 +22,62 @@
 use kestrellock_core::suspicion::{FailureDetector, HealthSignals};
 
 use crate::checker::CommitId;
-use crate::returns::{Keys, complete, installed_of, intents_of};
+use crate::returns::{Keys, last_promoted_in, merge_keys, unfinished_intents};
 use crate::store::{Announced, node_name};
 
-/// How it replicates.
-pub const GROUP: Replication = Replication { synchronous: 1, instances: 3 };
+/// Replication of the simulated group.
+pub const REPLICATION: Replication = Replication { synchronous: 1, instances: 3 };
 
-/// The one group.
+/// The name of the only group.
 pub fn group_name() -> GroupName {
     GroupName::new("orders")
 }
 
-/// The name of an instance.
+/// The name of the instance with this index.
 pub fn instance_name(instance: usize) -> InstanceName {
     InstanceName::new(format!("i-{instance}"))
 }
 
-/// The number of an instance.
+/// The index of the instance with this name.
 pub fn instance_number(name: &InstanceName) -> usize {
-    name.as_str().trim_start_matches("i-").parse().expect("an instance of the simulation")
+    name.as_str().trim_start_matches("i-").parse().expect("not the name of a simulated instance")
 }
 
-/// The right to act, and what is done with it.
-pub struct Acting {
-    /// Its fence.
+/// State of a node that holds the coordinator lease.
+pub struct CoordinatorState {
+    /// Its fencing token.
     pub fence: u64,
-    /// Until when it surely lasts.
-    pub until: u64,
-    /// Whether it is being prolonged.
+    /// The lease is certainly valid until this time.
+    pub lease_until: u64,
+    /// Whether a renewal of the lease is in flight.
     pub renewing: bool,
-    /// The attempt under way.
+    /// The current attempt.
     pub attempt: Option<Attempt>,
-    /// Attempts begun.
-    pub begun: u32,
-    /// When the last one ended.
-    pub ended: Option<u64>,
+    /// Number of attempts started under this lease.
+    pub attempts_started: u32,
+    /// When the last attempt ended.
+    pub last_attempt_ended: Option<u64>,
     /// Nodes that the store listed when the last intent was recorded.
-    pub listed: Vec<NodeName>,
-    /// When the intent of the attempt was first known to be recorded.
-    pub recorded: Option<u64>,
-    /// When the other nodes were last told of it.
-    pub told: Option<u64>,
+    pub nodes_at_intent: Vec<NodeName>,
+    /// When the coordinator learned that the intent of the attempt is recorded.
+    pub intent_recorded_at: Option<u64>,
+    /// When the other nodes were last notified of the replacement.
+    pub notified_at: Option<u64>,
 }
 
-/// A commit that its primary has answered, and that is not acknowledged yet.
+/// A commit that the primary has answered, but that the node has not acknowledged to its client
+/// yet.
 #[derive(Clone, Copy, Debug)]
-pub struct Unconfirmed {
+pub struct UnconfirmedCommit {
     /// The commit.
     pub commit: CommitId,
-    /// The primary.
+    /// Index of the primary.
     pub instance: usize,
-    /// Its term.
+    /// Term of the primary.
     pub term: Term,
-    /// When it was sent.
+    /// When the commit was sent to the primary.
     pub sent: Instant,
-    /// When the answer came.
+    /// When the primary's answer arrived.
     pub answered: Instant,
 }
 
@@ -83,89 +85,90 @@
 pub struct Node {
     /// Its number.
     pub number: usize,
-    /// Whether it runs.
+    /// Whether its process is running.
     pub alive: bool,
-    /// Whether it stands still.
+    /// Whether its process is suspended.
     pub frozen: bool,
-    /// Process of that number: answers to earlier ones are nobody's.
+    /// Number of its process; answers to earlier processes are dropped.
     pub process: u64,
-    /// What the store said last.
+    /// State of replacements as the store last showed it, completed with remembered keys.
     pub view: CoordinationView,
-    /// Its era, as this node has seen it.
+    /// The store era as this node has observed it.
     pub era: StoreEraTracker,
-    /// The newest era that any answer has told.
+    /// The newest era in any answer of the store.
     pub newest_era: StoreEra,
-    /// What nodes have written of replacements, as the store said last.
+    /// What nodes have written about replacements, as the store last showed it.
     keys: Keys,
-    /// The same of before the store came back from a copy.
-    remembered: Keys,
-    /// Whether the store may lack what this node remembers.
+    /// The same from before the last store restore.
+    remembered_keys: Keys,
+    /// Whether the store may lack records that this node remembers.
     pub writes_back: bool,
-    /// When it last recorded something again.
-    pub wrote_back: u64,
-    /// Until when a hold would have lasted that the store has lost: nobody else can have the right yet.
-    pub retake_until: u64,
-    /// The configuration by that.
+    /// When the node last wrote a lost record back.
+    pub wrote_back_at: u64,
+    /// When the lease that the store has lost would have expired; until then no other node can
+    /// become coordinator.
+    pub reacquire_until: u64,
+    /// The catalog that results from the view.
     pub catalog: IndexedCatalog,
-    /// Whether it has come since the node last followed it.
+    /// Whether the catalog has not been applied to the known instances yet.
     catalog_is_new: bool,
-    /// Replacements that it has heard of.
+    /// Replacements that the node has learned of.
     pub replacements: KnownReplacements,
-    /// Evidence of the primary.
+    /// Evidence that the primary has not been replaced.
     pub evidence: PrimaryEvidence,
-    /// Commits whose answers have come, and that replicas have yet to confirm.
-    pub unconfirmed: Vec<Unconfirmed>,
-    /// Term of each instance, by its own word.
+    /// Answered commits that replicas have not confirmed yet.
+    pub unconfirmed_commits: Vec<UnconfirmedCommit>,
+    /// Last reported term of each instance.
     pub terms: BTreeMap<usize, Term>,
-    /// Requests that wait, by number: instance, when sent, whether they commit.
-    pub waiting: BTreeMap<u64, (usize, Instant, bool)>,
+    /// Unanswered requests by number: instance, time of sending, whether it is a commit.
+    pub pending_requests: BTreeMap<u64, (usize, Instant, bool)>,
     /// When each instance last answered or refused.
-    pub answered: BTreeMap<usize, Instant>,
+    pub last_answers: BTreeMap<usize, Instant>,
     /// When each instance last answered a commit.
-    pub committed: BTreeMap<usize, Instant>,
-    /// Process of each instance that connections lead to.
-    pub runs_known: BTreeMap<usize, u32>,
+    pub last_commits: BTreeMap<usize, Instant>,
+    /// Process of each instance that the node's connections lead to.
+    pub known_processes: BTreeMap<usize, u32>,
     /// Since when each instance has refused connections.
-    pub refused: BTreeMap<usize, Instant>,
-    /// The instance that it took for the primary when it last looked.
-    pub followed: Option<usize>,
-    judge: FailureDetector,
-    needs_judge: NeedsEvaluator,
-    /// The instances.
-    pub known: KnownInstances,
-    /// What it suspects.
+    pub refused_since: BTreeMap<usize, Instant>,
+    /// The instance that was the primary in this node's view at its last step.
+    pub last_leader: Option<usize>,
+    failure_detector: FailureDetector,
+    needs_evaluator: NeedsEvaluator,
+    /// What the node knows of the instances' incarnations and refills.
+    pub known_instances: KnownInstances,
+    /// The node's suspicions.
     pub votes: NodeVotes,
-    /// The right to act, if it has it.
-    pub acting: Option<Acting>,
-    /// Whether it is asking for it.
+    /// Its state as coordinator, if it holds the lease.
+    pub coordinator: Option<CoordinatorState>,
+    /// Whether a request for the coordinator lease is in flight.
     pub acquiring: bool,
     needed_since: Option<u64>,
-    /// Nodes that have given their evidence up, and what they know.
-    pub given_up: BTreeMap<ReplacementId, RestartReports>,
-    /// Positions that the primary has told it.
-    pub heard: PrimarySamples,
-    /// When it last told a holder.
-    pub told: u64,
-    /// When the last question for evidence was sent.
-    pub questioned: u64,
-    /// When it last looked at the store.
-    pub looked: u64,
-    /// When it last told old primaries to step down.
-    pub demoted: u64,
-    /// When it last asked instances that have started again.
-    pub asked_refills: u64,
-    /// When it started, if it was not there from the beginning.
-    pub started: u64,
-    /// When it last tried to enter itself.
-    pub entered: u64,
-    /// The entries of nodes that it has read.
-    pub others: Vec<NodeName>,
-    /// When it read them.
-    pub others_read: u64,
+    /// Reports of the nodes that have revoked their evidence, by replacement.
+    pub revocation_reports: BTreeMap<ReplacementId, RestartReports>,
+    /// Positions that the primary has reported.
+    pub primary_samples: PrimarySamples,
+    /// When it last reported to a coordinator.
+    pub reported_at: u64,
+    /// When it last queried the instances for evidence.
+    pub status_queried_at: u64,
+    /// When it last sent a replacement check to the store.
+    pub replacement_checked_at: u64,
+    /// When it last sent demotions to old primaries.
+    pub demotions_sent_at: u64,
+    /// When it last queried restarted instances.
+    pub refills_queried_at: u64,
+    /// When it started; zero for nodes that run from the beginning.
+    pub started_at: u64,
+    /// When it last tried to register.
+    pub registration_sent_at: u64,
+    /// Registered nodes as last read.
+    pub listed_nodes: Vec<NodeName>,
+    /// When it last read the registered nodes.
+    pub listed_nodes_read_at: u64,
 }
 
 impl Node {
-    /// A node that has just started.
+    /// Creates a node that has just started.
     pub fn new(number: usize, process: u64) -> Self {
         Self {
             number,
@@ -176,61 +179,61 @@
             era: StoreEraTracker::default(),
             newest_era: StoreEra::default(),
             keys: Keys::new(),
-            remembered: Keys::new(),
+            remembered_keys: Keys::new(),
             writes_back: false,
-            wrote_back: 0,
-            retake_until: 0,
+            wrote_back_at: 0,
+            reacquire_until: 0,
             catalog: IndexedCatalog::default(),
             catalog_is_new: false,
             replacements: KnownReplacements::default(),
             evidence: PrimaryEvidence::default(),
-            unconfirmed: Vec::new(),
+            unconfirmed_commits: Vec::new(),
             terms: BTreeMap::new(),
-            waiting: BTreeMap::new(),
-            answered: BTreeMap::new(),
-            committed: BTreeMap::new(),
-            refused: BTreeMap::new(),
-            runs_known: BTreeMap::new(),
-            followed: None,
-            judge: FailureDetector::default(),
-            needs_judge: NeedsEvaluator::default(),
-            known: KnownInstances::default(),
+            pending_requests: BTreeMap::new(),
+            last_answers: BTreeMap::new(),
+            last_commits: BTreeMap::new(),
+            refused_since: BTreeMap::new(),
+            known_processes: BTreeMap::new(),
+            last_leader: None,
+            failure_detector: FailureDetector::default(),
+            needs_evaluator: NeedsEvaluator::default(),
+            known_instances: KnownInstances::default(),
             votes: NodeVotes::new(),
-            acting: None,
+            coordinator: None,
             acquiring: false,
             needed_since: None,
-            given_up: BTreeMap::new(),
-            heard: PrimarySamples::default(),
-            told: 0,
-            questioned: 0,
-            looked: 0,
-            demoted: 0,
-            asked_refills: 0,
-            started: 0,
-            entered: 0,
-            others: Vec::new(),
-            others_read: 0,
+            revocation_reports: BTreeMap::new(),
+            primary_samples: PrimarySamples::default(),
+            reported_at: 0,
+            status_queried_at: 0,
+            replacement_checked_at: 0,
+            demotions_sent_at: 0,
+            refills_queried_at: 0,
+            started_at: 0,
+            registration_sent_at: 0,
+            listed_nodes: Vec::new(),
+            listed_nodes_read_at: 0,
         }
     }
 
-    /// Whether its copy of the store shows that it has entered itself.
-    pub fn is_listed_by_its_copy(&self) -> bool {
+    /// Whether its copy of the store shows its own registration.
+    pub fn is_listed_in_own_view(&self) -> bool {
         self.view.nodes.contains(&node_name(self.number))
     }
 
-    /// It has watched the instances since `started`.
+    /// Makes the node one that has watched the instances since `started`.
     pub fn has_watched_since(&mut self, announced: &[Announced], started: Instant) {
         let catalog = catalog(0, announced, None);
-        self.known.apply_catalog(&catalog, started);
+        self.known_instances.apply_catalog(&catalog, started);
     }
 
-    /// Whether it does anything now.
-    pub fn runs(&self) -> bool {
+    /// Whether the node makes progress now.
+    pub fn is_running(&self) -> bool {
         self.alive && !self.frozen
     }
 
-    /// Takes in what the store says now.
-    pub fn see(
+    /// Applies a newer state of the store.
+    pub fn apply_view(
         &mut self,
         mut view: CoordinationView,
         announced: &[Announced],
@@ -242,31 +245,32 @@
         }
         self.newest_era = self.newest_era.max(view.era);
         if self.era.observe(view.era, now) {
-            self.remembered = complete(&self.keys, &self.remembered);
+            self.remembered_keys = merge_keys(&self.keys, &self.remembered_keys);
             self.writes_back = true;
         }
         self.keys = keys;
-        let known = complete(&self.keys, &self.remembered);
-        view.intents = intents_of(&known);
-        let installed = installed_of(&known);
-        let installed = installed.as_ref();
-        view.promoted = installed.map(|one| (group_name(), one.clone())).into_iter().collect();
-        if let Some(term) = installed.and_then(|installed| installed.term) {
+        let known = merge_keys(&self.keys, &self.remembered_keys);
+        view.intents = unfinished_intents(&known);
+        let last_promoted = last_promoted_in(&known);
+        let last_promoted = last_promoted.as_ref();
+        view.promoted =
+            last_promoted.map(|successor| (group_name(), successor.clone())).into_iter().collect();
+        if let Some(term) = last_promoted.and_then(|last_promoted| last_promoted.term) {
             self.evidence.on_term_led(term);
         }
         self.replacements.update_from_store(&view.intents, now);
         self.follow_replacements();
-        self.catalog = catalog(view.revision, announced, installed);
+        self.catalog = catalog(view.revision, announced, last_promoted);
         self.catalog_is_new = true;
         self.view = view;
     }
 
-    /// The replacement of the group that it has heard of.
+    /// The intent of the active replacement that the node has learned of.
     pub fn intent(&self) -> Option<Intent> {
         active_intents(&self.replacements.intents()).remove(&group_name())
     }
 
-    /// Gives its evidence up while it has heard of a replacement.
+    /// Revokes the evidence while the node knows of an active replacement.
     fn follow_replacements(&mut self) {
         match self.intent() {
             Some(intent) => self.evidence.revoke(intent.id),
@@ -274,14 +278,14 @@
         }
     }
 
-    /// A holder says that a replacement is under way.
-    pub fn on_under_way(&mut self, intent: Intent, age: Duration, now: Instant) {
+    /// Handles a coordinator's notification of an active replacement.
+    pub fn on_replacement_notified(&mut self, intent: Intent, age: Duration, now: Instant) {
         self.replacements.on_notification(&group_name(), intent, age, now);
         self.follow_replacements();
     }
 
-    /// A holder says that a replacement is over.
-    pub fn on_over(&mut self, id: ReplacementId, successor: Option<&Successor>) {
+    /// Handles a coordinator's notification of a finished replacement.
+    pub fn on_replacement_finished(&mut self, id: ReplacementId, successor: Option<&Successor>) {
         self.replacements.on_finished(&group_name(), id);
         if let Some(term) = successor.and_then(|successor| successor.term) {
             self.evidence.on_term_led(term);
@@ -289,24 +293,25 @@
         self.follow_replacements();
     }
 
-    /// Forgets replacements whose holders are gone.
-    pub fn pass_time(&mut self, now: Instant) {
+    /// Forgets replacements that have expired because their coordinators are gone.
+    pub fn expire_replacements(&mut self, now: Instant) {
         if self.replacements.expire(now) {
             self.follow_replacements();
         }
     }
 
-    /// What the store has lost of replacements, as far as this node remembers: who was promoted last, and whether a
-    /// replacement that it shows is over.
-    pub fn lost(&self) -> (Option<Successor>, bool) {
-        let known = complete(&self.keys, &self.remembered);
-        let successor =
-            installed_of(&known).filter(|_| installed_of(&self.keys) != installed_of(&known));
-        let is_over = intents_of(&known).is_empty() && !intents_of(&self.keys).is_empty();
+    /// The records of replacements that the store has lost and this node remembers: the instance
+    /// promoted last, and whether a replacement that the store shows has finished.
+    pub fn missing_from_store(&self) -> (Option<Successor>, bool) {
+        let known = merge_keys(&self.keys, &self.remembered_keys);
+        let successor = last_promoted_in(&known)
+            .filter(|_| last_promoted_in(&self.keys) != last_promoted_in(&known));
+        let is_over =
+            unfinished_intents(&known).is_empty() && !unfinished_intents(&self.keys).is_empty();
         (successor, is_over)
     }
 
-    /// The instance that it takes for the primary.
+    /// The instance that is the primary in this node's view.
     pub fn leader(&self) -> Option<usize> {
         let group = self.catalog.groups.get(&group_name())?;
         let intent = self.intent();
@@ -314,56 +319,62 @@
         Some(instance_number(&leader.name))
     }
 
-    /// Whether new work for the primary waits, because it is being replaced.
-    pub fn holds_back(&self) -> bool {
-        let former = self.intent().map(|intent| intent.former.as_ref().map(instance_number));
-        former.is_some_and(|former| former == self.leader())
+    /// Whether new requests to the primary wait because it is being replaced.
+    pub fn delays_primary_requests(&self) -> bool {
+        let old_primary = self.intent().map(|intent| intent.former.as_ref().map(instance_number));
+        old_primary.is_some_and(|old_primary| old_primary == self.leader())
     }
 
-    /// Whether nothing may be written at the instance that it takes for the primary: a newer one is known, or may
-    /// have been promoted, and which term that one leads is not known.
-    pub fn is_old(&self, leader: usize) -> bool {
+    /// Whether the leader must not receive writes: a newer term is known, or the leader's term is
+    /// unknown and another instance was promoted last.
+    pub fn is_outdated(&self, leader: usize) -> bool {
         let term = self.terms.get(&leader).copied();
         let group = self.catalog.groups.get(&group_name());
         let is_newest = group.is_none_or(|group| group.is_last_promoted(&instance_name(leader)));
         self.evidence.is_outdated(term) || (term.is_none() && !is_newest)
     }
 
-    /// Whether a read that arrived at `arrived` may run at the primary.
-    pub fn may_read(&self, leader: usize, arrived: Instant, life: Duration) -> bool {
+    /// Whether the evidence allows a read that arrived at `arrived` to run at the primary.
+    pub fn may_read(&self, leader: usize, arrived: Instant, lifetime: Duration) -> bool {
         let term = self.terms.get(&leader);
-        let until = term.and_then(|term| self.evidence.covers_until(*term, GROUP, life));
+        let until = term.and_then(|term| self.evidence.covers_until(*term, REPLICATION, lifetime));
         until.is_some_and(|until| arrived <= until)
     }
 
-    /// The same if the store said that nobody replaces the primary.
-    pub fn would_read(&self, leader: usize, arrived: Instant, life: Duration) -> bool {
+    /// The same, assuming that a replacement check finds no replacement.
+    pub fn may_read_once_checked(
+        &self,
+        leader: usize,
+        arrived: Instant,
+        lifetime: Duration,
+    ) -> bool {
         let term = self.terms.get(&leader);
-        let until = term.and_then(|term| self.evidence.would_cover_until(*term, GROUP, life));
+        let until =
+            term.and_then(|term| self.evidence.would_cover_until(*term, REPLICATION, lifetime));
         until.is_some_and(|until| arrived <= until)
     }
 
-    fn signs(&self, instance: usize) -> HealthSignals {
-        let waiting = self.waiting.values().filter(|(to, _, _)| *to == instance);
+    fn health_signals(&self, instance: usize) -> HealthSignals {
+        let pending_requests = self.pending_requests.values().filter(|(to, _, _)| *to == instance);
         HealthSignals {
-            refused_since: self.refused.get(&instance).copied(),
-            oldest_request: waiting.clone().map(|(_, sent, _)| *sent).min(),
-            oldest_commit: waiting
+            refused_since: self.refused_since.get(&instance).copied(),
+            oldest_request: pending_requests.clone().map(|(_, sent, _)| *sent).min(),
+            oldest_commit: pending_requests
                 .filter(|(_, _, commits)| *commits)
                 .map(|(_, sent, _)| *sent)
                 .min(),
-            last_commit: self.committed.get(&instance).copied(),
-            last_answer: self.answered.get(&instance).copied(),
+            last_commit: self.last_commits.get(&instance).copied(),
+            last_answer: self.last_answers.get(&instance).copied(),
             is_outdated: self.evidence.is_outdated(self.terms.get(&instance).copied()),
         }
     }
 
-    /// Judges the primary; true if what the node suspects has changed.
+    /// Updates the suspicion of the primary and returns whether the node's votes have changed.
     pub fn suspect(&mut self, now: Instant) -> bool {
-        self.judge.tick(now);
+        self.failure_detector.tick(now);
         let mut votes = NodeVotes::new();
         if let Some(leader) = self.leader()
-            && let Some(cause) = self.judge.suspect(&self.signs(leader), now)
+            && let Some(cause) = self.failure_detector.suspect(&self.health_signals(leader), now)
         {
             let vote = Vote { instance: instance_name(leader), cause };
             votes.insert(group_name(), vote);
@@ -373,17 +384,18 @@
         changed
     }
 
-    /// What is to be done about the group.
+    /// What the group needs: a replacement of its primary, or the continuation of an earlier
+    /// attempt.
     pub fn need(&mut self, live: &[NodeName], now: Instant) -> Option<Need> {
         match std::mem::take(&mut self.catalog_is_new) {
             true => {
-                self.known.apply_catalog(&self.catalog, now);
-                self.needs_judge.apply_catalog(&self.catalog);
+                self.known_instances.apply_catalog(&self.catalog, now);
+                self.needs_evaluator.apply_catalog(&self.catalog);
             }
-            false => drop(self.known.advance_time(now)),
+            false => drop(self.known_instances.advance_time(now)),
         }
         let own = node_name(self.number);
-        let evidence = NeedsInput {
+        let input = NeedsInput {
             catalog: &self.catalog,
             view: &self.view,
             own: (&own, &self.votes),
@@ -391,33 +403,35 @@
             listed: live,
             now,
         };
-        self.needs_judge.evaluate(&evidence).remove(&group_name())
+        self.needs_evaluator.evaluate(&input).remove(&group_name())
     }
 
-    /// An attempt was called off.
-    pub fn on_called_off(&mut self, now: Instant) {
-        self.needs_judge.on_cancelled(&group_name(), now);
+    /// Handles the cancellation of this node's attempt.
+    pub fn on_attempt_cancelled(&mut self, now: Instant) {
+        self.needs_evaluator.on_cancelled(&group_name(), now);
     }
 
-    /// Whether it is this node's turn to act on a need.
-    pub fn is_its_turn(&mut self, need: Option<&Need>, now: u64, at: Instant) -> bool {
-        let knows_starts = self.known.knows_restarts(&group_name(), at);
-        if !knows_starts || !need.is_some_and(Need::needs_coordinator) {
+    /// Whether this node should request the coordinator lease because of a need. Nodes with higher
+    /// numbers wait longer, so that one of them usually gets the lease without contention.
+    pub fn should_acquire_lease(&mut self, need: Option<&Need>, now: u64, at: Instant) -> bool {
+        let knows_restarts = self.known_instances.knows_restarts(&group_name(), at);
+        if !knows_restarts || !need.is_some_and(Need::needs_coordinator) {
             self.needed_since = None;
             return false;
         }
         let since = *self.needed_since.get_or_insert(now);
-        let is_settled = !self.era.earlier_lease_may_be_valid(at);
-        let is_free = self.acting.is_none() && !self.acquiring && self.view.coordinator.is_none();
-        let may = is_free && is_settled;
-        may && self.view.revision > 0 && now >= since + 120 * self.number as u64
+        let no_earlier_lease = !self.era.earlier_lease_may_be_valid(at);
+        let is_lease_free =
+            self.coordinator.is_none() && !self.acquiring && self.view.coordinator.is_none();
+        let may_acquire = is_lease_free && no_earlier_lease;
+        may_acquire && self.view.revision > 0 && now >= since + 120 * self.number as u64
     }
 }
 
 fn catalog(
     revision: u64,
     announced: &[Announced],
-    installed: Option<&Successor>,
+    last_promoted: Option<&Successor>,
 ) -> IndexedCatalog {
     let instances = announced.iter().enumerate().map(|(number, announced)| Instance {
         name: instance_name(number),
@@ -427,7 +441,7 @@
         connections: 30,
         leaving: announced.leaving,
         announced_role: Some(if announced.leads { Role::Primary } else { Role::Replica }),
-        incarnation: Some(InstanceIncarnation(announced.born)),
+        incarnation: Some(InstanceIncarnation(announced.incarnation)),
     });
     let group = Group {
         database: "orders".to_owned(),
@@ -437,18 +451,18 @@
         elector: Elector::Proxy,
         synchronous_replicas: 1,
         connections: 30,
-        promoted: installed.map(|successor| successor.instance.clone()),
+        promoted: last_promoted.map(|successor| successor.instance.clone()),
     };
     let mut catalog = Catalog { revision: Revision(revision), ..Catalog::default() };
     catalog.groups.insert(group_name(), group);
     IndexedCatalog::new(catalog)
 }
 
-/// Time for which the first nodes have run before the simulation begins: they know which instances have
-/// started again. Those that are killed begin anew.
-const RAN_BEFORE: Duration = Duration::from_secs(20);
+/// Time for which the first nodes have been running when the simulation begins, so that they know
+/// which instances have restarted. Nodes that are killed and restarted do not know.
+const UPTIME_AT_START: Duration = Duration::from_secs(20);
 
-/// A time of the simulation; its nodes started at `base`.
+/// Converts a virtual time to an `Instant`; the first nodes started at `base`.
 pub fn instant(base: Instant, milliseconds: u64) -> Instant {
-    base + RAN_BEFORE + Duration::from_millis(milliseconds)
+    base + UPTIME_AT_START + Duration::from_millis(milliseconds)
 }
--- a/crates/core/tests/replacement/trace.rs
+++ b/crates/core/tests/replacement/trace.rs
@@ -1,26 +1,26 @@
-//! The story of one seed: what happened to instances, nodes and attempts, line by line.
+//! The trace of one run: events of instances, nodes and attempts, one per line.
 
-/// Lines of a run, if it is traced.
+/// The recorded events of a run, if tracing is enabled.
 #[derive(Debug, Default)]
 pub struct Trace {
-    is_on: bool,
+    is_enabled: bool,
     lines: Vec<String>,
 }
 
 impl Trace {
-    /// A trace that keeps what it is told.
-    pub fn on() -> Self {
-        Self { is_on: true, lines: Vec::new() }
+    /// Creates a trace that records events.
+    pub fn enabled() -> Self {
+        Self { is_enabled: true, lines: Vec::new() }
     }
 
-    /// Something happened at `now`, in milliseconds.
-    pub fn note(&mut self, now: u64, line: impl FnOnce() -> String) {
-        if self.is_on {
+    /// Records an event at `now`, in milliseconds.
+    pub fn record(&mut self, now: u64, line: impl FnOnce() -> String) {
+        if self.is_enabled {
             self.lines.push(format!("{now:>6} {}", line()));
         }
     }
 
-    /// What was noted.
+    /// The recorded lines.
     pub fn lines(&self) -> &[String] {
         &self.lines
     }
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -275,7 +275,7 @@
         asked: Instant,
     ) {
         let term = report.flushed.term;
-        let following = ReplicaTerms { term, min_term: report.held };
+        let following = ReplicaTerms { term, min_term: report.min_term };
         self.with_group(group, |known| {
             let record = known.exchange_records.entry(instance.clone()).or_default();
             record.on_replication_status(report.role, term);
--- a/crates/daemon/tests/statuses.rs
+++ b/crates/daemon/tests/statuses.rs
@@ -34,7 +34,7 @@
     /// The instance reports its replication status.
     fn report_status(&self, instance: &str, role: Role, term: u32) {
         let at = position(term, 80);
-        let report = Report { role, flushed: at, applied: at, held: Term(0) };
+        let report = Report { role, flushed: at, applied: at, min_term: Term(0) };
         self.table.on_replication_status(&self.group, &name(instance), &report, Instant::now());
     }
 
--- a/crates/lab/src/standin/group/evaluate.rs
+++ b/crates/lab/src/standin/group/evaluate.rs
@@ -1,96 +1,94 @@
-//! Evaluation of SQL expressions over one row, or over a group of rows.
+//! Evaluation of SQL expressions on one row or on a group of rows.
 
 use sqlparser::ast::{
     BinaryOperator, Expr, Function, FunctionArg, FunctionArgExpr, FunctionArguments, InTarget,
     SelectItem, SetExpr, UnaryOperator, Value as Literal,
 };
 
+use super::analysis::{expression_type, first_argument, parameter_number, relation_name};
 use super::functions;
-use super::plan::{expression_type, first_argument, parameter_number, relation_name};
 use super::state::State;
 use super::tables::{Column, Row, Value};
-use super::transaction::Attempt;
-use super::values::{INTEGER, TEXT, coerce, type_number};
+use super::transaction::ExecutionContext;
+use super::values::{INTEGER, TEXT, coerce, type_oid};
 
 /// An SQL error with its SQLSTATE.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SqlError {
-    /// SQLSTATE.
+    /// SQLSTATE code.
     pub state: &'static str,
-    /// Message.
+    /// Message text.
     pub message: String,
 }
 
 impl SqlError {
-    /// An error.
+    /// Creates an error.
     pub fn new(state: &'static str, message: impl Into<String>) -> Self {
         Self { state, message: message.into() }
     }
 
-    /// A feature the stand-in lacks.
+    /// Error for a feature that the stand-in does not support.
     pub fn unsupported(what: impl std::fmt::Display) -> Self {
         Self::new("0A000", format!("not supported by this server: {what}"))
     }
 }
 
-/// What an expression may refer to.
+/// Everything that an expression may refer to.
 pub struct Scope<'a> {
-    /// The instance.
+    /// State of the instance.
     pub state: &'a State,
-    /// Columns of the row.
+    /// Columns of `row`.
     pub columns: &'a [Column],
-    /// The row.
+    /// Row on which the expression is evaluated.
     pub row: &'a [Value],
-    /// Values of the statement's parameters.
+    /// Parameter values of the statement.
     pub parameters: &'a [Value],
-    /// Rows over which aggregates go, where there are aggregates.
+    /// Rows for aggregate functions, if the query has any.
     pub group: Option<&'a [Row]>,
-    /// The row that an insert proposed, where one conflicted.
+    /// Row proposed by an INSERT that met a conflicting row (`EXCLUDED` in ON CONFLICT).
     pub excluded: Option<&'a [Value]>,
-    /// Number of the client's process.
+    /// Process number of the client's connection, as `pg_backend_pid()` returns it.
     pub process: i32,
 }
 
-/// Text of a truth value.
-pub fn truth(value: bool) -> Value {
+/// A boolean in PostgreSQL's text format.
+pub fn boolean(value: bool) -> Value {
     Some(if value { "t" } else { "f" }.to_owned())
 }
 
-/// Whether a value counts as true.
+/// Whether a value is true; null is not.
 pub fn is_true(value: &Value) -> bool {
     value.as_deref().is_some_and(|text| text == "t" || text == "true")
 }
 
 impl<'a> Scope<'a> {
-    /// A scope over one row.
-    pub fn over(attempt: &'a Attempt, columns: &'a [Column], row: &'a [Value]) -> Self {
+    /// Creates a scope for one row.
+    pub fn for_row(context: &'a ExecutionContext, columns: &'a [Column], row: &'a [Value]) -> Self {
         Self {
-            state: attempt.state,
+            state: context.state,
             columns,
             row,
-            parameters: attempt.parameters,
+            parameters: context.parameters,
             group: None,
             excluded: None,
-            process: attempt.process,
+            process: context.process,
         }
     }
 
-    /// Evaluates an expression to text.
+    /// Evaluates an expression. Returns its value in text format.
     pub fn evaluate(&self, expression: &Expr) -> Result<Value, SqlError> {
         match expression {
             Expr::Nested(inner) => self.evaluate(inner),
-            Expr::Cast { expr, data_type, .. } => {
-                coerce(self.evaluate(expr)?, type_number(data_type))
-            }
+            Expr::Cast { expr, data_type, .. } => coerce(self.evaluate(expr)?, type_oid(data_type)),
             Expr::Identifier(name) => self.column(&name.value),
             Expr::CompoundIdentifier(parts) => self.qualified(parts),
             Expr::Value(literal) => match &literal.value {
                 Literal::Placeholder(name) => self.parameter(name),
                 other => literal_value(other),
             },
-            Expr::IsNull(inner) => Ok(truth(self.evaluate(inner)?.is_none())),
-            Expr::IsNotNull(inner) => Ok(truth(self.evaluate(inner)?.is_some())),
-            Expr::IsTrue(inner) => Ok(truth(is_true(&self.evaluate(inner)?))),
+            Expr::IsNull(inner) => Ok(boolean(self.evaluate(inner)?.is_none())),
+            Expr::IsNotNull(inner) => Ok(boolean(self.evaluate(inner)?.is_some())),
+            Expr::IsTrue(inner) => Ok(boolean(is_true(&self.evaluate(inner)?))),
             Expr::UnaryOp { op, expr } => unary(op, self.evaluate(expr)?),
             Expr::BinaryOp { left, op, right } => self.binary(left, op, right),
             Expr::In { expr, target: InTarget::List(list), negated, .. } => {
@@ -99,14 +97,14 @@
             Expr::Between { expr, negated, low, high } => {
                 let above = is_true(&self.binary(expr, &BinaryOperator::GtEq, low)?);
                 let below = is_true(&self.binary(expr, &BinaryOperator::LtEq, high)?);
-                Ok(truth((above && below) != *negated))
+                Ok(boolean((above && below) != *negated))
             }
             Expr::Like { negated, expr, pattern, .. } => {
                 let (Some(text), Some(pattern)) = (self.evaluate(expr)?, self.evaluate(pattern)?)
                 else {
                     return Ok(None);
                 };
-                Ok(truth(functions::like(&text, &pattern) != *negated))
+                Ok(boolean(functions::like(&text, &pattern) != *negated))
             }
             Expr::Case { operand: None, conditions, else_result, .. } => {
                 for when in conditions {
@@ -150,7 +148,8 @@
         }
     }
 
-    /// The one-row system view `pg_stat_wal_receiver`.
+    /// Evaluates a scalar subquery. Supports only the view `pg_stat_wal_receiver`,
+    /// which has one row.
     fn scalar_subquery(&self, body: &SetExpr) -> Result<Value, SqlError> {
         let SetExpr::Select(select) = body else { return Err(SqlError::unsupported(body)) };
         let from = select.from.first().map(|table| relation_name(&table.relation));
@@ -170,10 +169,10 @@
     fn in_list(&self, expr: &Expr, list: &[Expr], negated: bool) -> Result<Value, SqlError> {
         for item in list {
             if is_true(&self.binary(expr, &BinaryOperator::Eq, item)?) {
-                return Ok(truth(!negated));
+                return Ok(boolean(!negated));
             }
         }
-        Ok(truth(negated))
+        Ok(boolean(negated))
     }
 
     fn binary(
@@ -183,10 +182,10 @@
         right: &Expr,
     ) -> Result<Value, SqlError> {
         match operator {
-            BinaryOperator::And if !is_true(&self.evaluate(left)?) => return Ok(truth(false)),
-            BinaryOperator::Or if is_true(&self.evaluate(left)?) => return Ok(truth(true)),
+            BinaryOperator::And if !is_true(&self.evaluate(left)?) => return Ok(boolean(false)),
+            BinaryOperator::Or if is_true(&self.evaluate(left)?) => return Ok(boolean(true)),
             BinaryOperator::And | BinaryOperator::Or => {
-                return Ok(truth(is_true(&self.evaluate(right)?)));
+                return Ok(boolean(is_true(&self.evaluate(right)?)));
             }
             _ => {}
         }
@@ -239,7 +238,7 @@
 fn unary(operator: &UnaryOperator, value: Value) -> Result<Value, SqlError> {
     let Some(text) = value else { return Ok(None) };
     match operator {
-        UnaryOperator::Not => Ok(truth(!is_true(&Some(text)))),
+        UnaryOperator::Not => Ok(boolean(!is_true(&Some(text)))),
         UnaryOperator::Minus => Ok(Some(match text.strip_prefix('-') {
             Some(positive) => positive.to_owned(),
             None => format!("-{text}"),
@@ -252,7 +251,7 @@
 fn literal_value(literal: &Literal) -> Result<Value, SqlError> {
     match literal {
         Literal::Null => Ok(None),
-        Literal::Boolean(value) => Ok(truth(*value)),
+        Literal::Boolean(value) => Ok(boolean(*value)),
         Literal::Number(text, _) => Ok(Some(text.clone())),
         Literal::SingleQuotedString(text) | Literal::EscapedStringLiteral(text) => {
             Ok(Some(text.clone()))
--- a/crates/lab/src/standin/group/mod.rs
+++ b/crates/lab/src/standin/group/mod.rs
@@ -1,18 +1,24 @@
-//! A database group: instances that speak PostgreSQL v3 and replicate one log.
+//! Stand-in for a database group that elects its own primary.
+//!
+//! Each instance listens on loopback, speaks the PostgreSQL v3 protocol and executes SQL on tables
+//! in memory. The instances replicate one log and elect a new primary when a majority has lost
+//! contact with the previous one (see [`replication`]). Tests and benchmarks inject faults through
+//! [`DatabaseGroup`]: killed, paused or isolated instances, replication lag, lost commit responses
+//! and reset connections.
 
+pub mod analysis;
 pub mod arrivals;
 pub mod connections;
-pub mod define;
+pub mod ddl;
+pub mod dml;
 pub mod evaluate;
 pub mod events;
 pub mod functions;
 pub mod instance;
 pub mod lag;
 pub mod locks;
-pub mod modify;
 pub mod options;
 pub mod overlay;
-pub mod plan;
 pub mod replication;
 pub mod rows;
 pub mod select;
@@ -30,103 +36,103 @@
 use std::time::{Duration, Instant};
 
 use self::events::{EventLog, GroupEvent, Signal};
-use self::instance::{Instance, InstanceParts, LostAnswer};
+use self::instance::{Instance, InstanceConfig, LostResponse};
 use self::lag::{Lag, LagSource};
 use self::options::GroupOptions;
-use self::replication::Coordinator;
-use self::service::Service;
+use self::replication::Replicator;
+use self::service::ServiceQueue;
 use self::tables::{Change, Row};
-use super::door::Door;
+use super::listener::RestartableListener;
 
-/// Time between two looks while waiting for a condition.
+/// Interval at which the `wait_for_*` methods check their condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A transaction in the log of a primary.
+/// A committed transaction in the log of a primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommittedRecord {
-    /// Term under which it was written.
+    /// Term in which it was written.
     pub term: u32,
-    /// Offset just after it.
+    /// Log offset just after it.
     pub end: u64,
-    /// Its changes.
+    /// Changes that it made.
     pub changes: Vec<Change>,
 }
 
-/// A running group of instances.
+/// A running database group.
 pub struct DatabaseGroup {
-    /// Its instances; the first is the first primary.
+    /// All instances; the first one starts as primary.
     pub instances: Vec<Arc<Instance>>,
-    /// Where callers reach each instance.
+    /// Address at which clients reach each instance: its relay if the group is on a network.
     pub addresses: Vec<SocketAddr>,
-    doors: Vec<Door>,
+    listeners: Vec<RestartableListener>,
     events: Arc<EventLog>,
     stopping: Arc<AtomicBool>,
-    coordinator: Option<JoinHandle<()>>,
+    replicator: Option<JoinHandle<()>>,
 }
 
 impl DatabaseGroup {
-    /// Starts the instances on ports that the system chooses.
+    /// Starts the instances on ports chosen by the operating system.
     pub fn start(options: GroupOptions) -> std::io::Result<Self> {
         let stopping = Arc::new(AtomicBool::new(false));
         let events = Arc::new(EventLog::default());
         let signal = Arc::new(Signal::default());
         let mut instances = Vec::new();
         let mut addresses = Vec::new();
-        let mut doors = Vec::new();
+        let mut listeners = Vec::new();
         for (index, zone) in options.zones.iter().enumerate() {
             let seed = options.seed.wrapping_add(index as u64);
-            let instance = Arc::new(Instance::new(InstanceParts {
+            let instance = Arc::new(Instance::new(InstanceConfig {
                 index,
                 zone: zone.clone(),
-                service: Service::new(options.slots, options.service_times, seed),
+                service: ServiceQueue::new(options.slots, options.service_times, seed),
                 connection_limit: options.connections,
                 connection_setup: options.connection_setup,
                 lag: LagSource::new(options.replica_lag, seed),
                 events: events.clone(),
                 signal: signal.clone(),
             }));
-            let door = Door::open()?;
-            let address = door.address();
+            let listener = RestartableListener::bind()?;
+            let address = listener.address();
             let network = options.network.clone();
-            wire::listen(door.clone(), instance.clone(), network.clone());
+            wire::listen(listener.clone(), instance.clone(), network.clone());
             addresses.push(match &network {
                 Some(network) => network.expose_tcp(zone, address)?,
                 None => address,
             });
-            doors.push(door);
+            listeners.push(listener);
             instances.push(instance);
         }
-        let coordinator = Coordinator::new(&instances, options, events.clone(), signal);
+        let replicator = Replicator::new(&instances, options, events.clone(), signal);
         let stop = stopping.clone();
-        let coordinator = Some(thread::spawn(move || coordinator.run(&stop)));
-        Ok(Self { instances, addresses, doors, events, stopping, coordinator })
+        let replicator = Some(thread::spawn(move || replicator.run(&stop)));
+        Ok(Self { instances, addresses, listeners, events, stopping, replicator })
     }
 
-    /// Ends an instance's process; its log stays.
+    /// Kills an instance. Its log survives.
     pub fn kill(&self, index: usize) {
-        self.doors[index].shut();
+        self.listeners[index].close();
         self.instances[index].kill();
     }
 
-    /// Starts a killed instance again, as a replica with the log it had. What the primary of a
-    /// newer term does not have is dropped when it follows that primary.
+    /// Restarts a killed instance as a replica with the log it had. Once it follows a primary of a
+    /// newer term, it drops the records that this primary does not have.
     pub fn restart(&self, index: usize) {
         self.instances[index].restart();
-        self.doors[index].reopen();
+        self.listeners[index].reopen();
     }
 
-    /// Stops an instance's process at whatever point it is; its connections stay open.
+    /// Pauses an instance's process wherever it is. Its connections stay open.
     pub fn pause(&self, index: usize) {
         self.instances[index].set_paused(true);
     }
 
-    /// Continues a paused instance.
+    /// Resumes a paused instance.
     pub fn resume(&self, index: usize) {
         self.instances[index].set_paused(false);
     }
 
-    /// Cuts an instance off from the other instances and, on a network, from callers of other
-    /// zones. A primary cut off goes on to believe that it leads.
+    /// Isolates an instance from the other instances and, on a network, from clients in other
+    /// zones. An isolated primary still considers itself primary.
     pub fn isolate(&self, index: usize) {
         self.instances[index].set_isolated(true);
     }
@@ -136,12 +142,13 @@
         self.instances[index].set_isolated(false);
     }
 
-    /// Changes how far the readers of an instance stay behind; [`Duration::MAX`] stops them.
+    /// Sets a fixed lag between receiving and applying a record; [`Duration::MAX`] stops the
+    /// application of records.
     pub fn set_lag(&self, index: usize, lag: Duration) {
         self.instances[index].set_lag(Lag::Fixed(lag), 0);
     }
 
-    /// Draws the lag of each record evenly between two bounds.
+    /// Draws the lag of each record uniformly between two bounds.
     pub fn set_lag_distribution(
         &self,
         index: usize,
@@ -149,30 +156,31 @@
         longest: Duration,
         seed: u64,
     ) {
-        self.instances[index].set_lag(Lag::Drawn { shortest, longest }, seed);
+        self.instances[index].set_lag(Lag::Uniform { shortest, longest }, seed);
     }
 
-    /// Stops or continues the flow of log to a replica, which still hears the primary.
+    /// Stops or resumes the flow of log records to a replica. The replica stays in contact with the
+    /// primary, so that it does not start an election.
     pub fn set_receiving(&self, index: usize, receiving: bool) {
         self.instances[index].set_receiving(receiving);
     }
 
-    /// The next commit takes effect and is never answered.
+    /// Lets the next commit take effect without a response; its connection stays open.
     pub fn hang_after_commit(&self, index: usize) {
-        self.instances[index].lose_answer(LostAnswer::Silent);
+        self.instances[index].lose_next_response(LostResponse::Silent);
     }
 
-    /// The next commit takes effect and its connection is reset instead of an answer.
+    /// Lets the next commit take effect, but resets its connection instead of responding.
     pub fn reset_after_commit(&self, index: usize) {
-        self.instances[index].lose_answer(LostAnswer::Reset);
+        self.instances[index].lose_next_response(LostResponse::Reset);
     }
 
-    /// Breaks every client connection of an instance off.
+    /// Resets every client connection of an instance.
     pub fn reset_connections(&self, index: usize) {
         self.instances[index].connections.reset_all();
     }
 
-    /// Index of the running primary with the highest term.
+    /// Index of the running primary with the highest term, if there is one.
     pub fn primary(&self) -> Option<usize> {
         self.instances
             .iter()
@@ -181,7 +189,7 @@
             .map(|instance| instance.index)
     }
 
-    /// Waits until a primary at `term` or above runs, at most `limit`. Returns its index.
+    /// Waits up to `limit` for a running primary at `term` or above. Returns its index.
     pub fn wait_for_term(&self, term: u32, limit: Duration) -> Option<usize> {
         let end = Instant::now() + limit;
         loop {
@@ -194,7 +202,8 @@
         }
     }
 
-    /// Waits until every running replica has applied what the primary had, at most `limit`.
+    /// Waits up to `limit` until every running replica has applied the primary's log.
+    /// Returns whether they have.
     pub fn wait_for_replicas(&self, limit: Duration) -> bool {
         let end = Instant::now() + limit;
         loop {
@@ -219,18 +228,18 @@
         }
     }
 
-    /// Begins to keep the queries that reach each instance.
+    /// Starts to record the statements that reach each instance.
     pub fn record_arrivals(&self) {
         self.instances.iter().for_each(|instance| instance.arrivals.record());
     }
 
-    /// What happened so far.
+    /// All events so far.
     pub fn events(&self) -> Vec<GroupEvent> {
         self.events.all()
     }
 
-    /// Rows of a table at the current primary, in the order of their insertion. `None` if there
-    /// is no primary or no such table.
+    /// Rows of a table at the current primary in insertion order. `None` if there is no primary or
+    /// no such table.
     pub fn final_rows(&self, table: &str) -> Option<Vec<Row>> {
         let state = self.instances[self.primary()?].state();
         let table = state.tables.tables.get(table)?;
@@ -252,13 +261,13 @@
 impl Drop for DatabaseGroup {
     fn drop(&mut self) {
         self.stopping.store(true, Ordering::Release);
-        for (instance, door) in self.instances.iter().zip(&self.doors) {
-            door.stop();
+        for (instance, listener) in self.instances.iter().zip(&self.listeners) {
+            listener.stop();
             instance.kill();
         }
-        if let Some(coordinator) = self.coordinator.take() {
-            // A coordinator that panicked has said so itself.
-            let _ = coordinator.join();
+        if let Some(replicator) = self.replicator.take() {
+            // The panic hook has already reported a panic of this thread.
+            let _ = replicator.join();
         }
     }
 }
--- a/crates/lab/src/standin/group/service.rs
+++ b/crates/lab/src/standin/group/service.rs
@@ -1,4 +1,4 @@
-//! Slots of an instance and how long each class of statement holds one.
+//! Execution slots of an instance, and the time for which each class of statement occupies one.
 
 use std::sync::{Condvar, Mutex, MutexGuard};
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use super::connections::{CANCEL_CHECK_INTERVAL, Control};
 use super::evaluate::SqlError;
 
-/// What a statement does, as far as its service time goes.
+/// Class of a statement, which determines its service time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementClass {
     /// Reads a table.
     Read,
-    /// Changes or locks rows or tables.
+    /// Changes or locks rows or table definitions.
     Write,
-    /// Flushes a transaction to the log. Takes no slot.
+    /// Flushes a transaction to the log. Occupies no slot.
     Commit,
-    /// Touches no table. Takes no slot and no time.
+    /// Accesses no table. Occupies no slot and takes no time.
     Control,
 }
 
 impl StatementClass {
-    /// The class of a statement other than transaction control.
+    /// The class of a statement that is not a transaction control statement.
     pub fn of(statement: &Statement) -> Self {
         let Statement::Query(query) = statement else { return Self::Write };
         if !query.locks.is_empty() {
@@ -37,15 +37,15 @@
     }
 }
 
-/// How long a statement holds its slot.
+/// Distribution of the time for which a statement occupies its slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ServiceTime {
-    /// No longer than its execution takes.
+    /// No time beyond its execution, and no slot.
     #[default]
     None,
-    /// Always the same.
+    /// A constant time.
     Fixed(Duration),
-    /// Anything between two bounds, evenly.
+    /// Uniformly distributed between two bounds.
     Uniform {
         /// Lower bound.
         shortest: Duration,
@@ -60,7 +60,7 @@
 }
 
 impl ServiceTime {
-    /// Draws a time; zero for [`ServiceTime::None`].
+    /// Draws a service time; zero for [`ServiceTime::None`].
     pub fn draw(self, random: &mut StdRng) -> Duration {
         match self {
             Self::None => Duration::ZERO,
@@ -75,19 +75,20 @@
     }
 }
 
-/// Service time of each class of statement.
+/// Service times of the statement classes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceTimes {
     /// Statements that read a table.
     pub read: ServiceTime,
     /// Statements that change or lock rows.
     pub write: ServiceTime,
-    /// Commits; they take no slot, since a transaction that ends frees what others wait for.
+    /// Commits. They occupy no slot, since a transaction that ends releases locks for which other
+    /// statements wait.
     pub commit: ServiceTime,
 }
 
 #[derive(Debug)]
-struct Queue {
+struct QueueState {
     times: ServiceTimes,
     random: StdRng,
     slots: u64,
@@ -95,38 +96,38 @@
     finished: u64,
 }
 
-/// The slots of one instance. Statements enter in the order in which they came.
+/// The execution slots of one instance. Statements get a slot in order of arrival.
 #[derive(Debug)]
-pub struct Service {
-    queue: Mutex<Queue>,
-    left: Condvar,
+pub struct ServiceQueue {
+    queue: Mutex<QueueState>,
+    statement_finished: Condvar,
 }
 
-impl Service {
-    /// `slots` statements at once.
+impl ServiceQueue {
+    /// Creates a queue that serves `slots` statements concurrently.
     pub fn new(slots: usize, times: ServiceTimes, seed: u64) -> Self {
         let random = StdRng::seed_from_u64(seed);
-        let queue = Queue { times, random, slots: slots as u64, next_ticket: 0, finished: 0 };
-        Self { queue: Mutex::new(queue), left: Condvar::new() }
+        let queue = QueueState { times, random, slots: slots as u64, next_ticket: 0, finished: 0 };
+        Self { queue: Mutex::new(queue), statement_finished: Condvar::new() }
     }
 
-    fn queue(&self) -> MutexGuard<'_, Queue> {
+    fn queue(&self) -> MutexGuard<'_, QueueState> {
         self.queue.lock().expect("a holder of the slot lock panicked")
     }
 
-    /// Changes the service times of statements to come.
+    /// Changes the service times of later statements.
     pub fn set_times(&self, times: ServiceTimes) {
         self.queue().times = times;
     }
 
-    /// Statements that run or wait for a slot now.
-    pub fn present(&self) -> u64 {
+    /// Number of statements that occupy a slot or wait for one.
+    pub fn in_progress(&self) -> u64 {
         let queue = self.queue();
         queue.next_ticket - queue.finished
     }
 
-    /// Waits for a slot if the class takes one, and holds it for the service time.
-    pub fn pass(&self, class: StatementClass, control: &Control) -> Result<(), SqlError> {
+    /// Waits for a slot if the class needs one, and occupies it for the service time.
+    pub fn serve(&self, class: StatementClass, control: &Control) -> Result<(), SqlError> {
         let mut queue = self.queue();
         let times = queue.times;
         let time = match class {
@@ -146,22 +147,22 @@
         }
         let ticket = queue.next_ticket;
         queue.next_ticket += 1;
-        let outcome = self.wait_for_turn(queue, ticket, control);
+        let outcome = self.wait_for_slot(queue, ticket, control);
         let outcome = outcome.and_then(|()| control.sleep(time));
         self.queue().finished += 1;
-        self.left.notify_all();
+        self.statement_finished.notify_all();
         outcome
     }
 
-    fn wait_for_turn(
+    fn wait_for_slot(
         &self,
-        mut queue: MutexGuard<'_, Queue>,
+        mut queue: MutexGuard<'_, QueueState>,
         ticket: u64,
         control: &Control,
     ) -> Result<(), SqlError> {
         while ticket >= queue.finished + queue.slots {
             control.check_cancelled()?;
-            let waited = self.left.wait_timeout(queue, CANCEL_CHECK_INTERVAL);
+            let waited = self.statement_finished.wait_timeout(queue, CANCEL_CHECK_INTERVAL);
             queue = waited.expect("a holder of the slot lock panicked").0;
         }
         Ok(())
--- a/crates/lab/src/standin/group/transaction.rs
+++ b/crates/lab/src/standin/group/transaction.rs
@@ -1,6 +1,7 @@
-//! One connection's transaction: statements, locks, savepoints, commit and roll-back.
+//! A connection's transaction: statements, locks, savepoints, commit and rollback.
 //!
-//! Isolation is read committed. A statement that meets a lock waits and is then run anew.
+//! The isolation level is read committed. A statement that needs a lock held by another transaction
+//! waits, and is then retried from the start.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,25 +9,25 @@
 use sqlparser::ast::{Statement, TransactionAccessMode, TransactionMode};
 
 use super::connections::Control;
+use super::dml;
 use super::evaluate::SqlError;
 use super::instance::Instance;
 use super::locks::LockKey;
-use super::modify;
 use super::overlay::Overlay;
 use super::select;
 use super::service::StatementClass;
 use super::state::{Generation, State};
 use super::tables::{Column, Row, Value};
 
-/// A wait for a lock longer than this counts as a deadlock.
+/// A statement that waits longer than this for a lock fails with a deadlock error.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for a lock between two looks at the cancel flag.
+/// Interval at which a statement that waits for a lock checks for cancellation.
 const LOCK_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a statement answers.
+/// Result of a statement.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
-    /// Columns, where rows are returned.
+pub struct StatementResult {
+    /// Columns, if the statement returns rows.
     pub columns: Option<Vec<Column>>,
     /// Rows.
     pub rows: Vec<Row>,
@@ -34,48 +35,48 @@
     pub tag: String,
 }
 
-impl Answer {
-    /// An answer without rows.
-    pub fn tagged(tag: &str) -> Self {
+impl StatementResult {
+    /// Creates a result without rows.
+    pub fn with_tag(tag: &str) -> Self {
         Self { tag: tag.to_owned(), ..Self::default() }
     }
 }
 
-/// Why an attempt to run a statement ended without an answer.
+/// Why the execution of a statement ended without a result.
 #[derive(Debug)]
-pub enum Halt {
-    /// It failed.
-    Error(SqlError),
-    /// Another transaction holds a lock that it needs.
-    Locked,
+pub enum ExecutionError {
+    /// The statement failed.
+    Sql(SqlError),
+    /// Another transaction holds a lock that the statement needs; it can be retried.
+    LockUnavailable,
 }
 
-impl From<SqlError> for Halt {
+impl From<SqlError> for ExecutionError {
     fn from(error: SqlError) -> Self {
-        Self::Error(error)
+        Self::Sql(error)
     }
 }
 
-/// What a statement works with while the instance's state is locked.
-pub struct Attempt<'a> {
+/// Everything that a statement uses while the instance's state is locked.
+pub struct ExecutionContext<'a> {
     /// The instance's state.
     pub state: &'a mut State,
     /// Changes of the transaction so far.
     pub overlay: &'a mut Overlay,
-    /// Values of the parameters.
+    /// Parameter values.
     pub parameters: &'a [Value],
-    /// Number of the client's process.
+    /// Process number of the client's connection.
     pub process: i32,
     held: &'a mut Vec<LockKey>,
     control: &'a Control,
 }
 
-impl Attempt<'_> {
-    /// Takes a lock for the transaction.
-    pub fn lock(&mut self, lock: LockKey) -> Result<(), Halt> {
+impl ExecutionContext<'_> {
+    /// Acquires a lock, which the transaction holds until it ends.
+    pub fn lock(&mut self, lock: LockKey) -> Result<(), ExecutionError> {
         match self.state.locks.take(lock, self.control.number(), self.held) {
             true => Ok(()),
-            false => Err(Halt::Locked),
+            false => Err(ExecutionError::LockUnavailable),
         }
     }
 }
@@ -94,12 +95,12 @@
     held: Vec<LockKey>,
     savepoints: Vec<Savepoint>,
     read_only: bool,
-    /// Life of the instance in which the first change was made.
+    /// Generation of the instance at the transaction's first lock or change.
     generation: Option<Generation>,
 }
 
 impl Transaction {
-    /// An empty transaction.
+    /// Creates an empty transaction.
     pub fn new(control: Arc<Control>) -> Self {
         Self {
             control,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Opens a block.
+    /// Starts a transaction block.
     pub fn begin(&mut self, modes: &[TransactionMode]) {
         self.read_only =
             modes.contains(&TransactionMode::AccessMode(TransactionAccessMode::ReadOnly));
@@ -129,14 +130,14 @@
             .ok_or_else(|| SqlError::new("3B001", format!("savepoint {name:?} does not exist")))
     }
 
-    /// Forgets a savepoint and keeps what followed it.
+    /// Releases a savepoint and keeps the changes made after it.
     pub fn release(&mut self, name: &str) -> Result<(), SqlError> {
         let index = self.savepoint_index(name)?;
         self.savepoints.truncate(index);
         Ok(())
     }
 
-    /// Undoes what followed a savepoint. Its locks stay held.
+    /// Undoes the changes made after a savepoint. Locks stay held.
     pub fn roll_back_to(&mut self, name: &str) -> Result<(), SqlError> {
         let index = self.savepoint_index(name)?;
         self.overlay = self.savepoints[index].overlay.clone();
@@ -149,18 +150,19 @@
         self.overlay.columns(&instance.state(), table)
     }
 
-    /// Whether there is something to commit.
+    /// Whether there are changes to commit.
     pub fn has_changes(&self) -> bool {
         !self.overlay.changes.is_empty()
     }
 
-    /// Commits.
+    /// Commits the changes. Fails if the instance is no longer primary, or was restarted or demoted
+    /// since the transaction's first change.
     pub fn commit(&mut self, instance: &Instance) -> Result<(), SqlError> {
         if !self.has_changes() {
             self.roll_back(instance);
             return Ok(());
         }
-        instance.service.pass(StatementClass::Commit, &self.control)?;
+        instance.service.serve(StatementClass::Commit, &self.control)?;
         let changes = std::mem::take(&mut self.overlay.changes);
         let mut state = instance.state();
         let outcome = if self.generation != Some(state.generation) {
@@ -176,7 +178,7 @@
         outcome
     }
 
-    /// Forgets every change and gives the locks back.
+    /// Discards all changes and releases all locks.
     pub fn roll_back(&mut self, instance: &Instance) {
         self.overlay = Overlay::default();
         self.savepoints.clear();
@@ -189,13 +191,13 @@
         }
     }
 
-    /// Runs one statement other than transaction control.
+    /// Executes one statement that is not a transaction control statement.
     pub fn run(
         &mut self,
         instance: &Instance,
         statement: &Statement,
         parameters: &[Value],
-    ) -> Result<Answer, SqlError> {
+    ) -> Result<StatementResult, SqlError> {
         let class = StatementClass::of(statement);
         if class == StatementClass::Write && self.read_only {
             return Err(SqlError::new("25006", "cannot execute in a read-only transaction"));
@@ -203,7 +205,7 @@
         if let Some(time) = select::sleep_time(statement, parameters)? {
             self.control.sleep(time)?;
         }
-        instance.service.pass(class, &self.control)?;
+        instance.service.serve(class, &self.control)?;
         let limit = Instant::now() + LOCK_TIMEOUT;
         let mut state = instance.state();
         loop {
@@ -211,10 +213,10 @@
                 let message = "cannot execute in a read-only transaction";
                 return Err(SqlError::new("25006", message));
             }
-            match self.attempt(&mut state, statement, parameters) {
-                Ok(answer) => return Ok(answer),
-                Err(Halt::Error(error)) => return Err(error),
-                Err(Halt::Locked) => {}
+            match self.try_run(&mut state, statement, parameters) {
+                Ok(result) => return Ok(result),
+                Err(ExecutionError::Sql(error)) => return Err(error),
+                Err(ExecutionError::LockUnavailable) => {}
             }
             self.control.check_cancelled()?;
             if Instant::now() > limit {
@@ -224,18 +226,18 @@
         }
     }
 
-    fn attempt(
+    fn try_run(
         &mut self,
         state: &mut State,
         statement: &Statement,
         parameters: &[Value],
-    ) -> Result<Answer, Halt> {
+    ) -> Result<StatementResult, ExecutionError> {
         let generation = state.generation;
         if self.generation.is_some_and(|known| known != generation) {
             let message = "terminating connection: the server was restarted";
             return Err(SqlError::new("57P01", message).into());
         }
-        let mut attempt = Attempt {
+        let mut context = ExecutionContext {
             state,
             overlay: &mut self.overlay,
             parameters,
@@ -243,13 +245,13 @@
             held: &mut self.held,
             control: &self.control,
         };
-        let answer = match statement {
-            Statement::Query(query) => select::run(&mut attempt, query),
-            other => modify::run(&mut attempt, other),
+        let result = match statement {
+            Statement::Query(query) => select::run(&mut context, query),
+            other => dml::run(&mut context, other),
         };
         if !self.held.is_empty() || !self.overlay.changes.is_empty() {
             self.generation.get_or_insert(generation);
         }
-        answer
+        result
     }
 }
--- a/crates/lab/src/standin/machines.rs
+++ b/crates/lab/src/standin/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines, which lags and may be wrong.
+//! Stand-in for the platform's machine list, which may lag, be wrong, be slow or be unavailable.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,120 +9,120 @@
 use kestrellock_core::ids::{NodeName, ZoneName};
 use serde::Serialize;
 
-use super::door::Door;
 use super::http::{self, Reply, Request};
+use super::listener::RestartableListener;
 
-const PATH: &str = "/machines";
+const MACHINES_PATH: &str = "/machines";
 const NOT_FOUND: u16 = 404;
 
-/// What the platform knows of a machine.
+/// State of a machine according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// Believed to run.
+    /// The platform considers the machine running.
     Live,
-    /// About to go.
+    /// The machine is about to be removed.
     Leaving,
 }
 
-/// One entry of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ListedMachine {
-    /// What runs on it.
+    /// Node that runs on it.
     pub node: NodeName,
     /// Its zone.
     pub zone: ZoneName,
-    /// Where it accepts others of its kind.
+    /// Address on which it accepts connections from other nodes.
     pub peer_address: SocketAddr,
-    /// State.
+    /// Its state.
     pub state: ListedState,
 }
 
 #[derive(Debug)]
-struct Version {
-    visible: Instant,
+struct ListVersion {
+    visible_from: Instant,
     machines: Vec<ListedMachine>,
 }
 
 #[derive(Debug, Default)]
 struct Contents {
-    /// Versions in the order in which they become visible.
-    versions: Vec<Version>,
+    /// Versions of the list, ordered by the time at which they become visible.
+    versions: Vec<ListVersion>,
     lag: Duration,
-    lie: Option<Vec<ListedMachine>>,
-    slowness: Duration,
+    false_list: Option<Vec<ListedMachine>>,
+    response_delay: Duration,
     outage: bool,
     requests: u64,
 }
 
 impl Contents {
-    fn told(&mut self, now: Instant) -> Vec<ListedMachine> {
-        let visible = self.versions.iter().rposition(|version| version.visible <= now);
+    fn visible_machines(&mut self, now: Instant) -> Vec<ListedMachine> {
+        let visible = self.versions.iter().rposition(|version| version.visible_from <= now);
         let Some(newest) = visible else { return Vec::new() };
         self.versions.drain(..newest);
-        self.lie.clone().unwrap_or_else(|| self.versions[0].machines.clone())
+        self.false_list.clone().unwrap_or_else(|| self.versions[0].machines.clone())
     }
 }
 
-/// A running machine list.
+/// A running machine list server.
 pub struct MachineListServer {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    door: Door,
+    listener: RestartableListener,
     contents: Arc<Mutex<Contents>>,
 }
 
 impl MachineListServer {
-    /// Starts an empty list on a port that the system chooses.
+    /// Starts a server with an empty list on a port chosen by the operating system.
     pub fn start() -> io::Result<Self> {
-        let door = Door::open()?;
+        let listener = RestartableListener::bind()?;
         let contents = Arc::new(Mutex::new(Contents::default()));
-        let told = contents.clone();
-        http::serve(door.clone(), Arc::new(move |request| handle(&told, &request)));
-        Ok(Self { address: door.address(), door, contents })
+        let visible_machines = contents.clone();
+        http::serve(listener.clone(), Arc::new(move |request| handle(&visible_machines, &request)));
+        Ok(Self { address: listener.address(), listener, contents })
     }
 
     fn contents(&self) -> MutexGuard<'_, Contents> {
-        locked(&self.contents)
+        lock(&self.contents)
     }
 
-    /// Its endpoint; the list is under `/machines`.
+    /// Base URL of the server; the list is at `/machines`.
     pub fn endpoint(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Changes the list; the change is told after the lag.
+    /// Changes the list. The change becomes visible after the lag.
     pub fn set_machines(&self, machines: Vec<ListedMachine>) {
         let mut contents = self.contents();
-        let visible = Instant::now() + contents.lag;
-        contents.versions.push(Version { visible, machines });
+        let visible_from = Instant::now() + contents.lag;
+        contents.versions.push(ListVersion { visible_from, machines });
     }
 
-    /// Time until later changes are told.
+    /// Sets the lag after which later changes become visible.
     pub fn set_lag(&self, lag: Duration) {
         self.contents().lag = lag;
     }
 
-    /// Tells another list than the true one, or the true one again.
-    pub fn set_lie(&self, lie: Option<Vec<ListedMachine>>) {
-        self.contents().lie = lie;
+    /// Makes the server report a false list, or the true list again with `None`.
+    pub fn set_false_list(&self, false_list: Option<Vec<ListedMachine>>) {
+        self.contents().false_list = false_list;
     }
 
-    /// Waits before each answer.
-    pub fn set_slowness(&self, slowness: Duration) {
-        self.contents().slowness = slowness;
+    /// Sets a delay before each response.
+    pub fn set_response_delay(&self, response_delay: Duration) {
+        self.contents().response_delay = response_delay;
     }
 
-    /// Refuses connections, or serves again.
+    /// Starts an outage, in which connections are refused, or ends it.
     pub fn set_outage(&self, outage: bool) {
         self.contents().outage = outage;
         match outage {
-            true => self.door.shut(),
-            false => self.door.reopen(),
+            true => self.listener.close(),
+            false => self.listener.reopen(),
         }
     }
 
-    /// Requests so far.
+    /// Number of requests so far.
     pub fn requests(&self) -> u64 {
         self.contents().requests
     }
@@ -130,28 +130,28 @@
 
 impl Drop for MachineListServer {
     fn drop(&mut self) {
-        self.door.stop();
+        self.listener.stop();
     }
 }
 
-fn locked(contents: &Mutex<Contents>) -> MutexGuard<'_, Contents> {
+fn lock(contents: &Mutex<Contents>) -> MutexGuard<'_, Contents> {
     contents.lock().expect("a holder of the list lock panicked")
 }
 
 fn handle(contents: &Mutex<Contents>, request: &Request) -> Reply {
-    if request.path != PATH {
+    if request.path != MACHINES_PATH {
         return Reply::json(NOT_FOUND, "{}".into());
     }
-    let slowness = {
-        let mut contents = locked(contents);
+    let response_delay = {
+        let mut contents = lock(contents);
         contents.requests += 1;
-        contents.slowness
+        contents.response_delay
     };
-    thread::sleep(slowness);
-    let mut contents = locked(contents);
+    thread::sleep(response_delay);
+    let mut contents = lock(contents);
     if contents.outage {
         return Reply::Reset;
     }
-    let told = contents.told(Instant::now());
-    Reply::ok(serde_json::json!(told))
+    let visible_machines = contents.visible_machines(Instant::now());
+    Reply::ok(serde_json::json!(visible_machines))
 }
--- a/crates/lab/src/standin/network/event_loop.rs
+++ b/crates/lab/src/standin/network/event_loop.rs
@@ -1,4 +1,4 @@
-//! The one thread of a network: readiness of sockets, and deliveries that fall due.
+//! Event loop of a network: a single thread that handles ready sockets and delayed deliveries.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,101 +20,103 @@
 
 /// Token of the waker.
 pub const WAKE_TOKEN: Token = Token(0);
-const FIRST_PART_TOKEN: usize = 1;
-const EVENTS: usize = 1024;
-/// Longest wait without events; short, so that a loop that gets no processor time is found out.
-const IDLE_WAIT: Duration = Duration::from_millis(20);
-/// A pause of the network that the log tells: a fraction of what a node waits for a sign of life.
-const LOGGED_PAUSE: Duration = Duration::from_millis(100);
-/// Readiness waits count whole milliseconds; shorter ones are slept.
-const SHORTEST_POLL: Duration = Duration::from_millis(2);
-/// Longest sleep while a delivery is near, so that new events are seen in time.
-const SLEEP: Duration = Duration::from_micros(60);
+const FIRST_ENDPOINT_TOKEN: usize = 1;
+const EVENT_CAPACITY: usize = 1024;
+/// Longest wait without events. It is short, so that the loop notices when it gets no processor
+/// time.
+const IDLE_POLL_TIMEOUT: Duration = Duration::from_millis(20);
+/// Pauses of the network of at least this length are logged. It is a fraction of the time after
+/// which a node suspects a silent peer.
+const LOGGED_PAUSE_THRESHOLD: Duration = Duration::from_millis(100);
+/// The poll timeout has a resolution of one millisecond; the loop sleeps instead for shorter waits.
+const MIN_POLL_TIMEOUT: Duration = Duration::from_millis(2);
+/// Longest sleep before a delivery that is almost due, so that new events are handled in time.
+const MAX_SLEEP: Duration = Duration::from_micros(60);
 
-/// A relay to be added.
+/// A relay to add.
 pub enum NewRelay {
-    /// Streams.
+    /// A TCP relay.
     Tcp {
         /// Zone of the target.
         zone: ZoneNumber,
-        /// Where callers come in.
+        /// Listener of the relay.
         listener: TcpListener,
-        /// Where they are led to.
+        /// Address of the target.
         target: SocketAddr,
     },
     /// Datagrams.
     Udp {
         /// Zone of the target.
         zone: ZoneNumber,
-        /// Where they come in.
+        /// Socket of the relay.
         socket: UdpSocket,
-        /// Where they are led to.
+        /// Address of the target.
         target: SocketAddr,
     },
 }
 
-/// What a token stands for.
+/// The socket that a token identifies, and its role.
 #[derive(Debug)]
-pub enum Part {
-    /// A listener of streams.
+pub enum Endpoint {
+    /// Listener of a TCP relay.
     Listener {
         /// Zone of the target.
         zone: ZoneNumber,
-        /// The socket.
+        /// The listening socket.
         listener: TcpListener,
-        /// Where streams are led to.
+        /// Address of the target.
         target: SocketAddr,
     },
-    /// The caller's end of a stream; the value is the key of the relay.
-    Caller(usize),
-    /// The target's end of a stream.
+    /// Client side of a stream; the value is the key of the stream relay.
+    Client(usize),
+    /// Target side of a stream; the value is the key of the stream relay.
     Target(usize),
-    /// A socket at which datagrams come in; the value is the key of the relay.
+    /// Socket of a UDP relay; the value is the key of the relay.
     Datagrams(usize),
-    /// A socket that stands for one sender towards the target.
+    /// Socket from which a UDP relay sends one sender's datagrams to the target.
     Session(Session),
 }
 
-/// What every relay works with.
+/// State that all relays use.
 pub struct Shared {
     /// State of the links.
     pub links: Arc<Links>,
-    /// Where sockets are registered.
+    /// Registry for socket readiness.
     pub registry: Registry,
-    /// Meaning of tokens.
-    pub parts: Slab<Part>,
-    /// When something falls due, and for which part.
+    /// The socket of each token.
+    pub endpoints: Slab<Endpoint>,
+    /// Relays with pending deliveries, ordered by due time.
     pub due: BinaryHeap<Reverse<Due>>,
-    /// Source of losses.
+    /// Random number generator for datagram losses.
     pub random: StdRng,
 }
 
-/// Something that falls due.
+/// A time at which a relay has something to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Due {
-    /// When.
+    /// When it is due.
     pub at: Instant,
-    /// Which relay it is for.
+    /// The relay.
     pub relay: RelayKey,
 }
 
-/// A relay of either kind.
+/// Key of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RelayKey {
-    /// Of a stream.
+    /// A stream relay.
     Stream(usize),
-    /// Of datagrams.
+    /// A UDP relay.
     Datagrams(usize),
 }
 
 impl Shared {
-    /// Token of a part.
+    /// Token of the endpoint with this key.
     pub fn token(key: usize) -> Token {
-        Token(key + FIRST_PART_TOKEN)
+        Token(key + FIRST_ENDPOINT_TOKEN)
     }
 }
 
-/// The event loop.
+/// The event loop of a network.
 pub struct EventLoop {
     poll: Poll,
     new_relays: Receiver<NewRelay>,
@@ -124,23 +126,23 @@
 }
 
 impl EventLoop {
-    /// A loop without relays.
+    /// Creates a loop without relays.
     pub fn new(poll: Poll, new_relays: Receiver<NewRelay>, links: Arc<Links>, seed: u64) -> Self {
-        let registry = poll.registry().try_clone().expect("the readiness queue cannot be shared");
+        let registry = poll.registry().try_clone().expect("failed to clone the poll registry");
         let shared = Shared {
             links,
             registry,
-            parts: Slab::new(),
+            endpoints: Slab::new(),
             due: BinaryHeap::new(),
             random: StdRng::seed_from_u64(seed),
         };
         Self { poll, new_relays, shared, streams: Slab::new(), datagrams: Slab::new() }
     }
 
-    /// Works until the network is dropped.
+    /// Runs until the network is dropped.
     pub fn run(mut self) {
-        let mut events = Events::with_capacity(EVENTS);
-        let mut last_turn = Instant::now();
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
+        let mut last_iteration = Instant::now();
         while !self.shared.links.is_stopping() {
             let wait = self.wait_time();
             if self.poll.poll(&mut events, Some(wait)).is_err() {
@@ -149,7 +151,7 @@
             for event in &events {
                 match event.token() {
                     WAKE_TOKEN => self.on_wake(),
-                    token => self.on_ready(token.0 - FIRST_PART_TOKEN),
+                    token => self.on_ready(token.0 - FIRST_ENDPOINT_TOKEN),
                 }
             }
             self.deliver_due();
@@ -157,34 +159,35 @@
                 self.sleep_until_due();
             }
             let now = Instant::now();
-            self.note_pause(now.saturating_duration_since(last_turn).saturating_sub(wait));
-            last_turn = now;
+            self.record_pause(now.saturating_duration_since(last_iteration).saturating_sub(wait));
+            last_iteration = now;
         }
     }
 
-    /// Notes time in which nothing was carried that might have been: the processor was not to be had.
-    fn note_pause(&self, pause: Duration) {
-        self.shared.links.note_pause(pause);
-        if pause >= LOGGED_PAUSE {
+    /// Records time beyond the requested wait, in which the thread got no processor time, and logs
+    /// long pauses.
+    fn record_pause(&self, pause: Duration) {
+        self.shared.links.record_pause(pause);
+        if pause >= LOGGED_PAUSE_THRESHOLD {
             let paused_ms = pause.as_millis() as u64;
-            log::warn!(event = "network_paused", paused_ms = paused_ms; "the network carried nothing");
+            log::warn!(event = "network_paused", paused_ms = paused_ms; "the network thread got no processor time");
         }
     }
 
     fn wait_time(&self) -> Duration {
-        let Some(Reverse(next)) = self.shared.due.peek() else { return IDLE_WAIT };
-        let left = next.at.saturating_duration_since(Instant::now());
-        match left.checked_sub(SHORTEST_POLL) {
-            Some(rest) => Duration::from_millis(rest.as_millis() as u64).min(IDLE_WAIT),
+        let Some(Reverse(next)) = self.shared.due.peek() else { return IDLE_POLL_TIMEOUT };
+        let remaining = next.at.saturating_duration_since(Instant::now());
+        match remaining.checked_sub(MIN_POLL_TIMEOUT) {
+            Some(rest) => Duration::from_millis(rest.as_millis() as u64).min(IDLE_POLL_TIMEOUT),
             None => Duration::ZERO,
         }
     }
 
     fn sleep_until_due(&self) {
         let Some(Reverse(next)) = self.shared.due.peek() else { return };
-        let left = next.at.saturating_duration_since(Instant::now());
-        if left > SLEEP {
-            thread::sleep(SLEEP);
+        let remaining = next.at.saturating_duration_since(Instant::now());
+        if remaining > MAX_SLEEP {
+            thread::sleep(MAX_SLEEP);
         }
     }
 
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Moves what a relay can move now, and forgets it if it is over.
+    /// Lets a relay make progress, and removes it once it is closed.
     fn advance(&mut self, relay: RelayKey) {
         match relay {
             RelayKey::Stream(key) => {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Takes new relays in, and moves what a healed link lets pass.
+    /// Adds new relays, and lets all streams make progress in case a link has healed.
     fn on_wake(&mut self) {
         while let Ok(relay) = self.new_relays.try_recv() {
             self.add(relay);
@@ -229,40 +232,40 @@
     }
 
     fn add(&mut self, relay: NewRelay) {
-        let entry = self.shared.parts.vacant_entry();
+        let entry = self.shared.endpoints.vacant_entry();
         let token = Shared::token(entry.key());
         let registry = &self.shared.registry;
         match relay {
             NewRelay::Tcp { zone, mut listener, target } => {
                 registry
                     .register(&mut listener, token, Interest::READABLE)
-                    .expect("a listener cannot be registered");
-                entry.insert(Part::Listener { zone, listener, target });
+                    .expect("failed to register a listener");
+                entry.insert(Endpoint::Listener { zone, listener, target });
             }
             NewRelay::Udp { zone, mut socket, target } => {
                 registry
                     .register(&mut socket, token, Interest::READABLE)
-                    .expect("a socket cannot be registered");
+                    .expect("failed to register a socket");
                 let relay = self.datagrams.insert(DatagramRelay::new(zone, socket, target));
-                entry.insert(Part::Datagrams(relay));
+                entry.insert(Endpoint::Datagrams(relay));
             }
         }
     }
 
     fn on_ready(&mut self, key: usize) {
-        match self.shared.parts.get(key) {
-            Some(Part::Listener { .. }) => self.accept(key),
-            Some(Part::Caller(relay) | Part::Target(relay)) => {
+        match self.shared.endpoints.get(key) {
+            Some(Endpoint::Listener { .. }) => self.accept(key),
+            Some(Endpoint::Client(relay) | Endpoint::Target(relay)) => {
                 let relay = *relay;
                 self.advance(RelayKey::Stream(relay));
             }
-            Some(Part::Datagrams(relay)) => {
+            Some(Endpoint::Datagrams(relay)) => {
                 let relay = *relay;
                 self.datagrams[relay].receive(relay, &mut self.shared);
             }
-            Some(Part::Session(session)) => {
+            Some(Endpoint::Session(session)) => {
                 let relay = session.relay;
-                self.datagrams[relay].receive_answers(relay, key, &mut self.shared);
+                self.datagrams[relay].receive_replies(relay, key, &mut self.shared);
             }
             None => {}
         }
@@ -270,15 +273,17 @@
 
     fn accept(&mut self, key: usize) {
         loop {
-            let Some(Part::Listener { zone, listener, target }) = self.shared.parts.get(key) else {
+            let Some(Endpoint::Listener { zone, listener, target }) =
+                self.shared.endpoints.get(key)
+            else {
                 return;
             };
-            let Ok((caller, peer)) = listener.accept() else { return };
+            let Ok((client, peer)) = listener.accept() else { return };
             let (zone, target) = (*zone, *target);
             let from = self.shared.links.zone_or(peer.ip(), zone);
             let relay = self.streams.vacant_key();
             let stream =
-                StreamRelay::new(relay, caller, peer.ip(), from, zone, target, &mut self.shared);
+                StreamRelay::new(relay, client, peer.ip(), from, zone, target, &mut self.shared);
             self.streams.insert(stream);
             self.advance(RelayKey::Stream(relay));
         }
--- a/crates/lab/src/standin/network/links.rs
+++ b/crates/lab/src/standin/network/links.rs
@@ -8,90 +8,90 @@
 
 use super::FIRST_ZONE_OCTET;
 
-const SILENCES_POISONED: &str = "a holder of the silences lock panicked";
+const SILENCES_LOCK_PANICKED: &str = "a holder of the silences lock panicked";
 
-/// Position of a zone in its network.
+/// Index of a zone in its network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ZoneNumber(pub usize);
 
-/// One way between two zones.
+/// The link from one zone to another, in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Link {
     /// One-way delay.
     pub delay: Duration,
-    /// Share of datagrams lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// Whether nothing passes.
+    /// Whether the link carries nothing.
     pub cut: bool,
 }
 
-/// Which bytes of a connection are swallowed.
+/// The direction of a connection in which bytes are discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SilentWay {
-    /// Those from the side that opened it.
-    There,
-    /// Those to the side that opened it.
-    Back,
-    /// All.
+pub enum SilencedDirection {
+    /// From the client to the target.
+    ToTarget,
+    /// From the target to the client.
+    FromTarget,
+    /// Both directions.
     Both,
 }
 
-/// Connections that stand open and carry nothing any more.
+/// Selects open connections whose bytes are discarded.
 #[derive(Clone, Copy, Debug)]
 pub struct Silence {
     /// Zone of the exposed targets.
     pub zone: ZoneNumber,
-    /// Which bytes are swallowed.
-    pub way: SilentWay,
-    /// Connections opened before this are silent, later ones work.
+    /// Direction in which bytes are discarded.
+    pub direction: SilencedDirection,
+    /// Connections opened before this time are affected; later ones work.
     pub opened_before: Instant,
 }
 
-/// One end of a zone's line: what goes to its targets, or what comes from them.
+/// One direction of a zone's line, which all streams to its exposed targets share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LineEnd {
+pub struct LineDirection {
     /// Zone of the exposed targets.
     pub zone: ZoneNumber,
-    /// Whether the bytes lead to the targets.
-    pub is_there: bool,
+    /// Whether the bytes go to the targets rather than come from them.
+    pub to_target: bool,
 }
 
-/// What all streams of one end of a line share.
+/// State of one direction of a line.
 #[derive(Clone, Copy, Debug, Default)]
-struct Line {
-    /// Bytes a second; `None` where nothing limits them.
+struct ZoneLine {
+    /// Bandwidth in bytes per second; `None` if it is unlimited.
     rate: Option<f64>,
-    /// When everything that was sent before has passed.
-    free_at: Option<Instant>,
-    /// Bytes that were sent.
+    /// When the line has carried all bytes sent so far.
+    idle_at: Option<Instant>,
+    /// Number of bytes sent.
     bytes: u64,
 }
 
-impl Line {
-    /// Takes `bytes` in; the time at which they have passed.
-    fn pass(&mut self, bytes: usize, now: Instant) -> Instant {
+impl ZoneLine {
+    /// Sends `bytes` over the line. Returns when the line will have carried them.
+    fn transmit(&mut self, bytes: usize, now: Instant) -> Instant {
         self.bytes += bytes as u64;
         let Some(rate) = self.rate else { return now };
-        let begins = self.free_at.map_or(now, |free_at| free_at.max(now));
-        let ends = begins + Duration::from_secs_f64(bytes as f64 / rate);
-        self.free_at = Some(ends);
-        ends
+        let starts_at = self.idle_at.map_or(now, |idle_at| idle_at.max(now));
+        let ends_at = starts_at + Duration::from_secs_f64(bytes as f64 / rate);
+        self.idle_at = Some(ends_at);
+        ends_at
     }
 }
 
-/// All ways between the zones of a network.
+/// All links between the zones of a network.
 #[derive(Debug)]
 pub struct Links {
     zones: usize,
     links: Mutex<Vec<Link>>,
-    lines: Mutex<HashMap<LineEnd, Line>>,
+    lines: Mutex<HashMap<LineDirection, ZoneLine>>,
     silences: Mutex<Vec<Silence>>,
     longest_pause_us: AtomicU64,
     stopping: AtomicBool,
 }
 
 impl Links {
-    /// Links without delay, loss or cuts.
+    /// Creates links without delay, loss or cuts.
     pub fn new(zones: usize) -> Self {
         let links = Mutex::new(vec![Link::default(); zones * zones]);
         Self {
@@ -104,84 +104,84 @@
         }
     }
 
-    fn locked(&self) -> MutexGuard<'_, Vec<Link>> {
+    fn lock_links(&self) -> MutexGuard<'_, Vec<Link>> {
         self.links.lock().expect("a holder of the links lock panicked")
     }
 
     /// The link from one zone to another.
     pub fn get(&self, from: ZoneNumber, to: ZoneNumber) -> Link {
-        self.locked()[from.0 * self.zones + to.0]
+        self.lock_links()[from.0 * self.zones + to.0]
     }
 
     /// Changes the link from one zone to another.
     pub fn change(&self, from: ZoneNumber, to: ZoneNumber, change: impl FnOnce(&mut Link)) {
-        change(&mut self.locked()[from.0 * self.zones + to.0]);
+        change(&mut self.lock_links()[from.0 * self.zones + to.0]);
     }
 
-    fn line<T>(&self, end: LineEnd, work: impl FnOnce(&mut Line) -> T) -> T {
+    fn line<T>(&self, direction: LineDirection, work: impl FnOnce(&mut ZoneLine) -> T) -> T {
         let mut lines = self.lines.lock().expect("a holder of the lines lock panicked");
-        work(lines.entry(end).or_default())
+        work(lines.entry(direction).or_default())
     }
 
-    /// Limits what all streams of one end of a line carry together, in bytes a second.
-    pub fn set_rate(&self, end: LineEnd, rate: f64) {
-        self.line(end, |line| line.rate = Some(rate));
+    /// Limits the total bandwidth of all streams in one direction of a line, in bytes per second.
+    pub fn set_rate(&self, direction: LineDirection, rate: f64) {
+        self.line(direction, |line| line.rate = Some(rate));
     }
 
-    /// Whether the bytes of one end of a line are limited.
-    pub fn is_limited(&self, end: LineEnd) -> bool {
-        self.line(end, |line| line.rate.is_some())
+    /// Whether the bandwidth in one direction of a line is limited.
+    pub fn is_limited(&self, direction: LineDirection) -> bool {
+        self.line(direction, |line| line.rate.is_some())
     }
 
-    /// Puts bytes on a line; the time at which they have passed it.
-    pub fn pass(&self, end: LineEnd, bytes: usize, now: Instant) -> Instant {
-        self.line(end, |line| line.pass(bytes, now))
+    /// Sends `bytes` over a line. Returns when the line will have carried them.
+    pub fn transmit(&self, direction: LineDirection, bytes: usize, now: Instant) -> Instant {
+        self.line(direction, |line| line.transmit(bytes, now))
     }
 
-    /// Bytes that streams have put on one end of a line.
-    pub fn bytes(&self, end: LineEnd) -> u64 {
-        self.line(end, |line| line.bytes)
+    /// Number of bytes that streams have sent in one direction of a line.
+    pub fn bytes(&self, direction: LineDirection) -> u64 {
+        self.line(direction, |line| line.bytes)
     }
 
-    /// Open connections go silent.
+    /// Silences open connections.
     pub fn silence(&self, silence: Silence) {
-        self.silences.lock().expect(SILENCES_POISONED).push(silence);
+        self.silences.lock().expect(SILENCES_LOCK_PANICKED).push(silence);
     }
 
-    /// Whether the bytes that go `there` or back on a connection opened at `opened` are swallowed.
-    pub fn swallows(&self, zone: ZoneNumber, is_there: bool, opened: Instant) -> bool {
-        let silences = self.silences.lock().expect(SILENCES_POISONED);
+    /// Whether bytes in the given direction are discarded on a connection opened at `opened`.
+    pub fn discards(&self, zone: ZoneNumber, to_target: bool, opened: Instant) -> bool {
+        let silences = self.silences.lock().expect(SILENCES_LOCK_PANICKED);
         silences.iter().any(|silence| {
-            let way = match silence.way {
-                SilentWay::There => is_there,
-                SilentWay::Back => !is_there,
-                SilentWay::Both => true,
+            let is_affected = match silence.direction {
+                SilencedDirection::ToTarget => to_target,
+                SilencedDirection::FromTarget => !to_target,
+                SilencedDirection::Both => true,
             };
-            silence.zone == zone && way && opened < silence.opened_before
+            silence.zone == zone && is_affected && opened < silence.opened_before
         })
     }
 
-    /// The network has carried nothing for so long, though it might have.
-    pub fn note_pause(&self, pause: Duration) {
+    /// Records a time for which the network has carried nothing for lack of processor time.
+    pub fn record_pause(&self, pause: Duration) {
         self.longest_pause_us.fetch_max(pause.as_micros() as u64, Ordering::AcqRel);
     }
 
-    /// The longest time for which the network has carried nothing, though it might have.
+    /// The longest recorded pause.
     pub fn longest_pause(&self) -> Duration {
         Duration::from_micros(self.longest_pause_us.load(Ordering::Acquire))
     }
 
-    /// The zone of an address, or `otherwise` for addresses of none.
+    /// The zone that owns an address, or `otherwise` if no zone does.
     pub fn zone_or(&self, address: IpAddr, otherwise: ZoneNumber) -> ZoneNumber {
         zone_of(address, self.zones).unwrap_or(otherwise)
     }
 
-    /// Ends the event loop.
+    /// Tells the event loop to end.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Whether the event loop is to end.
+    /// Whether the event loop has been told to end.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
--- a/crates/lab/src/standin/store/key_calls.rs
+++ b/crates/lab/src/standin/store/key_calls.rs
@@ -1,4 +1,4 @@
-//! The store as the users' platform serves it.
+//! The key calls with which the users' platform serves its store.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -11,40 +11,40 @@
 use super::contents::{Contents, Entry, Event, KeyRange};
 use super::{Reply, Shared, WATCH_CHECK_INTERVAL};
 
-/// Items of one page.
-const PAGE: usize = 50;
-const MALFORMED: u16 = 400;
+/// Maximum number of items in one page of a range response.
+const PAGE_ITEMS: usize = 50;
+const BAD_REQUEST: u16 = 400;
 
-/// Status and body.
-type Answer = (u16, String);
+/// HTTP status and body of a response.
+type CallResponse = (u16, String);
 
-fn success(body: String) -> Answer {
+fn success(body: String) -> CallResponse {
     (200, body)
 }
 
-fn failure(status: u16) -> Answer {
+fn failure(status: u16) -> CallResponse {
     (status, "{}".to_owned())
 }
 
 impl Shared {
-    /// The refusal of a call beyond the rate.
-    pub(super) fn beyond_rate(&self) -> Reply {
+    /// The response to a call above the rate limit.
+    pub(super) fn rate_limited_reply(&self) -> Reply {
         reply(failure(RATE_LIMITED), &self.contents())
     }
 
-    /// Carries a call out.
+    /// Executes a call.
     pub(super) fn handle_key_call(&self, call: Option<KeyCall>) -> Reply {
-        let Some(call) = call else { return reply(failure(MALFORMED), &self.contents()) };
+        let Some(call) = call else { return reply(failure(BAD_REQUEST), &self.contents()) };
         if let KeyCall::Watch { prefix, after, wait } = &call {
             return self.wait_for_changes(prefix, *after, *wait);
         }
         let mut contents = self.contents();
-        let answer = carry_out(&mut contents, &call, Instant::now());
-        let is_done = answer.0 == 200;
-        let reply = reply(answer, &contents);
+        let response = execute(&mut contents, &call, Instant::now());
+        let is_success = response.0 == 200;
+        let reply = reply(response, &contents);
         drop(contents);
         self.changed.notify_all();
-        match call.is_change() && is_done && self.faults().loses_answer() {
+        match call.is_change() && is_success && self.faults().loses_response() {
             true => Reply::Reset,
             false => reply,
         }
@@ -61,8 +61,8 @@
             }
             let events = contents.events(&range, after + 1);
             if !events.is_empty() || Instant::now() >= end {
-                let answer = success(watch_answer(&events, contents.revision));
-                return reply(answer, &contents);
+                let response = success(watch_answer(&events, contents.revision));
+                return reply(response, &contents);
             }
             let waited = self.changed.wait_timeout(contents, WATCH_CHECK_INTERVAL);
             drop(waited.expect("a holder of the contents lock panicked"));
@@ -73,11 +73,11 @@
     }
 }
 
-fn reply((status, body): Answer, contents: &Contents) -> Reply {
+fn reply((status, body): CallResponse, contents: &Contents) -> Reply {
     Reply::Json { status, headers: vec![(ERA_HEADER, contents.era.to_string())], body }
 }
 
-/// The keys that begin with `prefix`.
+/// The range of all keys with this prefix.
 fn range_of(prefix: &str) -> KeyRange {
     let start = prefix.as_bytes().to_vec();
     let mut end = start.clone();
@@ -88,21 +88,21 @@
     KeyRange { start, end: Some(end) }
 }
 
-fn carry_out(contents: &mut Contents, call: &KeyCall, now: Instant) -> Answer {
+fn execute(contents: &mut Contents, call: &KeyCall, now: Instant) -> CallResponse {
     match call {
         KeyCall::Item { key } => match contents.get(key.as_bytes()) {
-            Some(entry) => success(keys::item_answer(&held(key, entry), contents.revision)),
+            Some(entry) => success(keys::item_answer(&stored_item(key, entry), contents.revision)),
             None => failure(NOT_FOUND),
         },
         KeyCall::Range { prefix, after } => range(contents, prefix, after.as_deref()),
-        KeyCall::Watch { .. } => failure(MALFORMED),
-        KeyCall::Change(change) => carry_out_change(contents, change),
-        KeyCall::Grant(life) => match contents.grant(0, *life, now) {
-            Some(number) => success(keys::lease_answer(number, *life)),
-            None => failure(MALFORMED),
+        KeyCall::Watch { .. } => failure(BAD_REQUEST),
+        KeyCall::Change(change) => execute_change(contents, change),
+        KeyCall::Grant(lifetime) => match contents.grant(0, *lifetime, now) {
+            Some(number) => success(keys::lease_answer(number, *lifetime)),
+            None => failure(BAD_REQUEST),
         },
         KeyCall::Renew(number) => match contents.keep_alive(*number, now) {
-            Some(life) => success(keys::lease_answer(*number, life)),
+            Some(lifetime) => success(keys::lease_answer(*number, lifetime)),
             None => failure(NOT_FOUND),
         },
         KeyCall::End(number) => match contents.revoke(*number) {
@@ -112,7 +112,7 @@
     }
 }
 
-fn range(contents: &Contents, prefix: &str, after: Option<&str>) -> Answer {
+fn range(contents: &Contents, prefix: &str, after: Option<&str>) -> CallResponse {
     let found = contents.range(&range_of(prefix), None);
     let found: Vec<(String, Entry)> = found
         .into_iter()
@@ -120,21 +120,21 @@
         .filter(|(key, _)| after.is_none_or(|after| key.as_str() > after))
         .collect();
     let items: Vec<StoredItem> =
-        found.iter().take(PAGE).map(|(key, entry)| held(key, entry)).collect();
-    success(keys::range_answer(&items, found.len() > PAGE, contents.revision))
+        found.iter().take(PAGE_ITEMS).map(|(key, entry)| stored_item(key, entry)).collect();
+    success(keys::range_answer(&items, found.len() > PAGE_ITEMS, contents.revision))
 }
 
-fn carry_out_change(contents: &mut Contents, change: &ChangeCall) -> Answer {
-    let holds = |(key, revision): &(String, u64)| {
+fn execute_change(contents: &mut Contents, change: &ChangeCall) -> CallResponse {
+    let is_unchanged = |(key, revision): &(String, u64)| {
         contents.get(key.as_bytes()).map_or(0, |entry| entry.modified) == *revision
     };
-    if !change.expected.iter().all(holds) {
+    if !change.expected.iter().all(is_unchanged) {
         return failure(CONDITION_FAILED);
     }
-    let is_gone = |(_, _, lease): &(String, Vec<u8>, u64)| {
-        *lease != 0 && contents.time_left(*lease, Instant::now()).is_none()
+    let has_lost_lease = |(_, _, lease): &(String, Vec<u8>, u64)| {
+        *lease != 0 && contents.remaining_time(*lease, Instant::now()).is_none()
     };
-    if change.puts.iter().any(is_gone) {
+    if change.puts.iter().any(has_lost_lease) {
         return failure(NOT_FOUND);
     }
     let revision = contents.revision + 1;
@@ -147,7 +147,7 @@
     success(keys::change_answer(contents.revision))
 }
 
-fn held<'a>(key: &'a str, entry: &'a Entry) -> StoredItem<'a> {
+fn stored_item<'a>(key: &'a str, entry: &'a Entry) -> StoredItem<'a> {
     StoredItem {
         key,
         value: &entry.value,
@@ -162,12 +162,12 @@
         .iter()
         .map(|event| (String::from_utf8_lossy(&event.key).into_owned(), event))
         .collect();
-    let told: Vec<StoredEvent> = named
+    let stored_events: Vec<StoredEvent> = named
         .iter()
         .map(|(key, event)| match &event.entry {
-            Some(entry) => StoredEvent::Written(held(key, entry)),
+            Some(entry) => StoredEvent::Written(stored_item(key, entry)),
             None => StoredEvent::Gone { key, revision: event.revision },
         })
         .collect();
-    keys::watch_answer(&told, revision)
+    keys::watch_answer(&stored_events, revision)
 }
