--- a/crates/lab/src/bench/deployment/figures.rs
+++ b/crates/lab/src/bench/deployment/figures.rs
@@ -112,7 +112,7 @@
         .attempts
         .iter()
         .filter(|attempt| matches!(attempt.outcome, Outcome::InDoubt(_) | Outcome::Disconnected))
-        .filter(|attempt| attempt.action.changes())
+        .filter(|attempt| attempt.action.may_write())
         .count();
     let violations = outcome.verdict.violations.len() as f64;
     vec![
@@ -125,7 +125,7 @@
 
 /// Whether it is one of the requests that Atlas calls orders: captions, deposits, class orders.
 pub fn is_order(action: &Action) -> bool {
-    action.changes()
+    action.may_write()
 }
 
 /// Whether it is a page.
--- a/crates/lab/src/bench/deployment/series.rs
+++ b/crates/lab/src/bench/deployment/series.rs
@@ -200,7 +200,7 @@
     for attempt in &outcome.history.attempts {
         let Some(at) = since_start(attempt.completed).checked_sub(from) else { continue };
         let step = step_of(at, GAP_STEP);
-        if attempt.group != failover.group || !attempt.action.changes() || step >= steps {
+        if attempt.group != failover.group || !attempt.action.may_write() || step >= steps {
             continue;
         }
         match attempt.outcome {
--- a/crates/lab/src/check/configuration.rs
+++ b/crates/lab/src/check/configuration.rs
@@ -4,7 +4,7 @@
 use super::violation::{Invariant, Verdict};
 
 /// Time within which an accepted change must be in force everywhere, in microseconds.
-pub const IN_FORCE_LIMIT: RunTime = RunTime(9_000_000);
+pub const ACTIVATION_LIMIT: RunTime = RunTime(9_000_000);
 
 /// Judges the revisions seen on every node.
 pub fn check(history: &History, verdict: &mut Verdict) {
@@ -30,7 +30,7 @@
 
 /// One violation for each node and change at most.
 fn check_in_force(track: &ConfigurationTrack, change: &AcceptedChange, verdict: &mut Verdict) {
-    let limit = RunTime(change.at.max(track.started).0 + IN_FORCE_LIMIT.0);
+    let limit = RunTime(change.at.max(track.started).0 + ACTIVATION_LIMIT.0);
     let late =
         track.samples.iter().find(|sample| sample.at > limit && sample.revision < change.revision);
     if let Some(sample) = late {
--- a/crates/lab/src/check/final_state.rs
+++ b/crates/lab/src/check/final_state.rs
@@ -79,7 +79,7 @@
 
 /// An instance that operators took out of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Leaving {
+pub struct RemovedInstance {
     /// The instance.
     pub instance: InstanceId,
     /// When the change was accepted.
@@ -98,7 +98,7 @@
     /// Statements in order of arrival on each connection.
     pub arrivals: Vec<Arrival>,
     /// Instances that were leaving.
-    pub leaving: Vec<Leaving>,
+    pub leaving: Vec<RemovedInstance>,
 }
 
 /// The records of all groups.
--- a/crates/lab/src/check/history.rs
+++ b/crates/lab/src/check/history.rs
@@ -83,7 +83,7 @@
 
 impl Action {
     /// Whether it may change anything.
-    pub fn changes(&self) -> bool {
+    pub fn may_write(&self) -> bool {
         !matches!(self, Self::Read(_))
     }
 }
--- a/crates/lab/src/check/index.rs
+++ b/crates/lab/src/check/index.rs
@@ -7,16 +7,16 @@
 
 /// What an operation left in the logs of its group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Traces {
+pub struct OperationCommits {
     /// Commits in the surviving history.
     pub surviving: Vec<LogPlace>,
     /// Commits that did not survive.
     pub discarded: Vec<LogPlace>,
 }
 
-impl Traces {
+impl OperationCommits {
     /// The latest place it is known from, a surviving one first.
-    pub fn place(&self) -> Option<LogPlace> {
+    pub fn latest_place(&self) -> Option<LogPlace> {
         self.surviving.iter().max().or(self.discarded.iter().max()).copied()
     }
 }
@@ -24,11 +24,12 @@
 /// All commits of a run, by operation and by row.
 #[derive(Debug, Default)]
 pub struct CommitIndex {
-    traces: HashMap<OperationId, Traces>,
+    traces: HashMap<OperationId, OperationCommits>,
     owners: HashMap<(GroupId, RowKey), Vec<OperationId>>,
 }
 
-static NO_TRACES: Traces = Traces { surviving: Vec::new(), discarded: Vec::new() };
+static NO_COMMITS: OperationCommits =
+    OperationCommits { surviving: Vec::new(), discarded: Vec::new() };
 
 impl CommitIndex {
     /// Indexes the records of a run.
@@ -50,7 +51,7 @@
         index
     }
 
-    fn entry(&mut self, operation: &OperationId) -> &mut Traces {
+    fn entry(&mut self, operation: &OperationId) -> &mut OperationCommits {
         self.traces.entry(operation.clone()).or_default()
     }
 
@@ -64,12 +65,12 @@
     }
 
     /// What `operation` left.
-    pub fn traces(&self, operation: &OperationId) -> &Traces {
-        self.traces.get(operation).unwrap_or(&NO_TRACES)
+    pub fn commits_of(&self, operation: &OperationId) -> &OperationCommits {
+        self.traces.get(operation).unwrap_or(&NO_COMMITS)
     }
 
     /// Owners that each seat had in the surviving history, in order.
-    pub fn owners(&self) -> &HashMap<(GroupId, RowKey), Vec<OperationId>> {
+    pub fn seat_owners(&self) -> &HashMap<(GroupId, RowKey), Vec<OperationId>> {
         &self.owners
     }
 }
--- a/crates/lab/src/check/back_ends.rs
+++ b/crates/lab/src/check/leaving_instances.rs
@@ -5,13 +5,13 @@
 use super::violation::{Invariant, Verdict};
 
 /// Time after which a leaving instance must have no new work, in microseconds.
-pub const LEAVING_LIMIT: RunTime = RunTime(3_000_000);
+pub const LEAVING_GRACE_PERIOD: RunTime = RunTime(3_000_000);
 
 /// Judges every statement that reached a leaving instance.
 pub fn check(state: &FinalState, verdict: &mut Verdict) {
     for group in &state.groups {
         for leaving in &group.leaving {
-            let limit = RunTime(leaving.since.0 + LEAVING_LIMIT.0);
+            let limit = RunTime(leaving.since.0 + LEAVING_GRACE_PERIOD.0);
             let late = group.arrivals.iter().filter(|arrival| {
                 let new_work = arrival.operation.is_some() && arrival.kind != StatementKind::End;
                 arrival.instance == leaving.instance && new_work && arrival.at > limit
--- a/crates/lab/src/check/mod.rs
+++ b/crates/lab/src/check/mod.rs
@@ -4,11 +4,11 @@
 //! cannot hide itself here.
 
 pub mod answers;
-pub mod back_ends;
 pub mod configuration;
 pub mod final_state;
 pub mod history;
 pub mod index;
+pub mod leaving_instances;
 pub mod reads;
 pub mod stops;
 pub mod transactions;
@@ -28,7 +28,7 @@
     writes::check(history, &index, &mut verdict);
     answers::check(history, &mut verdict);
     transactions::check(history, state, &mut verdict);
-    back_ends::check(state, &mut verdict);
+    leaving_instances::check(state, &mut verdict);
     stops::check(history, &mut verdict);
     configuration::check(history, &mut verdict);
     verdict
--- a/crates/lab/src/check/reads.rs
+++ b/crates/lab/src/check/reads.rs
@@ -49,7 +49,7 @@
 
 /// An acknowledged write that did not survive is judged as a write; it binds no read.
 fn note_write(attempt: &Attempt, row: RowKey, seen: &mut Seen, index: &CommitIndex) {
-    if let Some(place) = index.traces(&attempt.operation).surviving.iter().min() {
+    if let Some(place) = index.commits_of(&attempt.operation).surviving.iter().min() {
         let entry = seen.acknowledged.entry((attempt.group.clone(), row)).or_default();
         *entry = (*entry).max(*place);
     }
@@ -87,7 +87,7 @@
     if value == INITIAL_VALUE {
         return Some(LogPlace::default());
     }
-    index.traces(&OperationId::new(value)).place()
+    index.commits_of(&OperationId::new(value)).latest_place()
 }
 
 fn describe(attempt: &Attempt) -> String {
--- a/crates/lab/src/check/writes.rs
+++ b/crates/lab/src/check/writes.rs
@@ -9,7 +9,7 @@
 /// Judges every operation that may change something.
 pub fn check(history: &History, index: &CommitIndex, verdict: &mut Verdict) {
     let mut operations: BTreeMap<&OperationId, Vec<&Attempt>> = BTreeMap::new();
-    for attempt in history.attempts.iter().filter(|attempt| attempt.action.changes()) {
+    for attempt in history.attempts.iter().filter(|attempt| attempt.action.may_write()) {
         operations.entry(&attempt.operation).or_default().push(attempt);
     }
     for (operation, attempts) in &operations {
@@ -24,7 +24,7 @@
     index: &CommitIndex,
     verdict: &mut Verdict,
 ) {
-    let traces = index.traces(operation);
+    let traces = index.commits_of(operation);
     let effects = traces.surviving.len();
     if effects > 1 {
         verdict.add(Invariant::AtMostOnce, format!("{operation} took effect {effects} times"));
@@ -58,7 +58,7 @@
     for attempt in attempts {
         let Action::Purchase(row) = attempt.action else { continue };
         let ran = matches!(attempt.outcome, Outcome::AlreadyRan(_));
-        if ran && !index.owners().contains_key(&(attempt.group.clone(), row)) {
+        if ran && !index.seat_owners().contains_key(&(attempt.group.clone(), row)) {
             let detail = format!("{operation} by {} is told to have run", attempt.node);
             verdict.add(Invariant::AcknowledgedKept, detail);
         }
@@ -85,7 +85,7 @@
 
 fn check_seats(history: &History, index: &CommitIndex, verdict: &mut Verdict) {
     let mut buyers: BTreeMap<(&GroupId, RowKey), BTreeSet<&OperationId>> = BTreeMap::new();
-    for ((group, row), owners) in index.owners() {
+    for ((group, row), owners) in index.seat_owners() {
         buyers.entry((group, *row)).or_default().extend(owners);
     }
     for attempt in &history.attempts {
--- a/crates/lab/src/demo/check/mod.rs
+++ b/crates/lab/src/demo/check/mod.rs
@@ -20,7 +20,7 @@
 
 /// Counts of what was checked.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Checked {
+pub struct CheckCounts {
     /// Writes acknowledged.
     pub writes: usize,
     /// Reads that saw the session's last write.
@@ -41,7 +41,7 @@
     pub templates: usize,
 }
 
-impl fmt::Display for Checked {
+impl fmt::Display for CheckCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let lines = [
             (self.writes, "writes acknowledged"),
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// What was checked.
-    pub checked: Checked,
+    pub checked: CheckCounts,
     /// Checks that did not pass.
     pub failures: Vec<Failure>,
 }
@@ -131,7 +131,7 @@
 pub fn run(demo: &Demo) -> Verdict {
     let mut verdict = Verdict::default();
     for tenant in &TENANTS {
-        let subject = Subject { tenant, nodes: &demo.caller_addresses };
+        let subject = Subject { tenant, nodes: &demo.client_addresses };
         let outcome = statements::run(&subject, &mut verdict.checked);
         verdict.note("statements", outcome);
         let outcome = sessions::with_token(&subject, &mut verdict.checked);
--- a/crates/lab/src/demo/check/sessions.rs
+++ b/crates/lab/src/demo/check/sessions.rs
@@ -5,7 +5,7 @@
 
 use miette::{IntoDiagnostic, ensure, miette};
 
-use super::{Checked, READY_LIMIT, Subject};
+use super::{CheckCounts, READY_LIMIT, Subject};
 use crate::scenario::caller::connection::{Connection, Endpoint};
 
 const MOVES: i64 = 10;
@@ -24,7 +24,7 @@
 
 /// A session that hands its token back sees its writes on any node. The client library cannot
 /// carry the token, so that these connections are made by hand.
-pub fn with_token(subject: &Subject, checked: &mut Checked) -> miette::Result<()> {
+pub fn with_token(subject: &Subject, checked: &mut CheckCounts) -> miette::Result<()> {
     let table = subject.tenant.table;
     let mut token: Option<String> = None;
     for step in 0..MOVES {
@@ -55,7 +55,7 @@
 }
 
 /// A new connection without a token sees every write acknowledged before it was opened.
-pub fn without_token(subject: &Subject, checked: &mut Checked) -> miette::Result<()> {
+pub fn without_token(subject: &Subject, checked: &mut CheckCounts) -> miette::Result<()> {
     let table = subject.tenant.table;
     let insert = format!("INSERT INTO {table} VALUES ($1, 'moved', true)");
     let select = format!("SELECT count(*) FROM {table} WHERE id = $1");
--- a/crates/lab/src/demo/check/statements.rs
+++ b/crates/lab/src/demo/check/statements.rs
@@ -7,7 +7,7 @@
 use postgres::error::SqlState;
 use postgres::{Client, NoTls, SimpleQueryMessage};
 
-use super::{Checked, Subject};
+use super::{CheckCounts, Subject};
 
 const WRITES: i64 = 20;
 const PREPARED: i64 = 20;
@@ -17,7 +17,7 @@
 const CANCEL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs the checks.
-pub fn run(subject: &Subject, checked: &mut Checked) -> miette::Result<()> {
+pub fn run(subject: &Subject, checked: &mut CheckCounts) -> miette::Result<()> {
     let mut client = subject.connect(0)?;
     let table = subject.tenant.table;
     let create = format!("CREATE TABLE {table} (id BIGINT PRIMARY KEY, body TEXT, paid BOOLEAN)");
@@ -37,7 +37,7 @@
     }))
 }
 
-fn simple(client: &mut Client, table: &str, checked: &mut Checked) -> miette::Result<()> {
+fn simple(client: &mut Client, table: &str, checked: &mut CheckCounts) -> miette::Result<()> {
     for id in 0..WRITES {
         let insert = format!("INSERT INTO {table} VALUES ({id}, 'text {id}', true)");
         client.simple_query(&insert).into_diagnostic()?;
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-fn prepared(client: &mut Client, table: &str, checked: &mut Checked) -> miette::Result<()> {
+fn prepared(client: &mut Client, table: &str, checked: &mut CheckCounts) -> miette::Result<()> {
     let insert =
         client.prepare(&format!("INSERT INTO {table} VALUES ($1, $2, $3)")).into_diagnostic()?;
     let select = client
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-fn transactions(client: &mut Client, table: &str, checked: &mut Checked) -> miette::Result<()> {
+fn transactions(client: &mut Client, table: &str, checked: &mut CheckCounts) -> miette::Result<()> {
     let insert = format!("INSERT INTO {table} VALUES ($1, 'in a transaction', false)");
     let count = format!("SELECT count(*) FROM {table} WHERE id >= $1");
     for (round, commits) in (0..TRANSACTIONS).flat_map(|round| [(round, true), (round, false)]) {
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-fn errors(client: &mut Client, table: &str, checked: &mut Checked) -> miette::Result<()> {
+fn errors(client: &mut Client, table: &str, checked: &mut CheckCounts) -> miette::Result<()> {
     let cases = [
         (format!("INSERT INTO {table} VALUES (0, 'again', true)"), SqlState::UNIQUE_VIOLATION),
         ("SELECT * FROM missing".to_owned(), SqlState::UNDEFINED_TABLE),
@@ -119,7 +119,7 @@
 }
 
 /// Cancels a statement that would take far longer than the check waits.
-fn cancel(mut client: Client, checked: &mut Checked) -> miette::Result<()> {
+fn cancel(mut client: Client, checked: &mut CheckCounts) -> miette::Result<()> {
     let token = client.cancel_token();
     let running = thread::spawn(move || client.simple_query("SELECT pg_sleep(4)").map(|_| ()));
     while !running.is_finished() {
--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -67,7 +67,7 @@
     groups: Vec<DatabaseGroup>,
     nodes: Vec<Node>,
     /// Where callers connect, one address a node.
-    pub caller_addresses: Vec<SocketAddr>,
+    pub client_addresses: Vec<SocketAddr>,
     /// Where operators connect, one address a node.
     pub admin_addresses: Vec<SocketAddr>,
 }
@@ -109,7 +109,7 @@
                 Node::start(&node.settings, node.listeners, client.clone(), Policy::Standard);
             nodes.push(started.into_diagnostic()?);
         }
-        Ok(Self { store, groups, nodes, caller_addresses, admin_addresses })
+        Ok(Self { store, groups, nodes, client_addresses: caller_addresses, admin_addresses })
     }
 
     /// Where the store listens.
@@ -123,11 +123,11 @@
     }
 
     /// Lines that tell a person where to connect and how to look.
-    pub fn directions(&self) -> Vec<String> {
+    pub fn connection_instructions(&self) -> Vec<String> {
         let mut lines = Vec::new();
         for tenant in &TENANTS {
             lines.push(format!("{}, database {}:", tenant.name, tenant.database));
-            for (address, zone) in self.caller_addresses.iter().zip(ZONES) {
+            for (address, zone) in self.client_addresses.iter().zip(ZONES) {
                 lines.push(format!(
                     "  PGPASSWORD={} psql -h {} -p {} -U {} {}   # node in {zone}",
                     password_of(tenant.name),
--- a/crates/lab/src/resting.rs
+++ b/crates/lab/src/fault_events.rs
@@ -15,7 +15,7 @@
 use miette::{IntoDiagnostic, WrapErr, miette};
 
 /// Log events that rest, and what each shows.
-const RESTING_EVENTS: &[(&str, &str)] = &[
+const FAULT_EVENTS: &[(&str, &str)] = &[
     (
         "configuration_refused",
         "a configuration that cannot be used at all: a defect of the program",
@@ -32,7 +32,7 @@
 ];
 
 /// Counters that rest in a test on one machine, with what they have counted.
-pub fn moved_counters(metrics: &Metrics) -> Vec<(&'static str, u64)> {
+pub fn nonzero_fault_counters(metrics: &Metrics) -> Vec<(&'static str, u64)> {
     let counters = [
         ("configurations refused", metrics.configuration.get(ConfigurationEvent::Refused)),
         ("configurations left_out", metrics.configuration.get(ConfigurationEvent::LeftOut)),
@@ -56,21 +56,21 @@
 
 /// Events that rest and were seen in log lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Unrest {
+pub struct FaultEvents {
     seen: BTreeMap<&'static str, Seen>,
 }
 
-impl Unrest {
+impl FaultEvents {
     /// Takes in a line of a log; what is none is passed over.
-    pub fn take_in(&mut self, text: &str, default_node: &str) {
+    pub fn add_line(&mut self, text: &str, default_node: &str) {
         // Most lines of a log tell ordinary answers: only those that name an event are parsed.
         let named = |(event, _): &&(&str, &str)| text.contains(*event);
-        if !RESTING_EVENTS.iter().any(|event| named(&event)) {
+        if !FAULT_EVENTS.iter().any(|event| named(&event)) {
             return;
         }
         let Some(line) = Line::parse(text, default_node) else { return };
         let event = line.fields.get("event").and_then(|event| event.as_str()).unwrap_or_default();
-        let Some((event, _)) = RESTING_EVENTS.iter().find(|(known, _)| *known == event) else {
+        let Some((event, _)) = FAULT_EVENTS.iter().find(|(known, _)| *known == event) else {
             return;
         };
         let seen = self.seen.entry(event).or_insert_with(|| Seen {
@@ -89,7 +89,7 @@
     pub fn report(&self, allowed: &[String]) -> Vec<String> {
         let told = self.seen.iter().filter(|(event, _)| !allowed.iter().any(|one| one == *event));
         told.map(|(event, seen)| {
-            let shows = RESTING_EVENTS.iter().find(|(known, _)| known == event);
+            let shows = FAULT_EVENTS.iter().find(|(known, _)| known == event);
             format!(
                 "{event}: {} times on {} nodes from {} to {}; shows: {}",
                 seen.count,
@@ -106,7 +106,7 @@
 /// tell log events that should rest; exit code 1 if there are any
 #[derive(FromArgs)]
 #[argh(subcommand, name = "resting")]
-pub struct RestingCommand {
+pub struct FaultEventsCommand {
     /// a log, or what a run printed; may be given again
     #[argh(option)]
     log: Vec<PathBuf>,
@@ -115,10 +115,10 @@
     allow: Vec<String>,
 }
 
-impl RestingCommand {
+impl FaultEventsCommand {
     /// Reads the logs and tells what did not rest.
     pub fn run(&self) -> miette::Result<()> {
-        let mut unrest = Unrest::default();
+        let mut unrest = FaultEvents::default();
         for path in &self.log {
             read(path, &mut unrest)?;
         }
@@ -133,14 +133,14 @@
     }
 }
 
-fn read(path: &Path, unrest: &mut Unrest) -> miette::Result<()> {
+fn read(path: &Path, unrest: &mut FaultEvents) -> miette::Result<()> {
     let file = File::open(path)
         .into_diagnostic()
         .wrap_err_with(|| format!("{} cannot be read", path.display()))?;
     let default_node = path.file_stem().unwrap_or_default().to_string_lossy();
     for line in BufReader::new(file).split(b'\n') {
         let line = line.into_diagnostic()?;
-        unrest.take_in(&String::from_utf8_lossy(&line), &default_node);
+        unrest.add_line(&String::from_utf8_lossy(&line), &default_node);
     }
     Ok(())
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -3,9 +3,9 @@
 pub mod bench;
 pub mod check;
 pub mod demo;
+pub mod fault_events;
 pub mod logins;
 pub mod platform;
 pub mod report;
-pub mod resting;
 pub mod scenario;
 pub mod standin;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -6,8 +6,8 @@
 use argh::FromArgs;
 use kestrellock_lab::bench::command::{BenchCommand, CompareCommand};
 use kestrellock_lab::demo::{Demo, DemoOptions, check};
+use kestrellock_lab::fault_events::FaultEventsCommand;
 use kestrellock_lab::platform;
-use kestrellock_lab::resting::RestingCommand;
 use kestrellock_lab::scenario::command::RunCommand;
 use kestrellock_program::command_line::{self, WrongUse};
 use miette::{IntoDiagnostic, miette};
@@ -30,7 +30,7 @@
     Bench(BenchCommand),
     Compare(CompareCommand),
     Run(RunCommand),
-    Resting(RestingCommand),
+    Resting(FaultEventsCommand),
 }
 
 /// start store, database groups and three nodes on loopback
@@ -73,7 +73,7 @@
         demo.stop();
         return report(&verdict);
     }
-    for line in demo.directions() {
+    for line in demo.connection_instructions() {
         println!("{line}");
     }
     loop {
--- a/crates/lab/src/platform/check.rs
+++ b/crates/lab/src/platform/check.rs
@@ -5,7 +5,7 @@
 use kestrellock_core::catalog::Consistency;
 use miette::{ensure, miette};
 
-use super::caller::LineSession;
+use super::client::LineSession;
 use super::{GROUPS, Platform, PlatformOptions, database, wait};
 
 /// Writes of each session.
@@ -13,7 +13,7 @@
 
 /// Counts of what was checked.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Checked {
+pub struct CheckCounts {
     /// Writes acknowledged.
     pub writes: usize,
     /// Reads that saw what they had to.
@@ -28,7 +28,7 @@
     pub replaced: usize,
 }
 
-impl fmt::Display for Checked {
+impl fmt::Display for CheckCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let lines = [
             (self.writes, "writes acknowledged"),
@@ -46,10 +46,10 @@
 }
 
 /// Starts the platform and checks the whole path.
-pub fn run() -> miette::Result<Checked> {
+pub fn run() -> miette::Result<CheckCounts> {
     let platform = Platform::start(PlatformOptions::default())?;
     platform.wait_until_ready()?;
-    let mut checked = Checked::default();
+    let mut checked = CheckCounts::default();
     for group in GROUPS {
         check_sessions(&platform, group, &mut checked)?;
         check_transactions(&platform, group, &mut checked)?;
@@ -62,11 +62,15 @@
 
 /// A session that writes sees it on every later read, whichever instance serves that; and so does a
 /// new session of a route to the primary, at another node.
-fn check_sessions(platform: &Platform, group: &str, checked: &mut Checked) -> miette::Result<()> {
+fn check_sessions(
+    platform: &Platform,
+    group: &str,
+    checked: &mut CheckCounts,
+) -> miette::Result<()> {
     let own = database(group, Consistency::Session);
     let primary = database(group, Consistency::Primary);
-    let mut session = LineSession::open(platform.callers[0], &own, "own")?;
-    let mut other = LineSession::open(platform.callers[1], &primary, "other")?;
+    let mut session = LineSession::open(platform.client_addresses[0], &own, "own")?;
+    let mut other = LineSession::open(platform.client_addresses[1], &primary, "other")?;
     for number in 0..WRITES {
         let value = format!("value-{number}");
         let written = session.run(&format!("WRITE thing-{group} {value}"))?;
@@ -84,10 +88,10 @@
 fn check_transactions(
     platform: &Platform,
     group: &str,
-    checked: &mut Checked,
+    checked: &mut CheckCounts,
 ) -> miette::Result<()> {
     let name = database(group, Consistency::Primary);
-    let mut session = LineSession::open(platform.callers[2], &name, "transactions")?;
+    let mut session = LineSession::open(platform.client_addresses[2], &name, "transactions")?;
     for (end, kept) in [("COMMIT", "new"), ("ROLLBACK", "old")] {
         session.run(&format!("WRITE account-{group} old"))?;
         for text in ["BEGIN", &format!("WRITE account-{group} new"), end] {
@@ -101,10 +105,14 @@
     Ok(())
 }
 
-fn check_prepared(platform: &Platform, group: &str, checked: &mut Checked) -> miette::Result<()> {
+fn check_prepared(
+    platform: &Platform,
+    group: &str,
+    checked: &mut CheckCounts,
+) -> miette::Result<()> {
     let name = database(group, Consistency::Session);
-    let mut one = LineSession::open(platform.callers[0], &name, "prepared-1")?;
-    let mut two = LineSession::open(platform.callers[0], &name, "prepared-2")?;
+    let mut one = LineSession::open(platform.client_addresses[0], &name, "prepared-1")?;
+    let mut two = LineSession::open(platform.client_addresses[0], &name, "prepared-2")?;
     one.run("PREPARE s WRITE shape-a")?;
     two.run("PREPARE s READ shape-b")?;
     let written = one.run(&format!("EXECUTE s page-{group} text"))?;
@@ -115,15 +123,15 @@
     Ok(())
 }
 
-fn check_refusals(platform: &Platform, checked: &mut Checked) -> miette::Result<()> {
-    let refused = LineSession::open(platform.callers[0], "nobody", "stranger");
+fn check_refusals(platform: &Platform, checked: &mut CheckCounts) -> miette::Result<()> {
+    let refused = LineSession::open(platform.client_addresses[0], "nobody", "stranger");
     let refusal = refused.err().ok_or_else(|| miette!("an unknown database was accepted"))?;
     ensure!(refusal.to_string().starts_with("NODB"), "{refusal}");
     let name = database(GROUPS[0], Consistency::Session);
-    let mut session = LineSession::open(platform.callers[0], &name, "careless")?;
+    let mut session = LineSession::open(platform.client_addresses[0], &name, "careless")?;
     for (text, word) in [("EXECUTE nothing x", "NOSTMT"), ("DANCE", "MALFORMED")] {
         let answer = session.run(text)?;
-        ensure!(answer.error() == Some(word), "{text}: {answer:?}");
+        ensure!(answer.error_code() == Some(word), "{text}: {answer:?}");
         checked.refusals += 1;
     }
     checked.refusals += 1;
@@ -131,10 +139,10 @@
 }
 
 /// The primary dies: another one takes over, and nothing acknowledged is lost.
-fn check_replacement(platform: &Platform, checked: &mut Checked) -> miette::Result<()> {
+fn check_replacement(platform: &Platform, checked: &mut CheckCounts) -> miette::Result<()> {
     let group = &platform.groups[0];
     let name = database(GROUPS[0], Consistency::Primary);
-    let mut session = LineSession::open(platform.callers[0], &name, "survivor")?;
+    let mut session = LineSession::open(platform.client_addresses[0], &name, "survivor")?;
     let before = session.run("WRITE kept yes")?;
     ensure!(before.is_success(), "{before:?}");
     let old = group.primary().ok_or_else(|| miette!("no primary"))?;
--- a/crates/lab/src/platform/caller.rs
+++ b/crates/lab/src/platform/client.rs
@@ -11,7 +11,7 @@
 
 const READ_BYTES: usize = 16 * 1024;
 /// Longest wait for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(20);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 impl Answer {
     /// The word of the error, if it is one.
-    pub fn error(&self) -> Option<&str> {
+    pub fn error_code(&self) -> Option<&str> {
         self.outcome.as_ref().err().map(|(word, _)| word.as_str())
     }
 
@@ -61,7 +61,7 @@
         let mut output = BytesMut::new();
         lines::put_startup(database, key, &mut output);
         session.send(&output)?;
-        match session.heard()? {
+        match session.next_message()? {
             Some(ServerMessage::Ready(_)) => Ok(session),
             Some(ServerMessage::Error(word, text)) => Err(miette!("{word}: {text}")),
             other => Err(miette!("unexpected: {other:?}")),
@@ -71,7 +71,7 @@
     /// Connects without saying anything.
     pub fn connect(address: SocketAddr, name: &str) -> miette::Result<Self> {
         let stream = TcpStream::connect(address).into_diagnostic()?;
-        stream.set_read_timeout(Some(ANSWER_LIMIT)).into_diagnostic()?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).into_diagnostic()?;
         stream.set_nodelay(true).into_diagnostic()?;
         Ok(Self { stream, input: BytesMut::new(), next_id: 0, name: name.to_owned() })
     }
@@ -82,12 +82,12 @@
     }
 
     /// The id that the next statement will have.
-    pub fn coming_id(&self) -> String {
+    pub fn next_statement_id(&self) -> String {
         format!("{}-{}", self.name, self.next_id + 1)
     }
 
     /// Sends a statement without waiting for its answer.
-    pub fn begin(&mut self, text: &str) -> miette::Result<()> {
+    pub fn send_statement(&mut self, text: &str) -> miette::Result<()> {
         self.next_id += 1;
         let id = format!("{}-{}", self.name, self.next_id);
         let mut output = BytesMut::new();
@@ -97,16 +97,16 @@
 
     /// Runs a statement.
     pub fn run(&mut self, text: &str) -> miette::Result<Answer> {
-        self.begin(text)?;
-        self.answer()
+        self.send_statement(text)?;
+        self.read_answer()
     }
 
     /// Waits for an answer.
-    pub fn answer(&mut self) -> miette::Result<Answer> {
+    pub fn read_answer(&mut self) -> miette::Result<Answer> {
         let mut rows = Vec::new();
         let mut outcome = None;
         loop {
-            match self.heard()? {
+            match self.next_message()? {
                 Some(ServerMessage::Row(row)) => rows.push(row),
                 Some(ServerMessage::Done(signature)) => outcome = Some(Ok(signature)),
                 Some(ServerMessage::Error(word, text)) => outcome = Some(Err((word, text))),
@@ -120,7 +120,7 @@
     }
 
     /// The next message; `None` at the end of the stream.
-    pub fn heard(&mut self) -> miette::Result<Option<ServerMessage>> {
+    pub fn next_message(&mut self) -> miette::Result<Option<ServerMessage>> {
         let mut chunk = [0; READ_BYTES];
         loop {
             if let Some(heard) = lines::next_server_message(&mut self.input) {
--- a/crates/lab/src/platform/mod.rs
+++ b/crates/lab/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! The users' platform in one process on loopback: store, instances, promotions, and nodes before
 //! them; and a caller that speaks their wire.
 
-pub mod caller;
 pub mod check;
+pub mod client;
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,8 +30,8 @@
 /// Groups.
 pub const GROUPS: [&str; 2] = ["orders", "tickets"];
 /// Longest wait for anything that must come.
-pub const LIMIT: Duration = Duration::from_secs(30);
-const STEP: Duration = Duration::from_millis(5);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_STALENESS_MS: u64 = 1_500;
 /// Seed of the relays, which lose nothing by chance here.
 const RELAY_SEED: u64 = 1;
@@ -43,13 +43,13 @@
     /// Nodes, in the zones in turn.
     pub nodes: usize,
     /// How long replicas apply after they have received.
-    pub lag: Duration,
+    pub replica_lag: Duration,
     /// Time that a promotion takes.
-    pub promotion: Duration,
+    pub promotion_delay: Duration,
     /// Connections that an instance accepts.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Replicas that a commit must have reached before it is answered.
-    pub synchronous: usize,
+    pub synchronous_replicas: usize,
     /// Whether the operator has written a configuration.
     pub configured: bool,
     /// Whether nodes reach each other and the store through relays, on which faults can be played.
@@ -75,10 +75,10 @@
     fn default() -> Self {
         Self {
             nodes: 3,
-            lag: Duration::from_millis(5),
-            promotion: Duration::from_millis(120),
-            connections: 40,
-            synchronous: 1,
+            replica_lag: Duration::from_millis(5),
+            promotion_delay: Duration::from_millis(120),
+            max_connections: 40,
+            synchronous_replicas: 1,
             configured: true,
             relayed: false,
             revocation_limit: None,
@@ -104,9 +104,9 @@
     store_address: String,
     nodes: Vec<Option<Node>>,
     /// Where callers connect, by node.
-    pub callers: Vec<SocketAddr>,
+    pub client_addresses: Vec<SocketAddr>,
     /// Where operators connect, by node.
-    pub admins: Vec<SocketAddr>,
+    pub admin_addresses: Vec<SocketAddr>,
 }
 
 /// A database name for each route type of a group.
@@ -120,23 +120,24 @@
 }
 
 /// Database of a further route. Its name repeats nothing of the others', as operators' names do not.
-pub fn further_database(number: usize) -> String {
+pub fn extra_database(number: usize) -> String {
     let mixed = (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     format!("d{:013x}", mixed >> 12)
 }
 
 /// Zone of the relay before a node.
-pub fn node_relay(number: usize) -> ZoneName {
+pub fn node_relay_zone(number: usize) -> ZoneName {
     ZoneName::new(format!("node-{number}"))
 }
 
 /// Zone of the relay before the store.
-pub fn store_relay() -> ZoneName {
+pub fn store_relay_zone() -> ZoneName {
     ZoneName::new("store")
 }
 
 fn relays(nodes: usize) -> io::Result<Arc<Network>> {
-    let zones: Vec<ZoneName> = (0..nodes).map(node_relay).chain([store_relay()]).collect();
+    let zones: Vec<ZoneName> =
+        (0..nodes).map(node_relay_zone).chain([store_relay_zone()]).collect();
     Network::new(&zones, RELAY_SEED)
 }
 
@@ -149,19 +150,20 @@
             let group = InstanceOptions {
                 group: name.to_owned(),
                 zones: ZONES.map(str::to_owned).into(),
-                synchronous: options.synchronous,
-                lag: options.lag,
-                connections: options.connections,
+                synchronous: options.synchronous_replicas,
+                lag: options.replica_lag,
+                connections: options.max_connections,
                 slots: 3,
             };
             groups.push(InstanceGroup::start(group, store.writer()).into_diagnostic()?);
         }
-        let promotions = PromotionService::start(&groups, options.promotion).into_diagnostic()?;
+        let promotions =
+            PromotionService::start(&groups, options.promotion_delay).into_diagnostic()?;
         let network =
             options.relayed.then(|| relays(options.nodes)).transpose().into_diagnostic()?;
         let store_address = match &network {
             Some(network) => {
-                let zone = store_relay();
+                let zone = store_relay_zone();
                 let exposed = network.expose_tcp(&zone, store.address).into_diagnostic()?;
                 format!("http://{exposed}")
             }
@@ -176,8 +178,8 @@
             version: 0,
             customers: None,
             nodes: Vec::new(),
-            callers: Vec::new(),
-            admins: Vec::new(),
+            client_addresses: Vec::new(),
+            admin_addresses: Vec::new(),
             options,
         };
         if platform.options.configured {
@@ -190,7 +192,7 @@
     }
 
     /// The store is away for a time, and comes back from a copy; the instances write their entries again.
-    pub fn put_store_back(&self, copy: &StoreCopy, away: Duration) {
+    pub fn restore_store(&self, copy: &StoreCopy, away: Duration) {
         self.store.set_outage(true);
         std::thread::sleep(away);
         self.store.put_back(copy);
@@ -211,17 +213,14 @@
 
     /// The same with one further route for each of `further`: the time within which its statements are
     /// answered, in milliseconds.
-    pub fn configure_further(&mut self, further: &[u64]) {
+    pub fn configure_extra_routes(&mut self, further: &[u64]) {
         self.write_configuration(&[], further);
     }
 
     fn write_configuration(&mut self, without: &[&str], further: &[u64]) {
         self.version += 1;
-        let further: Vec<(String, u64)> = further
-            .iter()
-            .enumerate()
-            .map(|(number, ms)| (further_database(number), *ms))
-            .collect();
+        let further: Vec<(String, u64)> =
+            further.iter().enumerate().map(|(number, ms)| (extra_database(number), *ms)).collect();
         let mut names: Vec<(String, &str, Consistency)> = Vec::new();
         for group in GROUPS {
             for consistency in [Consistency::Primary, Consistency::Bounded, Consistency::Session] {
@@ -252,8 +251,8 @@
             .iter()
             .map(|name| GroupEntry {
                 name,
-                connections: self.options.connections as u32,
-                synchronous: self.options.synchronous as u32,
+                connections: self.options.max_connections as u32,
+                synchronous: self.options.synchronous_replicas as u32,
             })
             .collect();
         let value = self.configuration_value(&routes, &groups);
@@ -300,24 +299,24 @@
         let mut settings = self.settings(number);
         let listeners = Listeners::bind(&mut settings).map_err(io::Error::other)?;
         if let Some(network) = &self.network {
-            let exposed = network.expose(&node_relay(number), settings.peer_address)?;
+            let exposed = network.expose(&node_relay_zone(number), settings.peer_address)?;
             settings.advertised_peer_address = Some(exposed);
         }
         let node = start_node(&settings, listeners)?;
-        self.callers.push(settings.caller_address);
-        self.admins.push(settings.admin_address);
+        self.client_addresses.push(settings.caller_address);
+        self.admin_addresses.push(settings.admin_address);
         self.nodes.push(Some(node));
         Ok(())
     }
 
     /// Starts a node again under its name, at other ports. Not for nodes behind relays.
-    pub fn start_node_again(&mut self, number: usize) -> miette::Result<()> {
+    pub fn restart_node(&mut self, number: usize) -> miette::Result<()> {
         let mut settings = self.settings(number);
         let listeners =
             Listeners::bind(&mut settings).map_err(io::Error::other).into_diagnostic()?;
         let node = start_node(&settings, listeners).into_diagnostic()?;
-        self.callers[number] = settings.caller_address;
-        self.admins[number] = settings.admin_address;
+        self.client_addresses[number] = settings.caller_address;
+        self.admin_addresses[number] = settings.admin_address;
         self.nodes[number] = Some(node);
         Ok(())
     }
@@ -395,12 +394,12 @@
 
 /// Waits until something holds.
 pub fn wait(what: &str, mut holds: impl FnMut() -> bool) -> miette::Result<()> {
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         if Instant::now() >= end {
             return Err(miette!("not in time: {what}"));
         }
-        std::thread::sleep(STEP);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
--- a/crates/lab/src/report/latency.rs
+++ b/crates/lab/src/report/latency.rs
@@ -42,7 +42,7 @@
     }
 
     /// Takes in everything that `other` recorded.
-    pub fn add(&mut self, other: &Latencies) {
+    pub fn merge(&mut self, other: &Latencies) {
         for (class, histogram) in &other.classes {
             self.histogram(class)
                 .add(histogram)
--- a/crates/lab/src/report/measurement.rs
+++ b/crates/lab/src/report/measurement.rs
@@ -75,7 +75,7 @@
         let mut writes: BTreeMap<&OperationId, Vec<&Attempt>> = BTreeMap::new();
         for attempt in &history.attempts {
             measurement.count_result(&attempt.outcome);
-            if attempt.action.changes() {
+            if attempt.action.may_write() {
                 writes.entry(&attempt.operation).or_default().push(attempt);
             } else {
                 measurement.count_read(attempt);
@@ -83,7 +83,7 @@
         }
         writes.values().for_each(|attempts| measurement.count_write(attempts));
         for failover in failovers {
-            measurement.failovers.push(gap_of(seed, failover, history));
+            measurement.failovers.push(failover_gap(seed, failover, history));
         }
         measurement
     }
@@ -143,7 +143,7 @@
     }
 
     /// Takes in the counts of another run.
-    pub fn add(&mut self, other: &Measurement) {
+    pub fn merge(&mut self, other: &Measurement) {
         self.acknowledged += other.acknowledged;
         self.not_run += other.not_run;
         self.in_doubt += other.in_doubt;
@@ -157,7 +157,7 @@
         for (name, count) in &other.results {
             *self.results.entry(name.clone()).or_default() += count;
         }
-        self.latency.add(&other.latency);
+        self.latency.merge(&other.latency);
         self.failovers.extend(other.failovers.iter().cloned());
     }
 }
@@ -169,11 +169,11 @@
     }
 }
 
-fn gap_of(seed: u64, failover: &Failover, history: &History) -> FailoverGap {
+fn failover_gap(seed: u64, failover: &Failover, history: &History) -> FailoverGap {
     let first_write = history
         .attempts
         .iter()
-        .filter(|attempt| attempt.group == failover.group && attempt.action.changes())
+        .filter(|attempt| attempt.group == failover.group && attempt.action.may_write())
         .filter(|attempt| attempt.outcome.is_acknowledged(&attempt.action))
         .map(|attempt| attempt.completed)
         .filter(|completed| *completed > failover.promoted)
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -113,10 +113,10 @@
             ..Self::default()
         };
         for run in runs {
-            total.add(&run.measurement);
+            total.merge(&run.measurement);
             report.add_verdict(run);
         }
-        report.take_counts(&total);
+        report.set_totals(&total);
         report
     }
 
@@ -140,7 +140,7 @@
         }
     }
 
-    fn take_counts(&mut self, total: &Measurement) {
+    fn set_totals(&mut self, total: &Measurement) {
         self.replica_read_share = total.replica_read_share();
         self.failover_gap_ms = total.failovers.clone();
         let mut added: Vec<f64> = total.failovers.iter().filter_map(|gap| gap.added).collect();
@@ -178,7 +178,7 @@
     }
 
     /// The invariants that were broken, how often, and the first case in full.
-    pub fn broken(&self) -> String {
+    pub fn broken_invariants(&self) -> String {
         let broken = self.violations.iter().filter(|(_, count)| **count > 0);
         let counts: Vec<String> =
             broken.map(|(invariant, count)| format!("{invariant:?}: {count}")).collect();
--- a/crates/lab/src/scenario/command.rs
+++ b/crates/lab/src/scenario/command.rs
@@ -101,7 +101,7 @@
         report.write(&self.out).into_diagnostic()?;
         Report::write_traces(&self.out, &runs).into_diagnostic()?;
         println!("{}", report.summary());
-        ensure!(report.violation_count() == 0, "{}", report.broken());
+        ensure!(report.violation_count() == 0, "{}", report.broken_invariants());
         Ok(())
     }
 }
--- a/crates/lab/tests/accounts.rs
+++ b/crates/lab/tests/accounts.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_core::catalog::Consistency;
-use kestrellock_lab::platform::caller::{Answer, LineSession};
+use kestrellock_lab::platform::client::{Answer, LineSession};
 use kestrellock_lab::platform::{Customer, GROUPS, Platform, PlatformOptions, database, wait};
 
 /// Refusals after which an account has surely asked for more than it may.
@@ -34,7 +34,7 @@
 
 fn open(platform: &Platform, node: usize, key: &str, name: &str) -> miette::Result<LineSession> {
     let database = database(GROUPS[0], Consistency::Session);
-    LineSession::open_with_key(platform.callers[node], &database, key, name)
+    LineSession::open_with_key(platform.client_addresses[node], &database, key, name)
 }
 
 fn run(session: &mut LineSession, text: &str) -> Answer {
@@ -46,7 +46,7 @@
     let end = Instant::now() + Duration::from_secs(10);
     loop {
         let answer = run(session, text);
-        if answer.error() != Some("BUSY") || Instant::now() >= end {
+        if answer.error_code() != Some("BUSY") || Instant::now() >= end {
             return answer;
         }
         std::thread::sleep(Duration::from_millis(20));
@@ -58,7 +58,7 @@
     let customers = ["atlas", "gidanmu", "swanreach"]
         .map(|name| customer(name, &[&format!("{name}-1"), &format!("{name}-2")], PLENTY));
     let platform =
-        start(PlatformOptions { connections: 8, ..PlatformOptions::default() }, &customers);
+        start(PlatformOptions { max_connections: 8, ..PlatformOptions::default() }, &customers);
     let mut expected = BTreeMap::new();
     for round in 0..4 {
         for (number, customer) in customers.iter().enumerate() {
@@ -66,7 +66,7 @@
                 let name = format!("{}-{index}-{round}", customer.name);
                 let mut session =
                     open(&platform, (number + round) % 3, key, &name).expect("it opens");
-                let id = session.coming_id();
+                let id = session.next_statement_id();
                 assert!(run_patiently(&mut session, "READ page").is_success(), "{id}");
                 expected.insert(name, customer.name.clone());
             }
@@ -127,15 +127,15 @@
         let answer = resting.run("COMMIT");
         match answer {
             Ok(answer) => {
-                assert_ne!(answer.outcome.is_ok(), answer.error().is_some());
-                answer.error() == Some("UNAUTH")
+                assert_ne!(answer.outcome.is_ok(), answer.error_code().is_some());
+                answer.error_code() == Some("UNAUTH")
             }
             Err(_) => true,
         }
     })
     .expect("in time");
     wait("the idle session is closed", || {
-        idle.run("READ seat").map_or(true, |answer| answer.error() == Some("UNAUTH"))
+        idle.run("READ seat").map_or(true, |answer| answer.error_code() == Some("UNAUTH"))
     })
     .expect("in time");
     assert!(run_patiently(&mut stays, "READ seat").is_success(), "another key of the account");
@@ -209,7 +209,7 @@
     let few = customer("few", &["few"], (0.0, 1.0));
     let platform = start(PlatformOptions::default(), &[none, few]);
     let mut nothing = open(&platform, 0, "none", "n").expect("it opens");
-    assert_eq!(run(&mut nothing, "READ page").error(), Some("BUSY"));
+    assert_eq!(run(&mut nothing, "READ page").error_code(), Some("BUSY"));
     let mut few = open(&platform, 0, "few", "f").expect("it opens");
     assert!(run_patiently(&mut few, "BEGIN").is_success());
     for number in 0..20 {
@@ -236,7 +236,7 @@
     let is_revoked = |platform: &Platform, node| open(platform, node, "old", "late").is_err();
     wait("the key is out of use", || (0..3).all(|node| is_revoked(&platform, node)))
         .expect("in time");
-    platform.put_store_back(&copy, Duration::from_millis(500));
+    platform.restore_store(&copy, Duration::from_millis(500));
     let end = Instant::now() + Duration::from_secs(3);
     while Instant::now() < end {
         assert!((0..3).all(|node| is_revoked(&platform, node)), "the copy holds the key");
--- a/crates/lab/tests/bad_input.rs
+++ b/crates/lab/tests/bad_input.rs
@@ -57,7 +57,7 @@
 fn a_caller_that_breaks_the_protocol_is_refused_and_nobody_else_notices() {
     let demo = Demo::start().expect("demonstration");
     let mut witness = connect(&demo, 0);
-    let address = demo.caller_addresses[0];
+    let address = demo.client_addresses[0];
     let parameters = b"user\0atlas\0database\0orders\0\0";
     let sasl = [&startup(0x0003_0000, parameters)[..], b"Q\0\0\0\x0dSELECT 1\0"].concat();
     let before_login: &[(&str, Vec<u8>, &str)] = &[
@@ -95,7 +95,7 @@
 fn a_flood_of_half_open_connections_keeps_no_logged_in_caller_out() {
     let demo = Demo::start().expect("demonstration");
     let mut witness = connect(&demo, 0);
-    let address = demo.caller_addresses[0];
+    let address = demo.client_addresses[0];
     let flood: Vec<TcpStream> =
         (0..MAX_PENDING_LOGINS).map(|_| TcpStream::connect(address).expect("connects")).collect();
     let refused = said_until_close(TcpStream::connect(address).expect("connects"));
@@ -112,7 +112,7 @@
     const REQUESTS: usize = 20_000;
     let demo = Demo::start().expect("demonstration");
     let mut witness = connect(&demo, 0);
-    let stream = logged_in(demo.caller_addresses[0]);
+    let stream = logged_in(demo.client_addresses[0]);
     let mut writer = stream.try_clone().expect("two handles");
     let sender = std::thread::spawn(move || {
         // Larger than what the node buffers of a caller.
--- a/crates/lab/tests/baselines.rs
+++ b/crates/lab/tests/baselines.rs
@@ -17,7 +17,7 @@
     let scenario = Scenario::load(&path).expect("the scenario is valid");
     let runs = run_seeds(&scenario, &SEEDS, 2, policy).expect("the runs end");
     let report = Report::new(name, "baseline", &runs);
-    assert!(report.violations[&broken] > 0, "{}; {}", report.summary(), report.broken());
+    assert!(report.violations[&broken] > 0, "{}; {}", report.summary(), report.broken_invariants());
 }
 
 #[test]
--- a/crates/lab/tests/check/histories.rs
+++ b/crates/lab/tests/check/histories.rs
@@ -140,7 +140,7 @@
             .history
             .attempts
             .iter()
-            .filter(|attempt| attempt.action.changes())
+            .filter(|attempt| attempt.action.may_write())
             .filter(|attempt| attempt.outcome.is_acknowledged(&attempt.action))
             .map(|attempt| attempt.operation.clone())
             .collect();
--- a/crates/lab/tests/class_service.rs
+++ b/crates/lab/tests/class_service.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use kestrellock_core::catalog::Consistency;
-use kestrellock_lab::platform::caller::LineSession;
+use kestrellock_lab::platform::client::LineSession;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, database, wait};
 
 /// Sessions of each class; they enter at the nodes in turn.
@@ -57,7 +57,7 @@
     let name = |number: usize| format!("{consistency:?}{number}");
     let mut sessions: Vec<LineSession> = (0..SESSIONS)
         .map(|number| {
-            let node = platform.callers[number % platform.callers.len()];
+            let node = platform.client_addresses[number % platform.client_addresses.len()];
             LineSession::open(node, &route, &name(number)).expect("it opens")
         })
         .collect();
@@ -68,16 +68,16 @@
             for (number, session) in sessions.iter_mut().enumerate() {
                 let text = format!("WRITE page{number} v{round}");
                 let answer = session.run(&text).expect("an answer");
-                served.refused.extend(answer.error().map(|error| format!("{text}: {error}")));
+                served.refused.extend(answer.error_code().map(|error| format!("{text}: {error}")));
             }
         }
         std::thread::sleep(PAUSE);
         for _ in 0..READS {
             for (number, session) in sessions.iter_mut().enumerate() {
-                reads.insert(session.coming_id());
+                reads.insert(session.next_statement_id());
                 let text = format!("READ page{number}");
                 let answer = session.run(&text).expect("an answer");
-                served.refused.extend(answer.error().map(|error| format!("{text}: {error}")));
+                served.refused.extend(answer.error_code().map(|error| format!("{text}: {error}")));
             }
         }
     }
@@ -89,12 +89,17 @@
 
 fn serves_each_class(deployment: Deployment) {
     let Deployment { nodes, connections, synchronous } = deployment;
-    let options = PlatformOptions { nodes, connections, synchronous, ..PlatformOptions::default() };
+    let options = PlatformOptions {
+        nodes,
+        max_connections: connections,
+        synchronous_replicas: synchronous,
+        ..PlatformOptions::default()
+    };
     let platform = Platform::start(options).expect("it starts");
     platform.wait_until_ready().expect("it is ready");
     wait("a write is answered", || {
         let route = database(GROUPS[0], Consistency::Primary);
-        let session = LineSession::open(platform.callers[0], &route, "first");
+        let session = LineSession::open(platform.client_addresses[0], &route, "first");
         session
             .is_ok_and(|mut session| session.run("WRITE first 1").is_ok_and(|one| one.is_success()))
     })
@@ -147,7 +152,7 @@
     let options = PlatformOptions { nodes: 2, ..PlatformOptions::default() };
     let platform = Platform::start(options).expect("it starts");
     platform.wait_until_ready().expect("it is ready");
-    let (group, node) = (&platform.groups[0], platform.callers[1]);
+    let (group, node) = (&platform.groups[0], platform.client_addresses[1]);
     let route = |consistency| database(GROUPS[0], consistency);
     let mut writer =
         LineSession::open(node, &route(Consistency::Primary), "writer").expect("it opens");
@@ -161,9 +166,9 @@
         })
         .collect();
     for session in &mut sessions {
-        session.begin("READ page").expect("it is sent");
+        session.send_statement("READ page").expect("it is sent");
     }
-    let answers = sessions.iter_mut().map(|session| session.answer().expect("an answer"));
+    let answers = sessions.iter_mut().map(|session| session.read_answer().expect("an answer"));
     let answered = answers.filter(|answer| answer.is_success()).count();
     let others = BURST - answered;
     assert!(answered >= BURST / 2, "{others} of {BURST} waited for {nearest}");
--- a/crates/lab/tests/foreign_entries.rs
+++ b/crates/lab/tests/foreign_entries.rs
@@ -3,7 +3,7 @@
 //! primary any more; one among the nodes' was waited for by each replacement.
 
 use kestrellock_core::catalog::Consistency;
-use kestrellock_lab::platform::caller::LineSession;
+use kestrellock_lab::platform::client::LineSession;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, database, wait};
 use kestrellock_platform::standin::foreign::foreign_entries;
 
@@ -32,7 +32,7 @@
         .expect("in time");
     wait("writes go on", || {
         let database = database(GROUPS[0], Consistency::Primary);
-        let session = LineSession::open(platform.callers[0], &database, "w");
+        let session = LineSession::open(platform.client_addresses[0], &database, "w");
         session.is_ok_and(|mut session| {
             session.run("WRITE seat taken").is_ok_and(|answer| answer.is_success())
         })
--- a/crates/lab/tests/instance_entries.rs
+++ b/crates/lab/tests/instance_entries.rs
@@ -16,7 +16,7 @@
 use kestrellock_core::routing::Role;
 use kestrellock_daemon::metrics::ConfigurationEvent;
 use kestrellock_daemon::node::Node;
-use kestrellock_lab::platform::caller::LineSession;
+use kestrellock_lab::platform::client::LineSession;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, ZONES, database, wait};
 use kestrellock_platform::standin::entries::InstanceEntry;
 use kestrellock_platform::standin::foreign::broken_entries;
@@ -50,7 +50,7 @@
 
 fn open(platform: &Platform, node: usize, consistency: Consistency, name: &str) -> LineSession {
     let database = database(GROUPS[0], consistency);
-    LineSession::open(platform.callers[node], &database, name).expect("it opens")
+    LineSession::open(platform.client_addresses[node], &database, name).expect("it opens")
 }
 
 fn replica_zone(platform: &Platform, instance: &str) -> String {
@@ -100,7 +100,7 @@
         platform.groups[0].start_again_as(&primary, successor);
         wait(&format!("writes go on with {successor}"), || {
             let Ok(mut writer) = LineSession::open(
-                platform.callers[1],
+                platform.client_addresses[1],
                 &database(GROUPS[0], Consistency::Primary),
                 "v",
             ) else {
--- a/crates/lab/tests/large_configuration.rs
+++ b/crates/lab/tests/large_configuration.rs
@@ -18,7 +18,7 @@
 use kestrellock_daemon::metrics::{ConfigurationEvent, ConnectionEvent};
 use kestrellock_daemon::node::Node;
 use kestrellock_lab::platform::{
-    Platform, PlatformOptions, ZONES, further_database, node_relay, store_relay, wait,
+    Platform, PlatformOptions, ZONES, extra_database, node_relay_zone, store_relay_zone, wait,
 };
 use kestrellock_lab::standin::network::links::SilentWay;
 use kestrellock_peer::catalog_transfer;
@@ -54,12 +54,13 @@
     let platform = Platform::start(options).expect("it starts");
     platform.wait_until_ready().expect("it is ready");
     let network = platform.network.as_ref().expect("relays");
-    (0..NODES).for_each(|node| network.limit_streams(&node_relay(node), LINK_BYTES_PER_SECOND));
+    (0..NODES)
+        .for_each(|node| network.limit_streams(&node_relay_zone(node), LINK_BYTES_PER_SECOND));
     platform
 }
 
 fn deadline_of(node: &Node, route: usize) -> Option<u64> {
-    let tenant = TenantName::new(further_database(route));
+    let tenant = TenantName::new(extra_database(route));
     Some(node.context.catalog.load().parameters(&tenant)?.values.deadline_ms.0)
 }
 
@@ -72,7 +73,7 @@
 
 fn stream_bytes(platform: &Platform) -> u64 {
     let network = platform.network.as_ref().expect("relays");
-    (0..NODES).map(|node| network.stream_bytes(&node_relay(node))).sum()
+    (0..NODES).map(|node| network.stream_bytes(&node_relay_zone(node))).sum()
 }
 
 fn silent_links(platform: &Platform) -> u64 {
@@ -102,7 +103,7 @@
         let mut platform = start();
         let pulled = count(&platform, ConfigurationEvent::Fetched);
         let served = count(&platform, ConfigurationEvent::Served);
-        platform.configure_further(&[FIRST_TIMEOUT_MS; ROUTES]);
+        platform.configure_extra_routes(&[FIRST_TIMEOUT_MS; ROUTES]);
         wait_for_deadline(&platform, ROUTES - 1, FIRST_TIMEOUT_MS);
         let played = Self {
             pulled: count(&platform, ConfigurationEvent::Fetched) - pulled,
@@ -154,11 +155,11 @@
 fn a_change_of_one_route_costs_what_it_changes() {
     let mut platform = start();
     let mut timeouts = [FIRST_TIMEOUT_MS; ROUTES];
-    platform.configure_further(&timeouts);
+    platform.configure_extra_routes(&timeouts);
     wait_for_deadline(&platform, ROUTES - 1, FIRST_TIMEOUT_MS);
     let before = stream_bytes(&platform);
     timeouts[ROUTES / 2] = SECOND_TIMEOUT_MS;
-    platform.configure_further(&timeouts);
+    platform.configure_extra_routes(&timeouts);
     wait_for_deadline(&platform, ROUTES / 2, SECOND_TIMEOUT_MS);
     let bytes = stream_bytes(&platform) - before;
     println!("{bytes} bytes for one route");
@@ -179,11 +180,11 @@
     let had = platform.nodes().next().expect("a node").context.catalog.load().summary();
     let dropped = BytesSentInVain::so_far(&platform);
     let mut timeouts = [FIRST_TIMEOUT_MS; ROUTES];
-    platform.configure_further(&timeouts);
+    platform.configure_extra_routes(&timeouts);
     for changed in 1..=SMALL_CHANGES {
         std::thread::sleep(PAUSE);
         timeouts[..changed].fill(SECOND_TIMEOUT_MS);
-        platform.configure_further(&timeouts);
+        platform.configure_extra_routes(&timeouts);
     }
     wait_for_deadline(&platform, SMALL_CHANGES - 1, SECOND_TIMEOUT_MS);
     let catalog = platform.nodes().next().expect("a node").context.catalog.load();
@@ -225,8 +226,8 @@
     let mut platform = Platform::start(options).expect("it starts");
     platform.wait_until_ready().expect("it is ready");
     let network = platform.network.as_ref().expect("relays");
-    network.limit_streams(&store_relay(), STORE_LINE);
-    platform.configure_further(&[FIRST_TIMEOUT_MS; ROUTES]);
+    network.limit_streams(&store_relay_zone(), STORE_LINE);
+    platform.configure_extra_routes(&[FIRST_TIMEOUT_MS; ROUTES]);
     wait_for_deadline(&platform, ROUTES - 1, FIRST_TIMEOUT_MS);
 }
 
@@ -259,7 +260,7 @@
             Self::Killed => platform.kill_node(node),
             Self::SilentLinks(way) => {
                 let network = platform.network.as_ref().expect("relays");
-                network.silence_open_connections(&node_relay(node), way);
+                network.silence_open_connections(&node_relay_zone(node), way);
             }
         }
     }
@@ -299,7 +300,7 @@
             let about = format!("seed {seed}, change {change}");
             let timeout = FIRST_TIMEOUT_MS + change;
             let has = |node: &Node| deadline_of(node, ROUTES - 1) == Some(timeout);
-            platform.configure_further(&[timeout; ROUTES]);
+            platform.configure_extra_routes(&[timeout; ROUTES]);
             let frozen = strike_some(&mut platform, &mut random, &about);
             wait("the others have it", || {
                 platform.nodes().all(|node| frozen.contains(&number_of(node)) || has(node))
--- a/crates/lab/tests/path.rs
+++ b/crates/lab/tests/path.rs
@@ -110,7 +110,7 @@
     for id in 0..15_i64 {
         writer.execute("INSERT INTO proofs VALUES ($1)", &[&id]).expect("insert");
         // The replicas lag by much more than this takes.
-        let mut other = connect(&demo, id as usize % demo.caller_addresses.len());
+        let mut other = connect(&demo, id as usize % demo.client_addresses.len());
         let count = other.prepare("SELECT count(*) FROM proofs WHERE id >= $1").expect("prepare");
         for _ in 0..3 {
             let row = other.query_one(&count, &[&0_i64]).expect("count");
--- a/crates/lab/tests/planned_stop.rs
+++ b/crates/lab/tests/planned_stop.rs
@@ -4,7 +4,7 @@
 
 use kestrellock_core::catalog::Consistency;
 use kestrellock_core::ids::ZoneName;
-use kestrellock_lab::platform::caller::LineSession;
+use kestrellock_lab::platform::client::LineSession;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, database, wait};
 use kestrellock_lab::standin::network::Network;
 
@@ -26,14 +26,14 @@
     let zone = ZoneName::new("callers");
     let network = Network::new(std::slice::from_ref(&zone), SEED).expect("a network");
     network.set_delay(&zone, &zone, WAY);
-    let address = network.expose_tcp(&zone, platform.callers[0]).expect("a relay");
+    let address = network.expose_tcp(&zone, platform.client_addresses[0]).expect("a relay");
     let database = database(GROUPS[0], Consistency::Primary);
     let mut caller = LineSession::open(address, &database, "caller").expect("it opens");
     assert!(caller.run("READ page").expect("an answer").is_success());
     let stopping = std::thread::spawn(move || platform.stop_node(0));
     let answer = caller.run("WRITE page 1").expect("an answer");
     assert!(answer.is_success(), "{answer:?}");
-    assert_eq!(caller.heard().expect("the end"), None, "it ends right behind the answer");
+    assert_eq!(caller.next_message().expect("the end"), None, "it ends right behind the answer");
     stopping.join().expect("it stops");
 }
 
@@ -43,11 +43,12 @@
     let mut platform = Platform::start(PlatformOptions::default()).expect("it starts");
     platform.wait_until_ready().expect("it is ready");
     let database = database(GROUPS[0], Consistency::Primary);
-    let mut caller = LineSession::open(platform.callers[0], &database, "caller").expect("it opens");
+    let mut caller =
+        LineSession::open(platform.client_addresses[0], &database, "caller").expect("it opens");
     assert!(caller.run("READ page").expect("an answer").is_success());
     let context = platform.nodes().next().expect("a node").context.clone();
     let stopping = std::thread::spawn(move || platform.stop_node(0));
     wait("the node leaves", || context.is_leaving()).expect("in time");
-    assert_eq!(caller.heard().expect("the end"), None, "closed without a word");
+    assert_eq!(caller.next_message().expect("the end"), None, "closed without a word");
     stopping.join().expect("it stops");
 }
--- a/crates/lab/tests/platform_path.rs
+++ b/crates/lab/tests/platform_path.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use kestrellock_core::catalog::Consistency;
-use kestrellock_lab::platform::caller::LineSession;
+use kestrellock_lab::platform::client::LineSession;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, database, wait};
 use kestrellock_peer::message::TransactionState;
 use kestrellock_platform::standin::entries::{CONFIGURATION_KEY, InstanceEntry};
@@ -20,10 +20,10 @@
 
 fn open(platform: &Platform, node: usize, consistency: Consistency, name: &str) -> LineSession {
     let database = database(GROUPS[0], consistency);
-    LineSession::open(platform.callers[node], &database, name).expect("it opens")
+    LineSession::open(platform.client_addresses[node], &database, name).expect("it opens")
 }
 
-fn run(session: &mut LineSession, text: &str) -> kestrellock_lab::platform::caller::Answer {
+fn run(session: &mut LineSession, text: &str) -> kestrellock_lab::platform::client::Answer {
     session.run(text).expect("an answer")
 }
 
@@ -52,7 +52,7 @@
                 run(session, &format!("SET color c{number}-{round}"));
             }
             run(session, &format!("PREPARE same READ shape{number}"));
-            let id = session.coming_id();
+            let id = session.next_statement_id();
             assert!(run(session, "EXECUTE same page").is_success());
             expected.push((id, number, round));
         }
@@ -76,7 +76,7 @@
     let mut texts = vec!["BEGIN".to_owned()];
     texts.extend((0..10).map(|number| format!("WRITE seat taken{number}")));
     for text in &texts {
-        ids.push(writer.coming_id());
+        ids.push(writer.next_statement_id());
         let answer = run(&mut writer, text);
         assert!(answer.is_success(), "{text}: {answer:?}");
         assert_eq!(answer.state, TransactionState::Open);
@@ -110,8 +110,9 @@
     .expect("in time");
     assert!(run(&mut session, "WRITE seat x").is_success(), "the transaction goes on");
     assert!(run(&mut session, "COMMIT").is_success());
-    assert_eq!(run(&mut session, "READ seat").error(), Some("NODB"));
-    let refused = LineSession::open(platform.callers[0], &gone, "late").err().expect("refused");
+    assert_eq!(run(&mut session, "READ seat").error_code(), Some("NODB"));
+    let refused =
+        LineSession::open(platform.client_addresses[0], &gone, "late").err().expect("refused");
     assert!(refused.to_string().starts_with("NODB"), "{refused}");
     platform.configure(&[]);
     wait("the route is back", || run(&mut session, "READ seat").is_success()).expect("in time");
@@ -132,7 +133,7 @@
     for (bytes, word) in table {
         let mut session = open(&platform, 0, Consistency::Session, "bad");
         session.send(bytes).expect("it is sent");
-        let heard = session.heard().expect("an answer or the end");
+        let heard = session.next_message().expect("an answer or the end");
         match (heard, word) {
             (None, None) => {}
             (Some(ServerMessage::Error(found, _)), Some(word)) => {
@@ -145,7 +146,7 @@
     let mut oversized = open(&platform, 0, Consistency::Session, "large");
     // Whoever refuses it may close before all of it is taken.
     let _ = oversized.send(&vec![b'x'; 2 * 1024 * 1024]);
-    let heard = oversized.heard().ok().flatten();
+    let heard = oversized.next_message().ok().flatten();
     assert!(!matches!(heard, Some(ServerMessage::Row(_))));
     assert!(run(&mut bystander, "READ anything").is_success());
 }
@@ -155,12 +156,12 @@
     let platform = start();
     let mut session = open(&platform, 0, Consistency::Primary, "eager");
     for number in 0..5 {
-        session.begin(&format!("WRITE ahead v{number}")).expect("it is sent");
-        session.begin("READ ahead").expect("it is sent");
+        session.send_statement(&format!("WRITE ahead v{number}")).expect("it is sent");
+        session.send_statement("READ ahead").expect("it is sent");
     }
     for number in 0..5 {
-        assert!(session.answer().expect("an answer").is_success());
-        let read = session.answer().expect("an answer");
+        assert!(session.read_answer().expect("an answer").is_success());
+        let read = session.read_answer().expect("an answer");
         assert_eq!(read.rows, [format!("v{number}")]);
     }
 }
@@ -169,9 +170,9 @@
 fn a_caller_that_never_speaks_holds_nothing_up() {
     let platform = start();
     let silent: Vec<LineSession> = (0..50)
-        .map(|_| LineSession::connect(platform.callers[0], "silent").expect("it connects"))
+        .map(|_| LineSession::connect(platform.client_addresses[0], "silent").expect("it connects"))
         .collect();
-    let mut half = LineSession::connect(platform.callers[0], "half").expect("it connects");
+    let mut half = LineSession::connect(platform.client_addresses[0], "half").expect("it connects");
     half.send(b"START").expect("it is sent");
     let mut session = open(&platform, 0, Consistency::Session, "s");
     assert!(run(&mut session, "READ x").is_success());
@@ -198,15 +199,16 @@
 fn a_node_waits_unready_while_the_store_is_away_or_empty_and_says_why() {
     let options = PlatformOptions { nodes: 1, configured: false, ..PlatformOptions::default() };
     let mut platform = Platform::start(options).expect("it starts");
-    let (status, body) = page(platform.admins[0], "/readyz");
+    let (status, body) = page(platform.admin_addresses[0], "/readyz");
     assert_eq!(status, 503);
     assert!(body.contains("no configuration has arrived"), "{body}");
-    let refused = LineSession::open(platform.callers[0], "anything", "early").err();
+    let refused = LineSession::open(platform.client_addresses[0], "anything", "early").err();
     assert!(refused.expect("refused").to_string().contains("KL1301"));
     platform.store.set_outage(true);
     platform.store.set_outage(false);
     platform.configure(&[]);
-    wait("the node is ready", || page(platform.admins[0], "/readyz").0 == 200).expect("in time");
+    wait("the node is ready", || page(platform.admin_addresses[0], "/readyz").0 == 200)
+        .expect("in time");
     let mut session = open(&platform, 0, Consistency::Primary, "s");
     assert!(run(&mut session, "WRITE x 1").is_success());
 }
@@ -217,7 +219,7 @@
 fn a_caller_that_comes_before_the_first_configuration_is_served_once_that_has_arrived() {
     let options = PlatformOptions { nodes: 1, configured: false, ..PlatformOptions::default() };
     let mut platform = Platform::start(options).expect("it starts");
-    let mut early = TcpStream::connect(platform.callers[0]).expect("it accepts");
+    let mut early = TcpStream::connect(platform.client_addresses[0]).expect("it accepts");
     let database = database(GROUPS[0], Consistency::Primary);
     early.write_all(format!("STARTUP {database} early\r\n").as_bytes()).expect("it is sent");
     platform.configure(&[]);
@@ -267,12 +269,12 @@
         platform.stop_node(0);
         platform
     });
-    assert_eq!(idle.heard().expect("the end"), None, "closed without a word");
+    assert_eq!(idle.next_message().expect("the end"), None, "closed without a word");
     assert!(run(&mut short, "COMMIT").is_success(), "there is time for that");
     let platform = stopping.join().expect("it stops");
     // The node has ended the transaction that rested, or closed its connection at the latest.
     let answer = long.run("COMMIT");
-    assert!(answer.is_err() || answer.is_ok_and(|answer| answer.error() == Some("ABORTED")));
+    assert!(answer.is_err() || answer.is_ok_and(|answer| answer.error_code() == Some("ABORTED")));
     let mut reader = open(&platform, 1, Consistency::Primary, "r");
     assert_eq!(run(&mut reader, "READ short").rows, ["1"]);
     assert_eq!(run(&mut reader, "READ long").rows, ["nothing"]);
@@ -293,7 +295,7 @@
     // Long enough for the node to look at its sessions several times.
     std::thread::sleep(Duration::from_millis(100));
     assert!(run(&mut caller, "WRITE page 1").is_success());
-    assert_eq!(caller.heard().expect("the end"), None, "sent away behind the answer");
+    assert_eq!(caller.next_message().expect("the end"), None, "sent away behind the answer");
     stopping.join().expect("it stops");
 }
 
@@ -305,7 +307,7 @@
     assert!(run(&mut session, "WRITE x 1").is_success());
     std::thread::sleep(Duration::from_millis(3_300));
     let answer = run(&mut session, "WRITE x 2");
-    assert_eq!(answer.error(), Some("ABORTED"));
+    assert_eq!(answer.error_code(), Some("ABORTED"));
     assert_eq!(answer.state, TransactionState::Failed);
     assert!(run(&mut session, "ROLLBACK").is_success());
     assert_eq!(run(&mut session, "READ x").rows, ["nothing"]);
--- a/crates/lab/tests/platform_replacement.rs
+++ b/crates/lab/tests/platform_replacement.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use kestrellock_core::catalog::Consistency;
-use kestrellock_lab::platform::caller::LineSession;
+use kestrellock_lab::platform::client::LineSession;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, database, wait};
 use kestrellock_lab::standin::instances::InstanceGroup;
 
@@ -33,7 +33,7 @@
     number: usize,
     stop: &Arc<AtomicBool>,
 ) -> JoinHandle<Told> {
-    let callers = platform.callers.clone();
+    let callers = platform.client_addresses.clone();
     let stop = stop.clone();
     let database = database(GROUPS[0], Consistency::Primary);
     std::thread::spawn(move || {
@@ -45,10 +45,10 @@
             let name = format!("s{series}w{number}r{round}");
             let Ok(mut session) = LineSession::open(address, &database, &name) else { continue };
             for _ in 0..10 {
-                let id = session.coming_id();
+                let id = session.next_statement_id();
                 match session.run(&format!("WRITE thing{number} {id}")) {
                     Ok(answer) if answer.is_success() => told.acknowledged.push(id),
-                    Ok(answer) if is_promise(answer.error()) => told.not_run.push(id),
+                    Ok(answer) if is_promise(answer.error_code()) => told.not_run.push(id),
                     Ok(_) => told.in_doubt += 1,
                     Err(_) => {
                         told.in_doubt += 1;
@@ -143,10 +143,10 @@
     let first = platform.groups[0].primary().expect("a primary");
     replace(&platform, |platform, old| platform.groups[0].kill(old));
     platform.groups[0].restart(&first);
-    platform.put_store_back(&copy, Duration::from_millis(500));
+    platform.restore_store(&copy, Duration::from_millis(500));
     replace(&platform, |platform, old| platform.groups[0].kill(old));
     let name = database(GROUPS[0], Consistency::Primary);
-    for (node, caller) in platform.callers.iter().enumerate() {
+    for (node, caller) in platform.client_addresses.iter().enumerate() {
         let writes = || {
             let session = LineSession::open(*caller, &name, "w");
             session.is_ok_and(|mut session| {
@@ -160,15 +160,17 @@
 /// The same while the replacement is under way: what was begun goes on, and ends.
 #[test]
 fn a_replacement_goes_on_through_a_return_of_the_store() {
-    let options =
-        PlatformOptions { promotion: Duration::from_millis(400), ..PlatformOptions::default() };
+    let options = PlatformOptions {
+        promotion_delay: Duration::from_millis(400),
+        ..PlatformOptions::default()
+    };
     let platform = start(options);
     let copy = platform.store.copy();
     replace(&platform, |platform, old| {
         platform.groups[0].kill(old);
         let begun = || platform.nodes().any(|node| !node.context.intents.load().is_empty());
         wait("a replacement has begun", begun).expect("in time");
-        platform.put_store_back(&copy, Duration::from_millis(100));
+        platform.restore_store(&copy, Duration::from_millis(100));
     });
     let over = || platform.nodes().all(|node| node.context.intents.load().is_empty());
     wait("nothing is under way any more", over).expect("in time");
@@ -212,7 +214,8 @@
     // From here on the second replica alone receives, so it alone holds what is acknowledged.
     group.set_deaf(&replicas[0], true);
     let name = database(GROUPS[0], Consistency::Primary);
-    let mut session = LineSession::open(platform.callers[0], &name, "w").expect("it opens");
+    let mut session =
+        LineSession::open(platform.client_addresses[0], &name, "w").expect("it opens");
     assert!(session.run("WRITE only copy").expect("an answer").is_success());
     group.kill(&replicas[1]);
     group.kill(&primary);
@@ -221,7 +224,7 @@
     group.restart(&replicas[1]);
     wait("the one that holds it leads", || group.primary().as_ref() == Some(&replicas[1]))
         .expect("in time");
-    let mut reader = LineSession::open(platform.callers[1], &name, "r").expect("it opens");
+    let mut reader = LineSession::open(platform.client_addresses[1], &name, "r").expect("it opens");
     wait("it can be read", || reader.run("READ only").is_ok_and(|answer| answer.rows == ["copy"]))
         .expect("in time");
 }
@@ -248,8 +251,10 @@
         log::LevelFilter::Info,
         kestrellock_program::logging::LogFormat::Text,
     );
-    let options =
-        PlatformOptions { promotion: Duration::from_millis(400), ..PlatformOptions::default() };
+    let options = PlatformOptions {
+        promotion_delay: Duration::from_millis(400),
+        ..PlatformOptions::default()
+    };
     let mut platform = start(options);
     let old = platform.groups[0].primary().expect("a primary");
     platform.groups[0].kill(&old);
@@ -276,7 +281,7 @@
     let alive = (number + 1) % 3;
     let name = database(GROUPS[0], Consistency::Primary);
     wait("writes go on", || {
-        let session = LineSession::open(platform.callers[alive], &name, "w");
+        let session = LineSession::open(platform.client_addresses[alive], &name, "w");
         session.is_ok_and(|mut session| {
             session.run("WRITE x 1").is_ok_and(|answer| answer.is_success())
         })
--- a/crates/lab/tests/platform_unlisted.rs
+++ b/crates/lab/tests/platform_unlisted.rs
@@ -3,7 +3,7 @@
 
 use kestrellock_core::catalog::Consistency;
 use kestrellock_daemon::metrics::ProbeEvent;
-use kestrellock_lab::platform::caller::LineSession;
+use kestrellock_lab::platform::client::LineSession;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, database};
 
 /// A platform whose nodes have not heard that they are listed.
@@ -27,12 +27,13 @@
 fn a_commit_at_a_node_that_is_not_listed_is_acknowledged_once_replicas_confirm_it() {
     let platform = start_unlisted();
     let name = database(GROUPS[0], Consistency::Primary);
-    let mut session = LineSession::open(platform.callers[0], &name, "w").expect("it opens");
+    let mut session =
+        LineSession::open(platform.client_addresses[0], &name, "w").expect("it opens");
     for number in 0..20 {
         forget_lists(&platform);
         let before = questions(&platform);
         let answer = session.run(&format!("WRITE thing {number}")).expect("an answer");
-        assert!(answer.is_success(), "{:?}", answer.error());
+        assert!(answer.is_success(), "{:?}", answer.error_code());
         // A list that was read meanwhile ends the doubt.
         if platform.nodes().all(|node| node.context.listed_nodes.load().is_empty()) {
             // One that is slow to answer is not waited for: the store answers instead.
@@ -51,10 +52,11 @@
     let replica = group.instances().into_iter().find(|one| *one != primary).expect("a replica");
     group.kill(&replica);
     let name = database(GROUPS[0], Consistency::Primary);
-    let mut session = LineSession::open(platform.callers[0], &name, "w").expect("it opens");
+    let mut session =
+        LineSession::open(platform.client_addresses[0], &name, "w").expect("it opens");
     for number in 0..5 {
         forget_lists(&platform);
         let answer = session.run(&format!("WRITE thing {number}")).expect("an answer");
-        assert!(answer.is_success(), "{:?}", answer.error());
+        assert!(answer.is_success(), "{:?}", answer.error_code());
     }
 }
--- a/crates/lab/tests/request_keys.rs
+++ b/crates/lab/tests/request_keys.rs
@@ -55,7 +55,7 @@
 #[test]
 fn a_keyed_request_runs_once_on_whichever_node_it_is_repeated() {
     let demo = Demo::start().expect("the demonstration starts");
-    let nodes = &demo.caller_addresses;
+    let nodes = &demo.client_addresses;
     let (mut first, mut second) = (connect(nodes[0]), connect(nodes[1]));
     assert_eq!(run(&mut first, "CREATE TABLE deposits (id BIGINT, body TEXT)"), "");
 
@@ -103,7 +103,7 @@
 #[test]
 fn a_repeat_is_told_what_the_first_run_did() {
     let demo = Demo::start().expect("the demonstration starts");
-    let nodes = &demo.caller_addresses;
+    let nodes = &demo.client_addresses;
     let (mut first, mut second) = (connect(nodes[0]), connect(nodes[1]));
     assert_eq!(run(&mut first, "CREATE TABLE seats (id BIGINT, owner TEXT)"), "");
     assert_eq!(run(&mut first, "INSERT INTO seats VALUES (7, '')"), "");
--- a/crates/lab/tests/resting.rs
+++ b/crates/lab/tests/resting.rs
@@ -2,12 +2,12 @@
 //! landings before anybody saw one.
 
 use kestrellock_daemon::node::Node;
+use kestrellock_lab::fault_events::{FaultEvents, nonzero_fault_counters};
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, wait};
-use kestrellock_lab::resting::{Unrest, moved_counters};
 use kestrellock_platform::standin::entries::InstanceEntry;
 
 fn moved(platform: &Platform) -> Vec<(&'static str, u64)> {
-    platform.nodes().flat_map(|node| moved_counters(&node.context.metrics)).collect()
+    platform.nodes().flat_map(|node| nonzero_fault_counters(&node.context.metrics)).collect()
 }
 
 /// On the code that refused configurations whole, `configurations refused` moves on every node that reads
@@ -40,23 +40,23 @@
 
 #[test]
 fn events_that_should_rest_are_told_with_who_and_when() {
-    let mut unrest = Unrest::default();
+    let mut unrest = FaultEvents::default();
     let line = |node: &str, second: u32, event: &str| {
         format!(
             "  1.0{second} {node} {{\"timestamp\":\"2026-01-01T00:00:0{second}Z\",\"level\":\"WARN\",\
              \"message\":\"m\",\"kvs\":{{\"event\":\"{event}\"}}}}"
         )
     };
-    unrest.take_in(&line("front-b", 2, "peer_silent"), "x");
-    unrest.take_in(&line("front-a", 1, "peer_silent"), "x");
-    unrest.take_in(&line("front-a", 3, "answered"), "x");
-    unrest.take_in(&line("front-a", 4, "entry_unreadable"), "x");
-    unrest.take_in("no line of a log that tells of peer_silent", "x");
+    unrest.add_line(&line("front-b", 2, "peer_silent"), "x");
+    unrest.add_line(&line("front-a", 1, "peer_silent"), "x");
+    unrest.add_line(&line("front-a", 3, "answered"), "x");
+    unrest.add_line(&line("front-a", 4, "entry_unreadable"), "x");
+    unrest.add_line("no line of a log that tells of peer_silent", "x");
     let told = unrest.report(&["entry_unreadable".to_owned()]);
     assert_eq!(told.len(), 1, "{told:?}");
     assert!(told[0].starts_with(
         "peer_silent: 2 times on 2 nodes from 2026-01-01T00:00:01Z to 2026-01-01T00:00:02Z"
     ));
     assert_eq!(unrest.report(&[]).len(), 2);
-    assert!(Unrest::default().report(&[]).is_empty());
+    assert!(FaultEvents::default().report(&[]).is_empty());
 }
--- a/crates/lab/tests/seeds.rs
+++ b/crates/lab/tests/seeds.rs
@@ -49,7 +49,7 @@
         let report = Report::new(kept.scenario, "standard", &runs);
         assert!(report.acknowledged > 100 && report.reads > 100, "{}", report.summary());
         if report.violation_count() > 0 {
-            broken.push(format!("{}: {}", kept.scenario, report.broken()));
+            broken.push(format!("{}: {}", kept.scenario, report.broken_invariants()));
         }
     }
     assert!(broken.is_empty(), "{broken:#?}");
--- a/crates/lab/tests/silent_connections.rs
+++ b/crates/lab/tests/silent_connections.rs
@@ -5,9 +5,9 @@
 
 use kestrellock_core::catalog::Consistency;
 use kestrellock_daemon::metrics::ConnectionEvent;
-use kestrellock_lab::platform::caller::LineSession;
+use kestrellock_lab::platform::client::LineSession;
 use kestrellock_lab::platform::{
-    GROUPS, Platform, PlatformOptions, database, node_relay, store_relay, wait,
+    GROUPS, Platform, PlatformOptions, database, node_relay_zone, store_relay_zone, wait,
 };
 use kestrellock_lab::standin::network::links::SilentWay;
 use kestrellock_platform::keys::{Freshness, KeyStore};
@@ -24,7 +24,7 @@
 fn start() -> Platform {
     let options = PlatformOptions {
         nodes: NODES,
-        connections: CONNECTIONS,
+        max_connections: CONNECTIONS,
         relayed: true,
         ..PlatformOptions::default()
     };
@@ -36,14 +36,15 @@
 fn open_everywhere(platform: &Platform) -> Vec<LineSession> {
     let database = database(GROUPS[0], Consistency::Primary);
     let open = |node: usize| {
-        LineSession::open(platform.callers[node], &database, &format!("s{node}")).expect("it opens")
+        LineSession::open(platform.client_addresses[node], &database, &format!("s{node}"))
+            .expect("it opens")
     };
     (0..NODES).map(open).collect()
 }
 
 fn silence_links(platform: &Platform, way: SilentWay) {
     let network = platform.network.as_ref().expect("relays");
-    (0..NODES).for_each(|node| network.silence_open_connections(&node_relay(node), way));
+    (0..NODES).for_each(|node| network.silence_open_connections(&node_relay_zone(node), way));
 }
 
 fn replaced(platform: &Platform) -> u64 {
@@ -64,11 +65,11 @@
         silence_links(&platform, way);
         let mut ids = Vec::new();
         for session in &mut sessions {
-            ids.push(session.coming_id());
-            session.begin("WRITE seat taken").expect("it is sent");
+            ids.push(session.next_statement_id());
+            session.send_statement("WRITE seat taken").expect("it is sent");
         }
         for (session, id) in sessions.iter_mut().zip(&ids) {
-            let answer = session.answer().expect("an answer");
+            let answer = session.read_answer().expect("an answer");
             assert!(answer.is_success(), "{way:?}: {id}: {answer:?}");
         }
         let runs = platform.groups[0].runs();
@@ -95,7 +96,7 @@
             .iter_mut()
             .map(|session| {
                 let answer = session.run("COMMIT").expect("an answer");
-                let lost = answer.error() == Some("ABORTED");
+                let lost = answer.error_code() == Some("ABORTED");
                 assert!(answer.is_success() || lost, "{way:?}: {answer:?}");
                 answer.is_success()
             })
@@ -136,7 +137,7 @@
 fn a_dead_connection_to_the_store_is_not_followed_by_the_next_dead_one() {
     let platform = start();
     let network = platform.network.as_ref().expect("relays");
-    let exposed = network.expose_tcp(&store_relay(), platform.store.address).expect("exposed");
+    let exposed = network.expose_tcp(&store_relay_zone(), platform.store.address).expect("exposed");
     let store = KeyStore::new(&exposed.to_string()).with_call_limit(CALL_LIMIT);
     std::thread::scope(|scope| {
         for _ in 0..CALLS_AT_ONCE {
@@ -146,7 +147,7 @@
             });
         }
     });
-    network.silence_open_connections(&store_relay(), SilentWay::Both);
+    network.silence_open_connections(&store_relay_zone(), SilentWay::Both);
     store.items("op", Freshness::Newest).expect_err("the connection is dead");
     store.items("op", Freshness::Newest).expect("a new connection");
 }
--- a/crates/lab/tests/start_of_all.rs
+++ b/crates/lab/tests/start_of_all.rs
@@ -16,7 +16,7 @@
     platform.wait_until_ready().expect("it is ready");
     (0..NODES).for_each(|number| platform.kill_node(number));
     for number in 0..NODES {
-        platform.start_node_again(number).expect("it starts again");
+        platform.restart_node(number).expect("it starts again");
     }
     platform.wait_until_ready().expect("it is ready again");
     let pulled = |event| {
--- a/crates/lab/tests/store_put_back.rs
+++ b/crates/lab/tests/store_put_back.rs
@@ -50,7 +50,7 @@
     write_others(&platform, lost);
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
-    platform.put_store_back(&copy, AWAY);
+    platform.restore_store(&copy, AWAY);
     platform.configure(&[&first()]);
     write_others(&platform, others);
     wait("the change after the return is in force", || {
@@ -88,7 +88,7 @@
     let copy = platform.store.copy();
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
-    platform.put_store_back(&copy, AWAY);
+    platform.restore_store(&copy, AWAY);
     let end = std::time::Instant::now() + WATCHED;
     while std::time::Instant::now() < end {
         assert!(is_on_no_node(&platform, &second()), "a node went back to the older one");
@@ -107,9 +107,9 @@
     let newer = platform.store.copy();
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
-    platform.put_store_back(&newer, AWAY);
+    platform.restore_store(&newer, AWAY);
     write_others(&platform, 3);
-    platform.put_store_back(&older, Duration::from_millis(100));
+    platform.restore_store(&older, Duration::from_millis(100));
     platform.configure(&[&first()]);
     wait("the change after both is in force", || {
         is_on_no_node(&platform, &first()) && is_on_all_nodes(&platform, &second())
@@ -126,7 +126,7 @@
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
     platform.set_paused(0, true);
-    platform.put_store_back(&copy, AWAY);
+    platform.restore_store(&copy, AWAY);
     platform.configure(&[&first()]);
     std::thread::sleep(AWAY);
     platform.set_paused(0, false);
@@ -147,8 +147,8 @@
     platform.configure(&[&second()]);
     wait("the change is in force", || is_on_no_node(&platform, &second())).expect("in time");
     platform.kill_node(1);
-    platform.put_store_back(&copy, AWAY);
-    platform.start_node_again(1).expect("it starts");
+    platform.restore_store(&copy, AWAY);
+    platform.restart_node(1).expect("it starts");
     let end = std::time::Instant::now() + WATCHED;
     while std::time::Instant::now() < end {
         assert!(is_on_no_node(&platform, &second()), "an older one is in force");
@@ -168,7 +168,7 @@
     };
     platform.store.put(&key, b"{}");
     wait("the drain is in force", || is_drained(&platform)).expect("in time");
-    platform.put_store_back(&copy, AWAY);
+    platform.restore_store(&copy, AWAY);
     platform.store.put(&key, b"{}");
     wait("the drain is in force again", || is_drained(&platform)).expect("in time");
     platform.store.remove(&key);
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/lab/tests/support/mod.rs
@@ -24,7 +24,7 @@
 
 /// Settings of a client of the first tenant at one node.
 pub fn config(demo: &Demo, node: usize) -> Config {
-    let address = demo.caller_addresses[node];
+    let address = demo.client_addresses[node];
     let mut config = Config::new();
     config.host(&address.ip().to_string()).port(address.port()).user("atlas").dbname("orders");
     config.password(password_of("atlas"));
@@ -40,7 +40,7 @@
 /// Logs in with a session token, which the client library cannot carry; the SQLSTATE of a refusal.
 pub fn connect_with_token(demo: &Demo, node: usize, token: &str) -> Result<(), String> {
     let endpoint = Endpoint {
-        address: demo.caller_addresses[node],
+        address: demo.client_addresses[node],
         from: None,
         user: "atlas".to_owned(),
         database: "orders".to_owned(),
--- a/crates/lab/tests/zone_drain.rs
+++ b/crates/lab/tests/zone_drain.rs
@@ -5,7 +5,7 @@
 
 use kestrellock_core::catalog::Consistency;
 use kestrellock_core::ids::InstanceName;
-use kestrellock_lab::platform::caller::LineSession;
+use kestrellock_lab::platform::client::LineSession;
 use kestrellock_lab::platform::{GROUPS, Platform, PlatformOptions, ZONES, database, wait};
 use kestrellock_lab::standin::instances::InstanceGroup;
 use kestrellock_platform::configuration::DRAINS_PREFIX;
@@ -56,7 +56,7 @@
 
 fn open(platform: &Platform, node: usize, consistency: Consistency, name: &str) -> LineSession {
     let database = database(GROUPS[0], consistency);
-    LineSession::open(platform.callers[node], &database, name).expect("it opens")
+    LineSession::open(platform.client_addresses[node], &database, name).expect("it opens")
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let group = &platform.groups[0];
     let old = group.primary().expect("a primary");
     let mut writer = open(&platform, 0, Consistency::Primary, "w");
-    let kept = writer.coming_id();
+    let kept = writer.next_statement_id();
     assert!(writer.run(&format!("WRITE before {kept}")).expect("an answer").is_success());
     drain(&platform, &zone_of(&platform, &old));
     wait("another primary leads", || group.primary().is_some_and(|one| one != old))
@@ -96,7 +96,7 @@
     for number in 0..60 {
         let mut session = open(&platform, number % 3, Consistency::Bounded, &format!("t{number}"));
         assert!(session.run("BEGIN READ").expect("an answer").is_success());
-        let id = session.coming_id();
+        let id = session.next_statement_id();
         assert!(session.run("READ x").expect("an answer").is_success());
         if group.runs().iter().any(|run| run.id == id && run.instance == replica) {
             sessions.push(session);
@@ -108,7 +108,7 @@
     let mut word = None;
     wait("the transaction is over", || {
         let answer = session.run("READ x").expect("an answer");
-        word = answer.error().map(str::to_owned);
+        word = answer.error_code().map(str::to_owned);
         word.is_some()
     })
     .expect("in time");
