--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -1,9 +1,12 @@
-//! Answers: each caller gets the whole answer to its own request.
+//! Checks that each client gets the complete answer to its own request.
+//!
+//! The first row of an answer repeats the mark of its request, so an answer that the proxy delivered
+//! to the wrong client carries a foreign mark. Row count and command tag show a truncated answer.
 
 use super::history::{Action, Answer, Attempt, Ending, History, Outcome};
 use super::violation::{Invariant, Verdict};
 
-/// Judges every answer.
+/// Checks every answer.
 pub fn check(history: &History, verdict: &mut Verdict) {
     for attempt in &history.attempts {
         if let Outcome::Answered(answer) = &attempt.outcome {
@@ -17,14 +20,14 @@
         let detail = format!("{} marked {:?} got {:?}", attempt.operation, attempt.mark, answer);
         verdict.add(Invariant::AnswerOwn, detail);
     }
-    if !is_whole(&attempt.action, answer) {
+    if !is_complete(&attempt.action, answer) {
         let detail = format!("{} ({:?}) got {:?}", attempt.operation, attempt.action, answer);
         verdict.add(Invariant::AnswerWhole, detail);
     }
 }
 
-/// Whether the answer has every part that the action's answer must have.
-fn is_whole(action: &Action, answer: &Answer) -> bool {
+/// Whether the answer has the mark, row count and command tag that the action requires.
+fn is_complete(action: &Action, answer: &Answer) -> bool {
     let marked = answer.mark.is_some();
     match action {
         Action::Read(_) => marked && answer.rows == 1 && answer.tag == "SELECT 1",
--- a/crates/lab/src/check/configuration.rs
+++ b/crates/lab/src/check/configuration.rs
@@ -1,17 +1,19 @@
-//! Configuration: what was accepted is in force on every node in time and never reverts.
+//! Checks that every node activates each accepted configuration in time and never returns to an
+//! earlier revision.
 
 use super::history::{AcceptedChange, ConfigurationTrack, History, RunTime};
 use super::violation::{Invariant, Verdict};
 
-/// Time within which an accepted change must be in force everywhere, in microseconds.
+/// Time within which every node must have activated an accepted change, in microseconds. For a node
+/// that starts later, it counts from its start.
 pub const ACTIVATION_LIMIT: RunTime = RunTime(9_000_000);
 
-/// Judges the revisions seen on every node.
+/// Checks the revisions observed on every node.
 pub fn check(history: &History, verdict: &mut Verdict) {
     for track in &history.configuration {
         check_order(track, verdict);
         for change in &history.accepted_changes {
-            check_in_force(track, change, verdict);
+            check_activated(track, change, verdict);
         }
     }
 }
@@ -28,8 +30,8 @@
     }
 }
 
-/// One violation for each node and change at most.
-fn check_in_force(track: &ConfigurationTrack, change: &AcceptedChange, verdict: &mut Verdict) {
+/// Adds at most one violation per node and change.
+fn check_activated(track: &ConfigurationTrack, change: &AcceptedChange, verdict: &mut Verdict) {
     let limit = RunTime(change.at.max(track.started).0 + ACTIVATION_LIMIT.0);
     let late =
         track.samples.iter().find(|sample| sample.at > limit && sample.revision < change.revision);
--- a/crates/lab/src/check/final_state.rs
+++ b/crates/lab/src/check/final_state.rs
@@ -1,24 +1,25 @@
-//! What the database groups hold when a run is over, and what reached them on the way.
+//! The logs of the database groups at the end of a run, and the statements that their instances
+//! received during it.
 
 use super::history::{GroupId, InstanceId, OperationId, RowKey, RunTime};
 
-/// Place of a commit in a group's log: term first, then offset.
+/// Position of a commit in a group's log, ordered by term, then by offset.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogPlace {
-    /// Term under which it was written.
+    /// Term of the primary that wrote the commit.
     pub term: u32,
-    /// Offset just after it.
+    /// Offset of the end of the commit.
     pub offset: u64,
 }
 
 /// A change that a commit made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowChange {
-    /// A register or seat got the id of the operation that wrote it.
+    /// A register or seat was set to the id of the operation that wrote it.
     Set {
         /// The row.
         row: RowKey,
-        /// Who wrote it.
+        /// Operation that wrote it.
         operation: OperationId,
     },
     /// A deposit was inserted.
@@ -33,7 +34,7 @@
 }
 
 impl RowChange {
-    /// The operation that made it.
+    /// The operation that made the change.
     pub fn operation(&self) -> &OperationId {
         match self {
             Self::Set { operation, .. } | Self::Part { operation, .. } => operation,
@@ -45,35 +46,35 @@
 /// One committed transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Commit {
-    /// Where it stands.
+    /// Position in the group's log.
     pub place: LogPlace,
-    /// What it changed.
+    /// Rows that it changed.
     pub changes: Vec<RowChange>,
 }
 
-/// What a statement does to the transaction of its connection.
+/// Effect of a statement on the transaction block of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StatementKind {
     /// Opens a transaction block.
     Begin,
-    /// Ends the block, by commit or rollback.
+    /// Ends the transaction block, by commit or rollback.
     End,
-    /// Neither.
+    /// Neither opens nor ends a transaction block.
     Other,
 }
 
 /// A statement that reached an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When.
+    /// When it arrived.
     pub at: RunTime,
-    /// Instance it reached.
+    /// Instance that received it.
     pub instance: InstanceId,
-    /// Connection of that instance that carried it.
+    /// Connection on which the instance received it.
     pub connection: u64,
-    /// Operation named in its text; `None` for statements of the proxy's own.
+    /// Operation named in its text; `None` for statements that the proxy itself issues.
     pub operation: Option<OperationId>,
-    /// What it does to the transaction.
+    /// Effect on the connection's transaction block.
     pub kind: StatementKind,
 }
 
@@ -82,7 +83,7 @@
 pub struct RemovedInstance {
     /// The instance.
     pub instance: InstanceId,
-    /// When the change was accepted.
+    /// When the change of configuration was accepted.
     pub since: RunTime,
 }
 
@@ -91,19 +92,19 @@
 pub struct GroupRecord {
     /// The group.
     pub group: GroupId,
-    /// Commits of the history that survived, in order.
+    /// Commits in the log at the end of the run, in order.
     pub surviving: Vec<Commit>,
-    /// Commits that some primary made and that did not survive.
+    /// Commits of an old primary that are not in the log at the end of the run.
     pub discarded: Vec<Commit>,
-    /// Statements in order of arrival on each connection.
+    /// Received statements; those of one connection are in order of arrival.
     pub arrivals: Vec<Arrival>,
-    /// Instances that were leaving.
+    /// Instances that were removed during the run.
     pub leaving: Vec<RemovedInstance>,
 }
 
 /// The records of all groups.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FinalState {
-    /// One for each group.
+    /// One record per group.
     pub groups: Vec<GroupRecord>,
 }
--- a/crates/lab/src/check/history.rs
+++ b/crates/lab/src/check/history.rs
@@ -1,4 +1,4 @@
-//! What callers did and were told, and what the run did to the nodes meanwhile.
+//! The requests of clients with their outcomes, and what the run did to the nodes meanwhile.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// From text.
+            /// Creates the id from its text.
             pub fn new(text: impl Into<String>) -> Self {
                 Self(text.into())
             }
@@ -25,7 +25,8 @@
 }
 
 text_ids! {
-    /// Identifies what a caller wants done once. Repeats of a keyed request share it.
+    /// Identifies an operation that a client wants to take effect once. Retries of a request that
+    /// carries a request key share the id.
     OperationId;
     /// A database group.
     GroupId;
@@ -39,20 +40,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunTime(pub u64);
 
-/// Number of a caller's session; it outlives connections.
+/// Number of a client's session. A session can span several connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionNumber(pub u32);
 
-/// A row that callers read and write as a whole.
+/// A row that clients read and write as a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RowKey {
-    /// A row that is overwritten again and again, such as a caption.
+    /// A row that is overwritten repeatedly, such as a caption.
     Register(u32),
-    /// A row that gets an owner once, such as a seat.
+    /// A row whose owner is set once, such as a seat.
     Seat(u32),
 }
 
-/// How a transaction was meant to end.
+/// How the client meant to end a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ending {
     /// By `COMMIT`.
@@ -61,7 +62,7 @@
     RollBack,
 }
 
-/// What a caller asked for.
+/// What a client requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Read one row.
@@ -70,30 +71,30 @@
     Write(RowKey),
     /// Insert one deposit.
     Deposit,
-    /// Take a seat if nobody has it.
+    /// Become the owner of a seat that has none.
     Purchase(RowKey),
-    /// Insert this many parts in one transaction block.
+    /// Insert several parts in one transaction block.
     Transaction {
         /// Number of parts.
         parts: u32,
-        /// How it was to end.
+        /// How the client meant to end it.
         ending: Ending,
     },
 }
 
 impl Action {
-    /// Whether it may change anything.
+    /// Whether the action may change data.
     pub fn may_write(&self) -> bool {
         !matches!(self, Self::Read(_))
     }
 }
 
-/// An answer of the database, as the caller got it.
+/// An answer of the database, as the client received it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// The request's mark, which the first row of the answer repeats.
+    /// Mark in the first row of the answer, which must equal the mark of the request.
     pub mark: Option<String>,
-    /// Value read; `None` if the answer had none.
+    /// Value read; `None` if the answer has no value.
     pub value: Option<String>,
     /// Rows received.
     pub rows: u32,
@@ -101,35 +102,36 @@
     pub tag: String,
 }
 
-/// What an error said.
+/// Contents of an error response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Told {
-    /// Number at the head of the proxy's message; `None` for an error of the database.
+    /// Error number at the start of the proxy's message; `None` for an error of the database.
     pub number: Option<u16>,
     /// SQLSTATE.
     pub sqlstate: String,
 }
 
-/// How an attempt ended for its caller.
+/// How an attempt ended, as its client saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an answer.
+    /// The client received an answer.
     Answered(Answer),
-    /// With an error that says it did not run.
+    /// An error states that the request did not run.
     NotRun(Told),
-    /// With an error that leaves it in doubt.
+    /// An error leaves open whether the request took effect.
     InDoubt(Told),
-    /// With the word that the same request key ran before.
+    /// An error states that a request with the same key ran before.
     AlreadyRan(Told),
-    /// With the word that the request key never ran and never will.
+    /// An error states that the request with this key never ran and never will.
     Abandoned(Told),
-    /// The connection ended without a word.
+    /// The connection closed without an answer or error.
     Disconnected,
 }
 
 impl Outcome {
-    /// Whether the caller knows that the request took effect. A purchase that found the seat
-    /// taken had an answer and no effect, and the word that it ran before does not say which.
+    /// Whether the client knows that the request took effect. A purchase of a seat that is already
+    /// taken gets an answer but has no effect, and [`Outcome::AlreadyRan`] does not tell whether a
+    /// purchase got the seat.
     pub fn is_acknowledged(&self, action: &Action) -> bool {
         match (self, action) {
             (Self::AlreadyRan(_), Action::Purchase(_)) => false,
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Whether the caller was told for certain that the request had no effect.
+    /// Whether the outcome states that the request had no effect.
     pub fn denies_effect(&self, action: &Action) -> bool {
         match self {
             Self::NotRun(_) | Self::Abandoned(_) => true,
@@ -151,67 +153,67 @@
     }
 }
 
-/// One request as sent to one node.
+/// One request that a client sent to one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// What it was to do.
+    /// Operation that the request carries out. Retries have the same operation.
     pub operation: OperationId,
-    /// Session that sent it; a session has one attempt under way at a time.
+    /// Session that sent it. A session has at most one attempt in progress.
     pub session: SessionNumber,
-    /// Group it addressed.
+    /// Group that it addressed.
     pub group: GroupId,
-    /// Node it was sent to.
+    /// Node that received it.
     pub node: NodeId,
-    /// When it was sent.
+    /// When the client sent it.
     pub invoked: RunTime,
-    /// When its outcome was known to the caller.
+    /// When the client knew its outcome.
     pub completed: RunTime,
-    /// What it asked for.
+    /// What the client requested.
     pub action: Action,
     /// Whether it carried a request key.
     pub keyed: bool,
-    /// Whether its connection began with the session's token.
+    /// Whether the client presented the session's token when it opened the connection.
     pub with_token: bool,
-    /// Mark that the answer's row must repeat; differs between attempts that read.
+    /// Mark that the first row of the answer must repeat; unique among attempts that read.
     pub mark: String,
-    /// Statements of the same transaction that were answered before the outcome.
+    /// Number of statements of the same transaction that were answered before the outcome.
     pub statements_answered: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
 }
 
-/// A stop of a node that was asked for.
+/// A planned stop of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedStop {
     /// The node.
     pub node: NodeId,
-    /// When it was asked to stop.
+    /// When the stop was requested.
     pub began: RunTime,
-    /// When it had stopped.
+    /// When the node had stopped.
     pub ended: RunTime,
 }
 
-/// The revision that a node had in force at some time.
+/// The configuration revision that was active on a node at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfigurationSample {
-    /// When it was looked at.
+    /// When the sample was taken.
     pub at: RunTime,
-    /// The revision.
+    /// The active revision.
     pub revision: u64,
 }
 
-/// Revisions seen on one node from one start to its end.
+/// Revisions observed on a node from its start to its end. A restarted node has another track.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigurationTrack {
     /// The node.
     pub node: NodeId,
-    /// When it started.
+    /// When the node started.
     pub started: RunTime,
-    /// What was seen, in order of time.
+    /// Samples in order of time.
     pub samples: Vec<ConfigurationSample>,
 }
 
-/// A change of configuration that an operator was told is accepted.
+/// A change of configuration that was confirmed to an operator as accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AcceptedChange {
     /// When it was accepted.
@@ -220,17 +222,17 @@
     pub revision: u64,
 }
 
-/// Everything seen from outside the database groups during a run.
+/// What the run observed outside the database groups.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
     /// Attempts of all sessions.
     pub attempts: Vec<Attempt>,
     /// Planned stops.
     pub planned_stops: Vec<PlannedStop>,
-    /// Whether nothing but planned stops happened, so that no request has an excuse to fail.
+    /// Whether the run had no faults other than planned stops, which must not fail any request.
     pub only_planned_stops: bool,
-    /// Revisions seen on the nodes.
+    /// Configuration revisions observed on the nodes.
     pub configuration: Vec<ConfigurationTrack>,
-    /// Changes accepted.
+    /// Accepted changes of configuration.
     pub accepted_changes: Vec<AcceptedChange>,
 }
--- a/crates/lab/src/check/index.rs
+++ b/crates/lab/src/check/index.rs
@@ -1,27 +1,27 @@
-//! Commits by the operation that made them.
+//! Index of all commits of a run by the operation that made them, and of the owners of seats.
 
 use std::collections::HashMap;
 
 use super::final_state::{FinalState, LogPlace, RowChange};
 use super::history::{GroupId, OperationId, RowKey};
 
-/// What an operation left in the logs of its group.
+/// Positions of an operation's commits in the log of its group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperationCommits {
-    /// Commits in the surviving history.
+    /// Commits in the log at the end of the run.
     pub surviving: Vec<LogPlace>,
-    /// Commits that did not survive.
+    /// Commits that were lost with an old primary.
     pub discarded: Vec<LogPlace>,
 }
 
 impl OperationCommits {
-    /// The latest place it is known from, a surviving one first.
+    /// The latest surviving commit, or the latest discarded one if none survived.
     pub fn latest_place(&self) -> Option<LogPlace> {
         self.surviving.iter().max().or(self.discarded.iter().max()).copied()
     }
 }
 
-/// All commits of a run, by operation and by row.
+/// All commits of a run by operation, and the operations that wrote each seat.
 #[derive(Debug, Default)]
 pub struct CommitIndex {
     traces: HashMap<OperationId, OperationCommits>,
@@ -32,7 +32,7 @@
     OperationCommits { surviving: Vec::new(), discarded: Vec::new() };
 
 impl CommitIndex {
-    /// Indexes the records of a run.
+    /// Indexes the records of all groups.
     pub fn new(state: &FinalState) -> Self {
         let mut index = Self::default();
         for group in &state.groups {
@@ -64,19 +64,19 @@
         }
     }
 
-    /// What `operation` left.
+    /// Commits that `operation` made.
     pub fn commits_of(&self, operation: &OperationId) -> &OperationCommits {
         self.traces.get(operation).unwrap_or(&NO_COMMITS)
     }
 
-    /// Owners that each seat had in the surviving history, in order.
+    /// Operations that became owner of each seat in surviving commits, in log order.
     pub fn seat_owners(&self) -> &HashMap<(GroupId, RowKey), Vec<OperationId>> {
         &self.owners
     }
 }
 
-/// The operation of each change. The parts of one transaction in one commit count once; a row
-/// that stands twice counts twice.
+/// The operation of each change. The parts of one transaction count once. Two changes of another
+/// kind by the same operation count twice, because the operation then took effect twice.
 fn operations_of(changes: &[RowChange]) -> Vec<&OperationId> {
     let mut found = Vec::new();
     for change in changes {
--- a/crates/lab/src/check/leaving_instances.rs
+++ b/crates/lab/src/check/leaving_instances.rs
@@ -1,13 +1,14 @@
-//! Leaving back ends: no new work after a few seconds.
+//! Checks that an instance removed from the configuration gets no new work after a grace period.
 
 use super::final_state::{FinalState, StatementKind};
 use super::history::RunTime;
 use super::violation::{Invariant, Verdict};
 
-/// Time after which a leaving instance must have no new work, in microseconds.
+/// Time after its removal during which an instance may still get new work, in microseconds.
 pub const LEAVING_GRACE_PERIOD: RunTime = RunTime(3_000_000);
 
-/// Judges every statement that reached a leaving instance.
+/// Checks every statement that reached a removed instance. Commits and rollbacks may still arrive
+/// later, because they end work that is already open there.
 pub fn check(state: &FinalState, verdict: &mut Verdict) {
     for group in &state.groups {
         for leaving in &group.leaving {
--- a/crates/lab/src/check/mod.rs
+++ b/crates/lab/src/check/mod.rs
@@ -1,7 +1,8 @@
-//! The checker: judges a run by what callers saw and what the database groups hold in the end.
+//! The checker: decides from the outcomes that clients saw, from the final logs of the database
+//! groups and from the statements that reached instances whether a run broke an invariant.
 //!
-//! It is pure and shares no code with the proxy, so that a fault in a decision of the proxy
-//! cannot hide itself here.
+//! It is pure and shares no code with the proxy, so that a fault in the proxy's decisions cannot
+//! make the checker miss its effects.
 
 pub mod answers;
 pub mod configuration;
@@ -20,7 +21,7 @@
 use self::index::CommitIndex;
 use self::violation::Verdict;
 
-/// Judges a run against every invariant.
+/// Checks a run against every invariant.
 pub fn check(history: &History, state: &FinalState) -> Verdict {
     let index = CommitIndex::new(state);
     let mut verdict = Verdict::default();
--- a/crates/lab/src/check/reads.rs
+++ b/crates/lab/src/check/reads.rs
@@ -1,4 +1,4 @@
-//! Reads: a session sees its own acknowledged writes, and only what was committed.
+//! Checks that a session reads its own acknowledged writes, and reads only committed values.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,17 +7,18 @@
 use super::index::CommitIndex;
 use super::violation::{Invariant, Verdict};
 
-/// Value of every register and seat before the run; it stands before every commit.
+/// Value of every register and seat at the start of the run. It precedes every commit.
 pub const INITIAL_VALUE: &str = "";
 
-/// What a session has seen so far, by row.
+/// Latest log positions that a session knows of, by row: of its acknowledged writes, and of the
+/// values that it has read.
 #[derive(Default)]
-struct Seen {
+struct SessionState {
     acknowledged: HashMap<(GroupId, RowKey), LogPlace>,
     read: HashMap<(GroupId, RowKey), LogPlace>,
 }
 
-/// Judges every read.
+/// Checks every read, session by session in the order of requests.
 pub fn check(history: &History, index: &CommitIndex, verdict: &mut Verdict) {
     let mut sessions: BTreeMap<_, Vec<&Attempt>> = BTreeMap::new();
     for attempt in &history.attempts {
@@ -25,32 +26,38 @@
     }
     for attempts in sessions.values_mut() {
         attempts.sort_by_key(|attempt| attempt.invoked);
-        let mut seen = Seen::default();
+        let mut state = SessionState::default();
         for attempt in attempts {
-            follow(attempt, &mut seen, index, verdict);
+            apply_attempt(attempt, &mut state, index, verdict);
         }
     }
 }
 
-fn follow(attempt: &Attempt, seen: &mut Seen, index: &CommitIndex, verdict: &mut Verdict) {
+fn apply_attempt(
+    attempt: &Attempt,
+    state: &mut SessionState,
+    index: &CommitIndex,
+    verdict: &mut Verdict,
+) {
     match (&attempt.action, &attempt.outcome) {
         (Action::Read(row), Outcome::Answered(answer)) => {
-            check_read(attempt, *row, answer, seen, index, verdict);
+            check_read(attempt, *row, answer, state, index, verdict);
         }
         (Action::Write(row) | Action::Purchase(row), outcome)
             if outcome.is_acknowledged(&attempt.action)
                 || matches!(outcome, Outcome::AlreadyRan(_)) =>
         {
-            note_write(attempt, *row, seen, index);
+            record_write(attempt, *row, state, index);
         }
         _ => {}
     }
 }
 
-/// An acknowledged write that did not survive is judged as a write; it binds no read.
-fn note_write(attempt: &Attempt, row: RowKey, seen: &mut Seen, index: &CommitIndex) {
+/// Records the position that later reads of the session must reach. An acknowledged write without a
+/// surviving commit sets none: the check of writes reports it.
+fn record_write(attempt: &Attempt, row: RowKey, state: &mut SessionState, index: &CommitIndex) {
     if let Some(place) = index.commits_of(&attempt.operation).surviving.iter().min() {
-        let entry = seen.acknowledged.entry((attempt.group.clone(), row)).or_default();
+        let entry = state.acknowledged.entry((attempt.group.clone(), row)).or_default();
         *entry = (*entry).max(*place);
     }
 }
@@ -59,7 +66,7 @@
     attempt: &Attempt,
     row: RowKey,
     answer: &Answer,
-    seen: &mut Seen,
+    state: &mut SessionState,
     index: &CommitIndex,
     verdict: &mut Verdict,
 ) {
@@ -70,19 +77,20 @@
         return;
     };
     let key = (attempt.group.clone(), row);
-    let own = seen.acknowledged.get(&key).copied().unwrap_or_default();
+    let own = state.acknowledged.get(&key).copied().unwrap_or_default();
     if place < own {
         let detail =
             format!("{} read {value:?} at {place:?}, behind its own {own:?}", describe(attempt));
         verdict.add(Invariant::ReadYourWrites, detail);
     }
-    let earlier = seen.read.entry(key).or_default();
+    let earlier = state.read.entry(key).or_default();
     if place < *earlier {
         verdict.read_regressions += 1;
     }
     *earlier = (*earlier).max(place);
 }
 
+/// Position of the commit that wrote `value`; `None` if no transaction committed it.
 fn place_of(value: &str, index: &CommitIndex) -> Option<LogPlace> {
     if value == INITIAL_VALUE {
         return Some(LogPlace::default());
--- a/crates/lab/src/check/transactions.rs
+++ b/crates/lab/src/check/transactions.rs
@@ -1,4 +1,5 @@
-//! Transactions: whole or not at all, and never mixed on a shared connection.
+//! Checks that transactions take effect completely or not at all, and that statements of different
+//! transactions never mix on a pooled connection.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -6,7 +7,7 @@
 use super::history::{Action, Ending, History, InstanceId, OperationId};
 use super::violation::{Invariant, Verdict};
 
-/// Judges commits and the order of statements on each connection.
+/// Checks the surviving commits and the order of statements on each connection.
 pub fn check(history: &History, state: &FinalState, verdict: &mut Verdict) {
     let expected = expected_parts(history);
     for group in &state.groups {
@@ -17,7 +18,8 @@
     }
 }
 
-/// Parts that each transaction leaves if it takes effect: none if it was to roll back.
+/// Number of parts that each transaction leaves if it takes effect; zero for one that the client
+/// meant to roll back.
 fn expected_parts(history: &History) -> HashMap<&OperationId, u32> {
     let of_action = |action: &Action| match action {
         Action::Transaction { parts, ending: Ending::Commit } => Some(*parts),
@@ -51,28 +53,28 @@
     }
 }
 
-/// Follows each connection: between the begin and the end of a block, only statements of the
-/// operation that began it.
+/// Checks that each connection carries only statements of the operation that opened the transaction
+/// block, from the block's begin to its end.
 fn check_connections(arrivals: &[Arrival], verdict: &mut Verdict) {
     let mut open: HashMap<(&InstanceId, u64), &OperationId> = HashMap::new();
     for arrival in arrivals {
         let key = (&arrival.instance, arrival.connection);
         let Some(operation) = &arrival.operation else {
-            // Whoever cleans a connection up ends its block without naming an operation.
+            // The proxy rolls back an abandoned block without naming an operation.
             if arrival.kind == StatementKind::End {
                 open.remove(&key);
             }
             continue;
         };
-        let holder = open.get(&key).copied();
-        let foreign = match (holder, arrival.kind) {
-            (Some(holder), _) => holder != operation,
+        let opener = open.get(&key).copied();
+        let is_foreign = match (opener, arrival.kind) {
+            (Some(opener), _) => opener != operation,
             (None, StatementKind::End) => true,
             (None, _) => false,
         };
-        if foreign {
+        if is_foreign {
             let detail = format!(
-                "{:?} of {operation} on {} connection {} within {holder:?}",
+                "{:?} of {operation} on {} connection {} within {opener:?}",
                 arrival.kind, arrival.instance, arrival.connection
             );
             verdict.add(Invariant::TransactionNotMixed, detail);
--- a/crates/lab/src/check/violation.rs
+++ b/crates/lab/src/check/violation.rs
@@ -1,44 +1,44 @@
-//! The invariants, and the verdict on a run.
+//! The invariants that the checker tests, and its verdict on a run.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What must always hold.
+/// A property that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Invariant {
-    /// A session sees its own acknowledged writes on every later read.
+    /// A session sees its own acknowledged writes in every later read.
     ReadYourWrites,
-    /// A value read was committed by somebody.
+    /// Every value read was committed by some operation.
     ReadOfCommitted,
-    /// An acknowledged write is in the surviving history.
+    /// An acknowledged write is in the log at the end of the run.
     AcknowledgedKept,
-    /// No write is acknowledged that only a replaced primary committed.
+    /// No write is acknowledged that only an old primary committed.
     ReplacedPrimary,
-    /// What was told "not run" has no effect.
+    /// A request whose error states that it did not run has no effect.
     NotRunTrue,
-    /// What a caller was told in the end agrees with the surviving history.
+    /// The final outcome that a client received agrees with the log at the end of the run.
     OutcomeTrue,
-    /// No operation took effect twice.
+    /// No operation takes effect twice.
     AtMostOnce,
-    /// No seat was sold to two buyers.
+    /// No seat is sold to two buyers.
     SeatSoldOnce,
-    /// An answer belongs to the request it is given for.
+    /// A client receives the answer to its own request.
     AnswerOwn,
-    /// An answer is whole.
+    /// An answer is complete.
     AnswerWhole,
-    /// Statements of two transactions do not mix.
+    /// Statements of two transactions do not mix on a connection or in a commit.
     TransactionNotMixed,
-    /// A transaction takes effect as a whole or not at all.
+    /// A transaction takes effect completely or not at all.
     TransactionWhole,
-    /// A leaving back end gets no new work after a few seconds.
+    /// An instance removed from the configuration gets no new work after a grace period.
     LeavingUnused,
-    /// A planned stop cuts no request.
+    /// A planned stop of a node interrupts no request.
     PlannedStopCutsNothing,
-    /// A configuration in force never reverts.
+    /// A node never returns to an earlier configuration revision.
     ConfigurationKept,
-    /// An accepted change is in force everywhere in time.
+    /// Every node activates an accepted change of configuration in time.
     ConfigurationInForce,
 }
 
@@ -64,32 +64,33 @@
     ];
 }
 
-/// One broken invariant.
+/// One violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
-    /// Which invariant.
+    /// The invariant.
     pub invariant: Invariant,
-    /// Where and how.
+    /// The operation, node or commit concerned, and what was observed.
     pub detail: String,
 }
 
-/// What the checker found.
+/// The checker's result for one run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Every violation, in the order found.
+    /// Violations in the order in which the checker found them.
     pub violations: Vec<Violation>,
-    /// Reads of a session that saw an older version than an earlier read of the same row. Only
-    /// writes of the session itself bind its reads, so this is counted and not judged.
+    /// Number of reads that returned an older version than an earlier read of the same row by the
+    /// same session. Sessions are only guaranteed to read their own writes, so these are counted
+    /// and are no violations.
     pub read_regressions: u64,
 }
 
 impl Verdict {
-    /// Adds a violation.
+    /// Adds a violation of `invariant`.
     pub fn add(&mut self, invariant: Invariant, detail: impl Into<String>) {
         self.violations.push(Violation { invariant, detail: detail.into() });
     }
 
-    /// Number of violations of each invariant, zeros included.
+    /// Number of violations of each invariant, including zero.
     pub fn counts(&self) -> BTreeMap<Invariant, u64> {
         let mut counts: BTreeMap<Invariant, u64> =
             Invariant::ALL.iter().map(|invariant| (*invariant, 0)).collect();
--- a/crates/lab/src/check/writes.rs
+++ b/crates/lab/src/check/writes.rs
@@ -1,4 +1,5 @@
-//! Writes: acknowledged ones stay, denied ones have no effect, none takes effect twice.
+//! Checks that acknowledged writes survive, that requests reported as not run have no effect, and
+//! that no operation takes effect twice.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +7,7 @@
 use super::index::CommitIndex;
 use super::violation::{Invariant, Verdict};
 
-/// Judges every operation that may change something.
+/// Checks every operation that may change data.
 pub fn check(history: &History, index: &CommitIndex, verdict: &mut Verdict) {
     let mut operations: BTreeMap<&OperationId, Vec<&Attempt>> = BTreeMap::new();
     for attempt in history.attempts.iter().filter(|attempt| attempt.action.may_write()) {
@@ -24,8 +25,8 @@
     index: &CommitIndex,
     verdict: &mut Verdict,
 ) {
-    let traces = index.commits_of(operation);
-    let effects = traces.surviving.len();
+    let commits = index.commits_of(operation);
+    let effects = commits.surviving.len();
     if effects > 1 {
         verdict.add(Invariant::AtMostOnce, format!("{operation} took effect {effects} times"));
     }
@@ -34,7 +35,7 @@
     if let Some(attempt) = acknowledged
         && effects == 0
     {
-        let invariant = if traces.discarded.is_empty() {
+        let invariant = if commits.discarded.is_empty() {
             Invariant::AcknowledgedKept
         } else {
             Invariant::ReplacedPrimary
@@ -42,14 +43,14 @@
         verdict.add(invariant, format!("{operation} by {}: {:?}", attempt.node, attempt.outcome));
     }
     if effects == 0 {
-        check_purchases_that_ran(operation, attempts, index, verdict);
+        check_reported_purchases(operation, attempts, index, verdict);
     } else {
         check_denials(operation, attempts, verdict);
     }
 }
 
-/// A purchase that is told to have run, and has no effect, must have found the seat taken.
-fn check_purchases_that_ran(
+/// A purchase without effect that was reported as already run must have found the seat taken.
+fn check_reported_purchases(
     operation: &OperationId,
     attempts: &[&Attempt],
     index: &CommitIndex,
@@ -59,26 +60,27 @@
         let Action::Purchase(row) = attempt.action else { continue };
         let ran = matches!(attempt.outcome, Outcome::AlreadyRan(_));
         if ran && !index.seat_owners().contains_key(&(attempt.group.clone(), row)) {
-            let detail = format!("{operation} by {} is told to have run", attempt.node);
+            let detail = format!("{operation} by {} is reported as already run", attempt.node);
             verdict.add(Invariant::AcknowledgedKept, detail);
         }
     }
 }
 
-/// An operation took effect: no attempt may have been told for certain that it did not, unless
-/// another attempt of the same operation may be the one that ran.
+/// Checks the outcomes of an operation that took effect. An outcome that covers the whole operation
+/// must not state that it had no effect. [`Outcome::NotRun`] covers only its own attempt, so it is a
+/// violation only if every attempt ended with it: otherwise another attempt may have run.
 fn check_denials(operation: &OperationId, attempts: &[&Attempt], verdict: &mut Verdict) {
     for attempt in attempts {
-        let final_word = matches!(attempt.outcome, Outcome::Abandoned(_))
+        let denies_operation = matches!(attempt.outcome, Outcome::Abandoned(_))
             || matches!(attempt.outcome, Outcome::Answered(_))
                 && attempt.outcome.denies_effect(&attempt.action);
-        if final_word {
-            let detail = format!("{operation} took effect, told {:?}", attempt.outcome);
+        if denies_operation {
+            let detail = format!("{operation} took effect, reported as {:?}", attempt.outcome);
             verdict.add(Invariant::OutcomeTrue, detail);
         }
     }
     if attempts.iter().all(|attempt| matches!(attempt.outcome, Outcome::NotRun(_))) {
-        let detail = format!("{operation} took effect, told {:?}", attempts[0].outcome);
+        let detail = format!("{operation} took effect, reported as {:?}", attempts[0].outcome);
         verdict.add(Invariant::NotRunTrue, detail);
     }
 }
@@ -90,9 +92,9 @@
     }
     for attempt in &history.attempts {
         if let Action::Purchase(row) = attempt.action {
-            let told = buyers.entry((&attempt.group, row)).or_default();
+            let row_buyers = buyers.entry((&attempt.group, row)).or_default();
             if attempt.outcome.is_acknowledged(&attempt.action) {
-                told.insert(&attempt.operation);
+                row_buyers.insert(&attempt.operation);
             }
         }
     }
--- a/crates/lab/src/demo/catalog.rs
+++ b/crates/lab/src/demo/catalog.rs
@@ -1,4 +1,4 @@
-//! Groups, templates and tenants of the demonstration, as operators would write them.
+//! Writes the demonstration's groups, templates and tenants to the store, as operators would.
 
 use std::net::SocketAddr;
 
@@ -11,18 +11,19 @@
 use super::{DemoTenant, ZONES};
 use crate::logins::verifier_of;
 
-const SLOTS: u32 = 5;
-const CONNECTIONS: u32 = 35;
+const SLOTS_PER_INSTANCE: u32 = 5;
+const CONNECTIONS_PER_INSTANCE: u32 = 35;
 
-fn write(store: &dyn ConfigStore, key: &str, value: &Value) -> miette::Result<()> {
+/// Creates the entry at `key`.
+fn create(store: &dyn ConfigStore, key: &str, value: &Value) -> miette::Result<()> {
     let swap = store.compare_and_swap(key, 0, value.to_string().as_bytes()).into_diagnostic()?;
     match swap {
         Swap::Written(_) => Ok(()),
-        Swap::Conflict => Err(miette!("{key} exists already")),
+        Swap::Conflict => Err(miette!("{key} already exists")),
     }
 }
 
-/// Writes the group of a tenant.
+/// Writes a tenant's group with one instance in each zone.
 pub fn write_group(
     store: &dyn ConfigStore,
     tenant: &DemoTenant,
@@ -37,14 +38,14 @@
                 "name": InstanceName::new(format!("{name}-{zone}")),
                 "zone": zone,
                 "address": address,
-                "slots": SLOTS,
-                "connections": CONNECTIONS,
+                "slots": SLOTS_PER_INSTANCE,
+                "connections": CONNECTIONS_PER_INSTANCE,
             })
         })
         .collect();
     let group =
         json!({ "database": tenant.database, "user": "kestrellock", "instances": instances });
-    write(store, &format!("{GROUPS}{name}"), &group)
+    create(store, &format!("{GROUPS}{name}"), &group)
 }
 
 fn template(tenant: &DemoTenant) -> Value {
@@ -56,22 +57,22 @@
 /// Writes a tenant and its template.
 pub fn write_tenant(store: &dyn ConfigStore, tenant: &DemoTenant) -> miette::Result<()> {
     let name = tenant.name;
-    write(store, &format!("{TEMPLATES}{name}"), &template(tenant))?;
+    create(store, &format!("{TEMPLATES}{name}"), &template(tenant))?;
     let value = json!({ "template": name, "logins": { name: verifier_of(name) } });
-    write(store, &format!("{TENANTS}{name}"), &value)
+    create(store, &format!("{TENANTS}{name}"), &value)
 }
 
-/// Lets every tenant of a template use another group as well.
+/// Adds a group to the template of `tenant`, so that every tenant of that template may use it.
 pub fn add_group(store: &dyn ConfigStore, tenant: &DemoTenant, group: &str) -> miette::Result<()> {
     let key = format!("{TEMPLATES}{}", tenant.name);
-    let known = store.range(&key).into_diagnostic()?;
-    let entry = known.entries.iter().find(|entry| entry.key == key);
+    let stored = store.range(&key).into_diagnostic()?;
+    let entry = stored.entries.iter().find(|entry| entry.key == key);
     let revision = entry.map_or(0, |entry| entry.modified);
     let mut changed = template(tenant);
     changed["groups"] = json!([tenant.group, group]);
     let bytes = changed.to_string();
     match store.compare_and_swap(&key, revision, bytes.as_bytes()).into_diagnostic()? {
         Swap::Written(_) => Ok(()),
-        Swap::Conflict => Err(miette!("{key} was changed by somebody else")),
+        Swap::Conflict => Err(miette!("{key} was changed concurrently")),
     }
 }
--- a/crates/lab/src/demo/check/mod.rs
+++ b/crates/lab/src/demo/check/mod.rs
@@ -1,4 +1,4 @@
-//! Drives the demonstration through a PostgreSQL client library and checks what comes back.
+//! Checks the demonstration end to end, mostly through a PostgreSQL client library.
 
 mod sessions;
 mod statements;
@@ -14,30 +14,30 @@
 use super::{Demo, DemoTenant, TENANTS};
 use crate::logins::password_of;
 
-/// Longest wait for anything that must come.
-const READY_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout for connecting and for each answer.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Counts of what was checked.
+/// Counts of successful checks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CheckCounts {
     /// Writes acknowledged.
     pub writes: usize,
-    /// Reads that saw the session's last write.
+    /// Reads that returned the session's last write.
     pub reads: usize,
-    /// Of those, on another node, by a session that handed its token back.
+    /// Those reads on another node by a session that presented its token.
     pub with_token: usize,
-    /// Of those, on another node, by a session without a token.
+    /// Those reads on another node by a session without a token.
     pub without_token: usize,
-    /// Exchanges by prepared statements.
+    /// Executions of prepared statements.
     pub prepared: usize,
     /// Transactions committed or rolled back.
     pub transactions: usize,
-    /// Errors passed on whole.
+    /// Database errors that arrived with their SQLSTATE and message.
     pub errors: usize,
     /// Statements cancelled.
     pub cancelled: usize,
-    /// Nodes on which a changed template came into force.
+    /// Nodes that activated a changed template.
     pub templates: usize,
 }
 
@@ -45,14 +45,14 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let lines = [
             (self.writes, "writes acknowledged"),
-            (self.reads, "reads that saw the session's last write"),
+            (self.reads, "reads that returned the session's last write"),
             (self.with_token, "of them on another node, with the session's token"),
             (self.without_token, "of them on another node, without a token"),
-            (self.prepared, "exchanges by prepared statements"),
+            (self.prepared, "executions of prepared statements"),
             (self.transactions, "transactions committed or rolled back"),
-            (self.errors, "errors passed on whole"),
+            (self.errors, "errors forwarded completely"),
             (self.cancelled, "statements cancelled"),
-            (self.templates, "nodes on which a changed template came into force"),
+            (self.templates, "nodes that activated a changed template"),
         ];
         for (count, what) in lines {
             writeln!(formatter, "{count:>5}  {what}")?;
@@ -71,21 +71,22 @@
         .connect(NoTls)
 }
 
-/// Connects, waiting until the node has its configuration.
+/// Connects, and retries until the node accepts this user and database. A node refuses them until it
+/// has activated a configuration that permits them.
 fn connect_when_ready(address: SocketAddr, user: &str, database: &str) -> miette::Result<Client> {
-    let limit = Instant::now() + READY_LIMIT;
+    let deadline = Instant::now() + READY_TIMEOUT;
     loop {
         match connect(address, user, database) {
             Ok(client) => return Ok(client),
-            Err(error) if Instant::now() > limit => {
-                return Err(miette!("not ready in time: {error}"));
+            Err(error) if Instant::now() > deadline => {
+                return Err(miette!("timed out connecting to {address}: {error}"));
             }
             Err(_) => std::thread::sleep(RETRY_INTERVAL),
         }
     }
 }
 
-/// A tenant and the node at which it is checked first.
+/// A tenant to check, and the client addresses of the nodes.
 struct Subject<'a> {
     tenant: &'a DemoTenant,
     nodes: &'a [SocketAddr],
@@ -97,49 +98,49 @@
     }
 }
 
-/// A check that did not pass.
+/// A failed check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Which one.
+    /// Name of the check.
     pub check: &'static str,
-    /// What was wrong.
+    /// Its error.
     pub problem: String,
 }
 
-/// What came of all checks.
+/// Result of all checks.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// What was checked.
+    /// Counts of successful checks.
     pub checked: CheckCounts,
-    /// Checks that did not pass.
+    /// Failed checks.
     pub failures: Vec<Failure>,
 }
 
 impl Verdict {
-    /// Notes the outcome of one check and goes on to the next.
-    fn note(&mut self, check: &'static str, outcome: miette::Result<()>) {
+    /// Records a failed check, so that the other checks still run.
+    fn record(&mut self, check: &'static str, outcome: miette::Result<()>) {
         if let Err(report) = outcome {
             self.failures.push(Failure { check, problem: report.to_string() });
         }
     }
 }
 
-/// Name of the check of sessions that move without a token.
+/// Name of the check of sessions that move between nodes without a token.
 pub const WITHOUT_TOKEN: &str = "sessions without a token";
 
-/// Runs every check against a started demonstration.
+/// Runs every check against a running demonstration.
 pub fn run(demo: &Demo) -> Verdict {
     let mut verdict = Verdict::default();
     for tenant in &TENANTS {
         let subject = Subject { tenant, nodes: &demo.client_addresses };
         let outcome = statements::run(&subject, &mut verdict.checked);
-        verdict.note("statements", outcome);
+        verdict.record("statements", outcome);
         let outcome = sessions::with_token(&subject, &mut verdict.checked);
-        verdict.note("sessions with a token", outcome);
+        verdict.record("sessions with a token", outcome);
         let outcome = sessions::without_token(&subject, &mut verdict.checked);
-        verdict.note(WITHOUT_TOKEN, outcome);
+        verdict.record(WITHOUT_TOKEN, outcome);
     }
     let outcome = template::run(demo, &mut verdict.checked);
-    verdict.note("template", outcome);
+    verdict.record("template", outcome);
     verdict
 }
--- a/crates/lab/src/demo/check/sessions.rs
+++ b/crates/lab/src/demo/check/sessions.rs
@@ -1,16 +1,16 @@
-//! A session that moves from node to node sees its own writes, over replicas that lag.
+//! Checks that a session that moves between nodes reads its own writes, although replicas lag.
 
 use std::net::SocketAddr;
 use std::time::Instant;
 
 use miette::{IntoDiagnostic, ensure, miette};
 
-use super::{CheckCounts, READY_LIMIT, Subject};
+use super::{CheckCounts, READY_TIMEOUT, Subject};
 use crate::scenario::caller::connection::{Connection, Endpoint};
 
 const MOVES: i64 = 10;
-const FIRST_WITH_TOKEN: i64 = 10_000;
-const FIRST_WITHOUT_TOKEN: i64 = 20_000;
+const FIRST_ID_WITH_TOKEN: i64 = 10_000;
+const FIRST_ID_WITHOUT_TOKEN: i64 = 20_000;
 
 fn open(subject: &Subject, address: SocketAddr, token: Option<&str>) -> miette::Result<Connection> {
     let endpoint = Endpoint {
@@ -19,26 +19,26 @@
         user: subject.tenant.name.to_owned(),
         database: subject.tenant.database.to_owned(),
     };
-    Connection::connect(&endpoint, token, READY_LIMIT).into_diagnostic()
+    Connection::connect(&endpoint, token, READY_TIMEOUT).into_diagnostic()
 }
 
-/// A session that hands its token back sees its writes on any node. The client library cannot
-/// carry the token, so that these connections are made by hand.
+/// Checks that a session that presents its token reads its writes on any node. The client library
+/// cannot send the token, so this check uses the lab's own connection.
 pub fn with_token(subject: &Subject, checked: &mut CheckCounts) -> miette::Result<()> {
     let table = subject.tenant.table;
     let mut token: Option<String> = None;
     for step in 0..MOVES {
-        let id = FIRST_WITH_TOKEN + step;
+        let id = FIRST_ID_WITH_TOKEN + step;
         let node = step as usize % subject.nodes.len();
         let next = (node + 1) % subject.nodes.len();
         subject.connect(next)?;
-        let mut writing = open(subject, subject.nodes[node], token.as_deref())?;
-        query(&mut writing, &format!("INSERT INTO {table} VALUES ({id}, 'moved', true)"))?;
+        let mut writer = open(subject, subject.nodes[node], token.as_deref())?;
+        query(&mut writer, &format!("INSERT INTO {table} VALUES ({id}, 'moved', true)"))?;
         checked.writes += 1;
-        let given = writing.token.clone();
-        token = Some(given.ok_or_else(|| miette!("a write was answered without a token"))?);
-        let mut reading = open(subject, subject.nodes[next], token.as_deref())?;
-        let rows = query(&mut reading, &format!("SELECT body FROM {table} WHERE id = {id}"))?;
+        let received = writer.token.clone();
+        token = Some(received.ok_or_else(|| miette!("a write was answered without a token"))?);
+        let mut reader = open(subject, subject.nodes[next], token.as_deref())?;
+        let rows = query(&mut reader, &format!("SELECT body FROM {table} WHERE id = {id}"))?;
         ensure!(rows == 1, "a session with its token did not see write {id} on another node");
         checked.reads += 1;
         checked.with_token += 1;
@@ -47,20 +47,21 @@
 }
 
 fn query(connection: &mut Connection, sql: &str) -> miette::Result<usize> {
-    let reply = connection.query(sql, Instant::now() + READY_LIMIT).into_diagnostic()?;
+    let reply = connection.query(sql, Instant::now() + READY_TIMEOUT).into_diagnostic()?;
     match reply.error {
         Some(error) => Err(miette!("{sql}: {} {}", error.sqlstate, error.message)),
         None => Ok(reply.rows.len()),
     }
 }
 
-/// A new connection without a token sees every write acknowledged before it was opened.
+/// Checks that a new connection without a token reads every write that was acknowledged before the
+/// connection was opened.
 pub fn without_token(subject: &Subject, checked: &mut CheckCounts) -> miette::Result<()> {
     let table = subject.tenant.table;
     let insert = format!("INSERT INTO {table} VALUES ($1, 'moved', true)");
     let select = format!("SELECT count(*) FROM {table} WHERE id = $1");
     for step in 0..MOVES {
-        let id = FIRST_WITHOUT_TOKEN + step;
+        let id = FIRST_ID_WITHOUT_TOKEN + step;
         let node = step as usize % subject.nodes.len();
         let next = (node + 1) % subject.nodes.len();
         subject.connect(node)?.execute(&insert, &[&id]).into_diagnostic()?;
--- a/crates/lab/src/demo/mod.rs
+++ b/crates/lab/src/demo/mod.rs
@@ -1,6 +1,6 @@
-//! The demonstration: store, two database groups and three nodes in one process on loopback.
+//! The demonstration: a store, two database groups and three nodes in one process on loopback.
 //!
-//! Each zone has its own loopback addresses, and the links between zones have a delay.
+//! Each zone has its own loopback addresses, and connections between zones have a delay.
 
 mod catalog;
 pub mod check;
@@ -25,7 +25,7 @@
 
 /// Zones of the demonstration.
 pub const ZONES: [&str; 3] = ["casa-ain", "casa-sidi", "casa-bouskoura"];
-/// Token of the admin ports.
+/// Token for the nodes' admin ports.
 pub const ADMIN_TOKEN: &str = "demo-admin-token";
 /// The demonstration's tenants.
 pub const TENANTS: [DemoTenant; 2] = [
@@ -36,22 +36,22 @@
 /// A tenant of the demonstration.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoTenant {
-    /// Name, login and template.
+    /// Name of the tenant, its login and its template.
     pub name: &'static str,
-    /// Its group.
+    /// Database group of the tenant.
     pub group: &'static str,
-    /// Its database.
+    /// Database name of the group.
     pub database: &'static str,
-    /// A table for the checks.
+    /// Table that the checks create and use.
     pub table: &'static str,
 }
 
-/// How the demonstration is set up.
+/// Options of the demonstration.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoOptions {
     /// One-way delay between zones.
     pub zone_delay: Duration,
-    /// How far the readers of a replica stay behind.
+    /// Delay until a commit is visible to reads on a replica.
     pub replica_lag: Duration,
 }
 
@@ -61,24 +61,24 @@
     }
 }
 
-/// Everything the demonstration runs.
+/// A running demonstration.
 pub struct Demo {
     store: PlatformStore,
     groups: Vec<DatabaseGroup>,
     nodes: Vec<Node>,
-    /// Where callers connect, one address a node.
+    /// Addresses for clients, one per node.
     pub client_addresses: Vec<SocketAddr>,
-    /// Where operators connect, one address a node.
+    /// Addresses of the admin ports, one per node.
     pub admin_addresses: Vec<SocketAddr>,
 }
 
 impl Demo {
-    /// Starts everything.
+    /// Starts the demonstration with default options.
     pub fn start() -> miette::Result<Self> {
         Self::start_with(DemoOptions::default())
     }
 
-    /// Starts everything with options.
+    /// Starts the demonstration.
     pub fn start_with(options: DemoOptions) -> miette::Result<Self> {
         let zones: Vec<ZoneName> = ZONES.map(ZoneName::new).into();
         let network = Network::new(&zones, 0).into_diagnostic()?;
@@ -112,7 +112,7 @@
         Ok(Self { store, groups, nodes, client_addresses: caller_addresses, admin_addresses })
     }
 
-    /// Where the store listens.
+    /// Endpoint of the store.
     pub fn store_endpoint(&self) -> String {
         self.store.endpoint()
     }
@@ -122,7 +122,7 @@
         &self.groups
     }
 
-    /// Lines that tell a person where to connect and how to look.
+    /// Lines with the commands that connect to each tenant's database and show the nodes' status.
     pub fn connection_instructions(&self) -> Vec<String> {
         let mut lines = Vec::new();
         for tenant in &TENANTS {
--- a/crates/lab/src/demo/nodes.rs
+++ b/crates/lab/src/demo/nodes.rs
@@ -1,4 +1,4 @@
-//! Settings and listening sockets of the demonstration's nodes.
+//! Settings and listeners of the demonstration's nodes.
 
 use std::net::SocketAddr;
 
@@ -17,19 +17,20 @@
 
 /// A node that is ready to start.
 pub struct PreparedNode {
-    /// Its settings.
+    /// Settings with the addresses of the listeners.
     pub settings: Settings,
-    /// Its listening sockets.
+    /// Bound listeners.
     pub listeners: Listeners,
 }
 
-/// Binds the addresses of a node in each zone, and makes them known to each other.
+/// Binds the listeners of one node per zone, and enters every other node as a peer in each node's
+/// settings.
 pub fn bind(network: &Network, store: &str) -> miette::Result<Vec<PreparedNode>> {
     let mut prepared = Vec::new();
     for zone in ZONES.map(ZoneName::new) {
-        prepared.push(bind_one(network, zone, store)?);
+        prepared.push(bind_node(network, zone, store)?);
     }
-    let peers: Vec<PeerSettings> = prepared.iter().map(as_peer).collect();
+    let peers: Vec<PeerSettings> = prepared.iter().map(peer_settings).collect();
     for node in &mut prepared {
         let own = node.settings.node.clone();
         node.settings.peers = peers.iter().filter(|peer| peer.node != own).cloned().collect();
@@ -37,8 +38,8 @@
     Ok(prepared)
 }
 
-fn bind_one(network: &Network, zone: ZoneName, store: &str) -> miette::Result<PreparedNode> {
-    let any = SocketAddr::new(network.address(&zone, NODE_HOST).into(), 0);
+fn bind_node(network: &Network, zone: ZoneName, store: &str) -> miette::Result<PreparedNode> {
+    let any_port = SocketAddr::new(network.address(&zone, NODE_HOST).into(), 0);
     let secrets = Secrets {
         admin_token: Some(Secret::new(ADMIN_TOKEN)),
         cluster_keys: vec![Secret::new(CLUSTER_KEY)],
@@ -46,9 +47,9 @@
     };
     let name = NodeName::new(format!("node-{zone}"));
     let mut settings = Settings {
-        caller_address: any,
-        peer_address: any,
-        admin_address: any,
+        caller_address: any_port,
+        peer_address: any_port,
+        admin_address: any_port,
         store_endpoints: vec![store.to_owned()],
         secrets,
         ..Settings::loopback(name, zone.clone())
@@ -59,7 +60,7 @@
     Ok(PreparedNode { settings, listeners })
 }
 
-fn as_peer(node: &PreparedNode) -> PeerSettings {
+fn peer_settings(node: &PreparedNode) -> PeerSettings {
     let settings = &node.settings;
     PeerSettings {
         node: settings.node.clone(),
--- a/crates/lab/src/fault_events.rs
+++ b/crates/lab/src/fault_events.rs
@@ -1,8 +1,8 @@
-//! Counters and log events that rest while nothing is wrong.
+//! Fault events and fault counters: those that stay at zero while the cluster works normally.
 //!
-//! Faults of the configuration were counted for many landings before anybody saw one: nobody looked at the
-//! counters. Here stands which of them rest, so that tests, scenarios and whoever looks through the logs of
-//! many days can ask for those that did not.
+//! Nodes counted faults of the configuration for a long time without anybody noticing, because nothing
+//! examined the counters. This module lists the log events and counters that show a fault, so that
+//! tests, scenarios and operators who search the logs of many days can report those that occurred.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
@@ -14,24 +14,25 @@
 use kestrellock_daemon::metrics::{ConfigurationEvent, MessageEvent, Metrics, StoreResult};
 use miette::{IntoDiagnostic, WrapErr, miette};
 
-/// Log events that rest, and what each shows.
+/// Log events that occur only when something is wrong, and the probable cause of each.
 const FAULT_EVENTS: &[(&str, &str)] = &[
+    ("configuration_refused", "a configuration that no node can use: a defect of the proxy"),
+    ("entry_unreadable", "an entry of a foreign writer, or a defect of a writer"),
+    ("entry_left_out", "an entry or instance with an invalid field"),
+    ("configuration_asked_elsewhere", "a node that died or froze, or a congested link to it"),
+    ("peer_silent", "a link or a node that delivers no messages"),
+    ("link_replaced", "a link that stopped delivering messages"),
+    ("dependency_lost", "an outage of the store"),
+    ("instance_displaced", "an instance that restarted at its address under another name"),
+    ("instance_started_again", "an instance that restarted under its name"),
     (
-        "configuration_refused",
-        "a configuration that cannot be used at all: a defect of the program",
+        "hold_lost",
+        "a coordinator that paused during a primary replacement, or an outage of the store",
     ),
-    ("entry_unreadable", "another writer's entry, or a defect of a writer"),
-    ("entry_left_out", "an entry or instance with a faulty field"),
-    ("configuration_asked_elsewhere", "a node that died, froze or has a full link"),
-    ("peer_silent", "a connection between nodes, or a node, that carries nothing"),
-    ("link_replaced", "a connection between nodes that went silent"),
-    ("dependency_lost", "the store"),
-    ("instance_displaced", "an instance that started again at its address under another name"),
-    ("instance_started_again", "an instance that started again under its name"),
-    ("hold_lost", "a node that replaced a primary and stood still, or the store"),
 ];
 
-/// Counters that rest in a test on one machine, with what they have counted.
+/// Counters of faults that are above zero, with their values. In a test on one machine without injected
+/// faults, there are none.
 pub fn nonzero_fault_counters(metrics: &Metrics) -> Vec<(&'static str, u64)> {
     let counters = [
         ("configurations refused", metrics.configuration.get(ConfigurationEvent::Refused)),
@@ -45,25 +46,26 @@
     counters.into_iter().filter(|(_, count)| *count > 0).collect()
 }
 
-/// What one event came to.
+/// Occurrences of one event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Seen {
+struct Occurrences {
     count: u64,
     nodes: BTreeSet<String>,
     first: String,
     last: String,
 }
 
-/// Events that rest and were seen in log lines.
+/// Fault events found in log lines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FaultEvents {
-    seen: BTreeMap<&'static str, Seen>,
+    occurrences: BTreeMap<&'static str, Occurrences>,
 }
 
 impl FaultEvents {
-    /// Takes in a line of a log; what is none is passed over.
+    /// Counts the fault event of a log line. Ignores other events, and text that is no log line.
+    /// `default_node` is the node of lines that name none.
     pub fn add_line(&mut self, text: &str, default_node: &str) {
-        // Most lines of a log tell ordinary answers: only those that name an event are parsed.
+        // Most log lines report routine answers, so only lines that contain an event's name are parsed.
         let named = |(event, _): &&(&str, &str)| text.contains(*event);
         if !FAULT_EVENTS.iter().any(|event| named(&event)) {
             return;
@@ -73,74 +75,78 @@
         let Some((event, _)) = FAULT_EVENTS.iter().find(|(known, _)| *known == event) else {
             return;
         };
-        let seen = self.seen.entry(event).or_insert_with(|| Seen {
+        let occurrences = self.occurrences.entry(event).or_insert_with(|| Occurrences {
             count: 0,
             nodes: BTreeSet::new(),
             first: line.time.clone(),
             last: line.time.clone(),
         });
-        seen.count += 1;
-        seen.nodes.insert(line.node);
-        seen.first = seen.first.clone().min(line.time.clone());
-        seen.last = seen.last.clone().max(line.time);
+        occurrences.count += 1;
+        occurrences.nodes.insert(line.node);
+        occurrences.first = occurrences.first.clone().min(line.time.clone());
+        occurrences.last = occurrences.last.clone().max(line.time);
     }
 
-    /// Events seen that are not `allowed`, in words.
+    /// Describes each event that occurred and is not `allowed`.
     pub fn report(&self, allowed: &[String]) -> Vec<String> {
-        let told = self.seen.iter().filter(|(event, _)| !allowed.iter().any(|one| one == *event));
-        told.map(|(event, seen)| {
-            let shows = FAULT_EVENTS.iter().find(|(known, _)| known == event);
-            format!(
-                "{event}: {} times on {} nodes from {} to {}; shows: {}",
-                seen.count,
-                seen.nodes.len(),
-                seen.first,
-                seen.last,
-                shows.map_or("", |(_, shows)| *shows)
-            )
-        })
-        .collect()
+        let unexpected = self
+            .occurrences
+            .iter()
+            .filter(|(event, _)| !allowed.iter().any(|allowed| allowed == *event));
+        unexpected
+            .map(|(event, occurrences)| {
+                let cause = FAULT_EVENTS.iter().find(|(known, _)| known == event);
+                format!(
+                    "{event}: {} times on {} nodes from {} to {}; probable cause: {}",
+                    occurrences.count,
+                    occurrences.nodes.len(),
+                    occurrences.first,
+                    occurrences.last,
+                    cause.map_or("", |(_, cause)| *cause)
+                )
+            })
+            .collect()
     }
 }
 
-/// tell log events that should rest; exit code 1 if there are any
+/// report log events that show a fault; exit code 1 if there are any
 #[derive(FromArgs)]
 #[argh(subcommand, name = "resting")]
 pub struct FaultEventsCommand {
-    /// a log, or what a run printed; may be given again
+    /// a log file, or the output of a run; may be repeated
     #[argh(option)]
     log: Vec<PathBuf>,
-    /// an event that was brought about on purpose; may be given again
+    /// an event to ignore because it was caused on purpose; may be repeated
     #[argh(option)]
     allow: Vec<String>,
 }
 
 impl FaultEventsCommand {
-    /// Reads the logs and tells what did not rest.
+    /// Reads the logs and prints a line for each fault event. Fails if there are any.
     pub fn run(&self) -> miette::Result<()> {
-        let mut unrest = FaultEvents::default();
+        let mut events = FaultEvents::default();
         for path in &self.log {
-            read(path, &mut unrest)?;
+            read_log(path, &mut events)?;
         }
-        let report = unrest.report(&self.allow);
+        let report = events.report(&self.allow);
         for line in &report {
             println!("{line}");
         }
         match report.len() {
             0 => Ok(()),
-            count => Err(miette!("{count} kinds of events did not rest")),
+            count => Err(miette!("the logs hold {count} kinds of fault events")),
         }
     }
 }
 
-fn read(path: &Path, unrest: &mut FaultEvents) -> miette::Result<()> {
+fn read_log(path: &Path, events: &mut FaultEvents) -> miette::Result<()> {
     let file = File::open(path)
         .into_diagnostic()
-        .wrap_err_with(|| format!("{} cannot be read", path.display()))?;
+        .wrap_err_with(|| format!("cannot open {}", path.display()))?;
     let default_node = path.file_stem().unwrap_or_default().to_string_lossy();
     for line in BufReader::new(file).split(b'\n') {
         let line = line.into_diagnostic()?;
-        unrest.add_line(&String::from_utf8_lossy(&line), &default_node);
+        events.add_line(&String::from_utf8_lossy(&line), &default_node);
     }
     Ok(())
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `kestrellock-lab`: demonstration, scenarios and benches.
+//! `kestrellock-lab`: the command line of the demonstration, fault scenarios and benches.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -33,14 +33,14 @@
     Resting(FaultEventsCommand),
 }
 
-/// start store, database groups and three nodes on loopback
+/// start a store, database groups and three nodes on loopback
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 struct DemoArguments {
-    /// drive it through a client library, print what was checked, and exit
+    /// run checks through a client library, print their counts, and exit
     #[argh(switch)]
     check: bool,
-    /// on stand-ins of the users' platform; only together with --check
+    /// use stand-ins of the users' platform; requires --check
     #[argh(switch)]
     platform: bool,
     /// one-way delay between zones in milliseconds (default: 1.5)
@@ -61,7 +61,7 @@
 fn run_demo(arguments: &DemoArguments) -> miette::Result<()> {
     if arguments.platform {
         if !arguments.check {
-            return Err(WrongUse("--platform needs --check".to_owned()).into());
+            return Err(WrongUse("--platform requires --check".to_owned()).into());
         }
         print!("{}", platform::check::run()?);
         return Ok(());
@@ -88,6 +88,6 @@
     }
     match verdict.failures.len() {
         0 => Ok(()),
-        count => Err(miette!("{count} checks did not pass")),
+        count => Err(miette!("{count} checks failed")),
     }
 }
--- a/crates/lab/src/platform/client.rs
+++ b/crates/lab/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks the platform's wire.
+//! A client that speaks the platform's line protocol.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,33 +10,33 @@
 use miette::{IntoDiagnostic, miette};
 
 const READ_BYTES: usize = 16 * 1024;
-/// Longest wait for an answer.
+/// Read timeout of the connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An answer.
+/// The answer to one statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Rows.
+    /// Rows of the result.
     pub rows: Vec<String>,
-    /// The signature of a success, or the word and text of an error.
+    /// Signature of a success, or code and text of an error.
     pub outcome: Result<String, (String, String)>,
-    /// State of the transaction.
+    /// State of the session's transaction after the statement.
     pub state: TransactionState,
 }
 
 impl Answer {
-    /// The word of the error, if it is one.
+    /// The error code; `None` on success.
     pub fn error_code(&self) -> Option<&str> {
-        self.outcome.as_ref().err().map(|(word, _)| word.as_str())
+        self.outcome.as_ref().err().map(|(code, _)| code.as_str())
     }
 
-    /// Whether it is a success.
+    /// Whether the statement succeeded.
     pub fn is_success(&self) -> bool {
         self.outcome.is_ok()
     }
 }
 
-/// A caller's session.
+/// One client session. Statement ids consist of the session's name and a counter.
 pub struct LineSession {
     stream: TcpStream,
     input: BytesMut,
@@ -45,12 +45,12 @@
 }
 
 impl LineSession {
-    /// Connects and names a database. An error tells the word and text of the refusal.
+    /// Opens a session on a database. The error holds code and text of a refusal.
     pub fn open(address: SocketAddr, database: &str, name: &str) -> miette::Result<Self> {
         Self::open_with_key(address, database, "caller", name)
     }
 
-    /// The same for a caller that shows a key.
+    /// Opens a session on a database with a customer's key.
     pub fn open_with_key(
         address: SocketAddr,
         database: &str,
@@ -63,12 +63,12 @@
         session.send(&output)?;
         match session.next_message()? {
             Some(ServerMessage::Ready(_)) => Ok(session),
-            Some(ServerMessage::Error(word, text)) => Err(miette!("{word}: {text}")),
-            other => Err(miette!("unexpected: {other:?}")),
+            Some(ServerMessage::Error(code, text)) => Err(miette!("{code}: {text}")),
+            other => Err(miette!("unexpected answer to the startup message: {other:?}")),
         }
     }
 
-    /// Connects without saying anything.
+    /// Connects without sending a startup message.
     pub fn connect(address: SocketAddr, name: &str) -> miette::Result<Self> {
         let stream = TcpStream::connect(address).into_diagnostic()?;
         stream.set_read_timeout(Some(ANSWER_TIMEOUT)).into_diagnostic()?;
@@ -76,7 +76,7 @@
         Ok(Self { stream, input: BytesMut::new(), next_id: 0, name: name.to_owned() })
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     pub fn send(&mut self, bytes: &[u8]) -> miette::Result<()> {
         self.stream.write_all(bytes).into_diagnostic()
     }
@@ -95,13 +95,13 @@
         self.send(&output)
     }
 
-    /// Runs a statement.
+    /// Sends a statement and waits for its answer.
     pub fn run(&mut self, text: &str) -> miette::Result<Answer> {
         self.send_statement(text)?;
         self.read_answer()
     }
 
-    /// Waits for an answer.
+    /// Waits for the answer to the oldest unanswered statement.
     pub fn read_answer(&mut self) -> miette::Result<Answer> {
         let mut rows = Vec::new();
         let mut outcome = None;
@@ -109,9 +109,11 @@
             match self.next_message()? {
                 Some(ServerMessage::Row(row)) => rows.push(row),
                 Some(ServerMessage::Done(signature)) => outcome = Some(Ok(signature)),
-                Some(ServerMessage::Error(word, text)) => outcome = Some(Err((word, text))),
+                Some(ServerMessage::Error(code, text)) => outcome = Some(Err((code, text))),
                 Some(ServerMessage::Ready(state)) => {
-                    let outcome = outcome.ok_or_else(|| miette!("an answer without an outcome"))?;
+                    let outcome = outcome.ok_or_else(|| {
+                        miette!("the answer has neither a signature nor an error")
+                    })?;
                     return Ok(Answer { rows, outcome, state });
                 }
                 None => return Err(miette!("the connection was closed")),
@@ -123,8 +125,8 @@
     pub fn next_message(&mut self) -> miette::Result<Option<ServerMessage>> {
         let mut chunk = [0; READ_BYTES];
         loop {
-            if let Some(heard) = lines::next_server_message(&mut self.input) {
-                return Ok(Some(heard));
+            if let Some(message) = lines::next_server_message(&mut self.input) {
+                return Ok(Some(message));
             }
             match self.stream.read(&mut chunk) {
                 Ok(0) => return Ok(None),
@@ -132,7 +134,7 @@
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => {
                     return Ok(None);
                 }
-                Err(error) => return Err(miette!("no answer: {error}")),
+                Err(error) => return Err(miette!("reading the answer failed: {error}")),
             }
         }
     }
--- a/crates/lab/src/platform/mod.rs
+++ b/crates/lab/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The users' platform in one process on loopback: store, instances, promotions, and nodes before
-//! them; and a caller that speaks their wire.
+//! The users' platform in one process on loopback: the store, the instances, the promotion service and
+//! the proxy's nodes, and a client that speaks the platform's line protocol.
 
 pub mod check;
 pub mod client;
@@ -25,49 +25,50 @@
 use crate::standin::network::Network;
 use crate::standin::store::{Dialect, PlatformStore, StoreCopy};
 
-/// Zones; each has one node and one instance of each group.
+/// Names of the zones. Each zone has one instance of each group; nodes are placed in the zones in turn.
 pub const ZONES: [&str; 3] = ["casa-ain", "casa-sidi", "casa-bouskoura"];
-/// Groups.
+/// Names of the database groups.
 pub const GROUPS: [&str; 2] = ["orders", "tickets"];
-/// Longest wait for anything that must come.
+/// Time after which [`wait`] fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_STALENESS_MS: u64 = 1_500;
-/// Seed of the relays, which lose nothing by chance here.
+/// Seed of the relays' random losses. The value is irrelevant, because these relays lose nothing at
+/// random.
 const RELAY_SEED: u64 = 1;
 const TIMEOUT_MS: u64 = 3_000;
 
-/// How the platform is set up.
+/// Options of a platform.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Nodes, in the zones in turn.
+    /// Number of nodes. They are placed in the zones in turn.
     pub nodes: usize,
-    /// How long replicas apply after they have received.
+    /// Delay between receiving and applying a commit on a replica.
     pub replica_lag: Duration,
-    /// Time that a promotion takes.
+    /// Duration of a promotion.
     pub promotion_delay: Duration,
-    /// Connections that an instance accepts.
+    /// Maximum number of connections to an instance.
     pub max_connections: usize,
-    /// Replicas that a commit must have reached before it is answered.
+    /// Number of replicas that must have received a commit before the primary acknowledges it.
     pub synchronous_replicas: usize,
-    /// Whether the operator has written a configuration.
+    /// Whether the store has a configuration from the start.
     pub configured: bool,
-    /// Whether nodes reach each other and the store through relays, on which faults can be played.
+    /// Whether nodes reach each other and the store through relays, which can inject network faults.
     pub relayed: bool,
-    /// Time after which a key that was taken away must be out of use on every node.
+    /// Time within which every node must stop accepting a revoked key.
     pub revocation_limit: Option<Duration>,
-    /// Time after which nothing may reach the instances of a zone that is drained.
+    /// Time within which statements must stop reaching the instances of a drained zone.
     pub zone_drain_limit: Option<Duration>,
 }
 
 /// A customer of the platform.
 #[derive(Clone, Debug)]
 pub struct Customer {
-    /// Its name.
+    /// Name of the customer's account.
     pub name: String,
-    /// Its keys.
+    /// Keys with which the customer's clients authenticate.
     pub keys: Vec<String>,
-    /// Operations that it may ask in a second, and at once beyond that.
+    /// Operations per second, and burst size of the token bucket.
     pub quota: (f64, f64),
 }
 
@@ -89,27 +90,30 @@
 
 /// A running platform.
 pub struct Platform {
-    /// The store.
+    /// The configuration store.
     pub store: PlatformStore,
     /// The groups, in the order of [`GROUPS`].
     pub groups: Vec<InstanceGroup>,
-    /// The promotion call.
+    /// The service that promotes replicas.
     pub promotions: PromotionService,
-    /// The relays, if there are any; what they lead to stands in zones of its own.
+    /// The relays, if [`PlatformOptions::relayed`]. Each node and the store has a zone of its own in
+    /// this network.
     pub network: Option<Arc<Network>>,
     options: PlatformOptions,
+    /// Edition of the configuration written last.
     version: u64,
-    /// Customers whose callers show keys, if they do.
+    /// Customers whose clients authenticate with keys; `None` for a configuration without accounts.
     customers: Option<Vec<Customer>>,
     store_address: String,
+    /// Running nodes by number; `None` for a stopped one.
     nodes: Vec<Option<Node>>,
-    /// Where callers connect, by node.
+    /// Addresses for clients, by node.
     pub client_addresses: Vec<SocketAddr>,
-    /// Where operators connect, by node.
+    /// Addresses of the admin pages, by node.
     pub admin_addresses: Vec<SocketAddr>,
 }
 
-/// A database name for each route type of a group.
+/// Name of a group's database with the given consistency.
 pub fn database(group: &str, consistency: Consistency) -> String {
     let kind = match consistency {
         Consistency::Primary => "primary",
@@ -119,18 +123,19 @@
     format!("{group}-{kind}")
 }
 
-/// Database of a further route. Its name repeats nothing of the others', as operators' names do not.
+/// Database name of an extra route. The names look random and share no text with each other, like the
+/// names that operators choose.
 pub fn extra_database(number: usize) -> String {
     let mixed = (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     format!("d{:013x}", mixed >> 12)
 }
 
-/// Zone of the relay before a node.
+/// Zone of the relay in front of a node.
 pub fn node_relay_zone(number: usize) -> ZoneName {
     ZoneName::new(format!("node-{number}"))
 }
 
-/// Zone of the relay before the store.
+/// Zone of the relay in front of the store.
 pub fn store_relay_zone() -> ZoneName {
     ZoneName::new("store")
 }
@@ -142,7 +147,7 @@
 }
 
 impl Platform {
-    /// Starts everything.
+    /// Starts the store, the instances, the promotion service and the nodes.
     pub fn start(options: PlatformOptions) -> miette::Result<Self> {
         let store = PlatformStore::start_as(Dialect::Platform).into_diagnostic()?;
         let mut groups = Vec::new();
@@ -191,7 +196,8 @@
         Ok(platform)
     }
 
-    /// The store is away for a time, and comes back from a copy; the instances write their entries again.
+    /// Makes the store unavailable for `away` and then restores it from `copy`. The instances then
+    /// write their entries again.
     pub fn restore_store(&self, copy: &StoreCopy, away: Duration) {
         self.store.set_outage(true);
         std::thread::sleep(away);
@@ -200,27 +206,31 @@
         self.groups.iter().for_each(InstanceGroup::announce_again);
     }
 
-    /// Writes a configuration with a route of each type to each group, but for the databases named.
+    /// Writes a configuration with a route of each consistency to each group, except for the databases
+    /// in `without`.
     pub fn configure(&mut self, without: &[&str]) {
         self.write_configuration(without, &[]);
     }
 
-    /// Writes a configuration with these customers.
+    /// Writes a configuration with these customers. Later configurations have them too.
     pub fn configure_customers(&mut self, customers: &[Customer]) {
         self.customers = Some(customers.to_vec());
         self.write_configuration(&[], &[]);
     }
 
-    /// The same with one further route for each of `further`: the time within which its statements are
-    /// answered, in milliseconds.
-    pub fn configure_extra_routes(&mut self, further: &[u64]) {
-        self.write_configuration(&[], further);
+    /// Writes a configuration with one extra route for each of `timeouts_ms`, the statement timeout of
+    /// that route in milliseconds.
+    pub fn configure_extra_routes(&mut self, timeouts_ms: &[u64]) {
+        self.write_configuration(&[], timeouts_ms);
     }
 
-    fn write_configuration(&mut self, without: &[&str], further: &[u64]) {
+    fn write_configuration(&mut self, without: &[&str], extra_timeouts_ms: &[u64]) {
         self.version += 1;
-        let further: Vec<(String, u64)> =
-            further.iter().enumerate().map(|(number, ms)| (extra_database(number), *ms)).collect();
+        let extra_routes: Vec<(String, u64)> = extra_timeouts_ms
+            .iter()
+            .enumerate()
+            .map(|(number, timeout_ms)| (extra_database(number), *timeout_ms))
+            .collect();
         let mut names: Vec<(String, &str, Consistency)> = Vec::new();
         for group in GROUPS {
             for consistency in [Consistency::Primary, Consistency::Bounded, Consistency::Session] {
@@ -239,7 +249,7 @@
                 timeout_ms: TIMEOUT_MS,
             })
             .collect();
-        routes.extend(further.iter().map(|(database, timeout_ms)| RouteEntry {
+        routes.extend(extra_routes.iter().map(|(database, timeout_ms)| RouteEntry {
             name: database,
             database,
             group: GROUPS[0],
@@ -309,7 +319,7 @@
         Ok(())
     }
 
-    /// Starts a node again under its name, at other ports. Not for nodes behind relays.
+    /// Restarts a node under the same name on other ports. Does not support nodes behind relays.
     pub fn restart_node(&mut self, number: usize) -> miette::Result<()> {
         let mut settings = self.settings(number);
         let listeners =
@@ -321,33 +331,33 @@
         Ok(())
     }
 
-    /// The nodes that run.
+    /// The running nodes.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().flatten()
     }
 
-    /// Stops a node as planned.
+    /// Drains and stops a node.
     pub fn stop_node(&mut self, number: usize) {
         if let Some(node) = self.nodes[number].take() {
             node.stop();
         }
     }
 
-    /// Kills a node.
+    /// Kills a node without draining it.
     pub fn kill_node(&mut self, number: usize) {
         if let Some(node) = self.nodes[number].take() {
             node.kill();
         }
     }
 
-    /// Freezes or thaws a node.
+    /// Pauses or resumes a node.
     pub fn set_paused(&self, number: usize, paused: bool) {
         if let Some(node) = &self.nodes[number] {
             node.set_paused(paused);
         }
     }
 
-    /// Waits until every node knows the configuration and all live nodes.
+    /// Waits until every node has a configuration and sees all running nodes as listed and live.
     pub fn wait_until_ready(&self) -> miette::Result<()> {
         wait("every node is ready", || {
             let count = self.nodes().count();
@@ -361,7 +371,7 @@
         .map_err(|error| miette!("{error}: {}", self.describe_nodes()))
     }
 
-    /// What each node knows of the configuration and of the others.
+    /// Describes each node's configuration and membership, for the error of a wait.
     fn describe_nodes(&self) -> String {
         let nodes = self.nodes().map(|node| {
             let context = &node.context;
@@ -392,12 +402,12 @@
     }
 }
 
-/// Waits until something holds.
-pub fn wait(what: &str, mut holds: impl FnMut() -> bool) -> miette::Result<()> {
-    let end = Instant::now() + WAIT_TIMEOUT;
-    while !holds() {
-        if Instant::now() >= end {
-            return Err(miette!("not in time: {what}"));
+/// Polls until `condition` holds. `what` describes it in the error.
+pub fn wait(what: &str, mut condition: impl FnMut() -> bool) -> miette::Result<()> {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        if Instant::now() >= deadline {
+            return Err(miette!("timed out waiting: {what}"));
         }
         std::thread::sleep(POLL_INTERVAL);
     }
--- a/crates/lab/src/report/latency.rs
+++ b/crates/lab/src/report/latency.rs
@@ -1,4 +1,4 @@
-//! Latency by class of statement.
+//! Latency histograms by class of statement.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Significant figures that a recorded latency keeps.
+/// Significant figures of recorded latencies.
 const SIGNIFICANT_FIGURES: u8 = 3;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// Quantiles of one class, in milliseconds.
+/// Latency quantiles of one class of statements, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
     /// Number of statements.
@@ -23,34 +23,34 @@
     pub p99: f64,
     /// 99.9th percentile.
     pub p999: f64,
-    /// Largest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// Latencies of several classes.
+/// Latency histograms of several classes.
 #[derive(Clone, Debug, Default)]
 pub struct Latencies {
     classes: BTreeMap<String, Histogram<u64>>,
 }
 
 impl Latencies {
-    /// Records one latency.
+    /// Records the latency of one statement.
     pub fn record(&mut self, class: &str, latency: Duration) {
         self.histogram(class)
             .record(latency.as_micros() as u64)
-            .expect("a histogram that resizes takes any value");
+            .expect("an auto-resizing histogram accepts every value");
     }
 
-    /// Takes in everything that `other` recorded.
+    /// Adds all latencies recorded by `other`.
     pub fn merge(&mut self, other: &Latencies) {
         for (class, histogram) in &other.classes {
             self.histogram(class)
                 .add(histogram)
-                .expect("a histogram that resizes takes in any other");
+                .expect("an auto-resizing histogram can add any other");
         }
     }
 
-    /// Quantiles of each class.
+    /// Latency quantiles of each class.
     pub fn quantiles(&self) -> BTreeMap<String, Quantiles> {
         let classes = self.classes.iter();
         classes.map(|(class, histogram)| (class.clone(), quantiles_of(histogram))).collect()
@@ -59,7 +59,7 @@
     fn histogram(&mut self, class: &str) -> &mut Histogram<u64> {
         self.classes.entry(class.to_owned()).or_insert_with(|| {
             let mut histogram = Histogram::new(SIGNIFICANT_FIGURES)
-                .expect("three significant figures are within the library's range");
+                .expect("the library supports three significant figures");
             histogram.auto(true);
             histogram
         })
--- a/crates/lab/src/report/measurement.rs
+++ b/crates/lab/src/report/measurement.rs
@@ -1,4 +1,4 @@
-//! What is counted and timed in one run, from its history.
+//! Counts and times of a run, computed from its history.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,49 +11,49 @@
 
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// Counts and times of a run; runs can be added up.
+/// Counts and times of one run, or of several merged runs.
 #[derive(Clone, Debug, Default)]
 pub struct Measurement {
     /// Writes acknowledged.
     pub acknowledged: u64,
-    /// Writes told not run.
+    /// Writes reported as not run.
     pub not_run: u64,
     /// Writes whose first outcome left them in doubt.
     pub in_doubt: u64,
-    /// Those with a request key.
+    /// Writes in doubt that carried a request key.
     pub in_doubt_keyed: u64,
-    /// Those in doubt that got a final outcome.
+    /// Writes in doubt for which a later attempt got a final outcome.
     pub in_doubt_resolved: u64,
-    /// Longest time from doubt to resolution, in milliseconds.
+    /// Longest time from an outcome in doubt to the final outcome, in milliseconds.
     pub longest_resolution_ms: f64,
     /// Reads answered.
     pub reads: u64,
     /// Reads that failed.
     pub reads_failed: u64,
-    /// Reads that reached a primary, as the instances counted them.
+    /// Reads that reached a primary, as counted by the instances.
     pub reads_at_primary: u64,
-    /// Reads that reached a replica, as the instances counted them.
+    /// Reads that reached a replica, as counted by the instances.
     pub reads_at_replica: u64,
-    /// Numbered results told.
+    /// Number of attempts without an answer, by error number, SQLSTATE or `disconnected`.
     pub results: BTreeMap<String, u64>,
-    /// Latency by class.
+    /// Latency by class of statement.
     pub latency: Latencies,
-    /// Changes of primary.
+    /// Primary replacements.
     pub failovers: Vec<FailoverGap>,
 }
 
-/// A change of primary, as the group itself tells it.
+/// A replacement of a group's primary, as recorded by the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failover {
     /// The group.
     pub group: GroupId,
     /// When the old primary was lost.
     pub lost: RunTime,
-    /// When the new one took writes.
+    /// When the new primary accepted writes.
     pub promoted: RunTime,
 }
 
-/// Name of an action's class in reports.
+/// Class of an action's statements in reports.
 pub fn class_name(action: &Action) -> &'static str {
     match action {
         Action::Read(_) => "read",
@@ -69,7 +69,7 @@
 }
 
 impl Measurement {
-    /// Measures a history.
+    /// Computes the measurement of a run from its history.
     pub fn new(seed: u64, history: &History, failovers: &[Failover]) -> Self {
         let mut measurement = Self::default();
         let mut writes: BTreeMap<&OperationId, Vec<&Attempt>> = BTreeMap::new();
@@ -97,10 +97,10 @@
         let name = match outcome {
             Outcome::Answered(_) => return,
             Outcome::Disconnected => "disconnected".to_owned(),
-            Outcome::NotRun(told)
-            | Outcome::InDoubt(told)
-            | Outcome::AlreadyRan(told)
-            | Outcome::Abandoned(told) => result_name(told),
+            Outcome::NotRun(error)
+            | Outcome::InDoubt(error)
+            | Outcome::AlreadyRan(error)
+            | Outcome::Abandoned(error) => result_name(error),
         };
         *self.results.entry(name).or_default() += 1;
     }
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Counts one operation by its first outcome, and by a later one that ended its doubt.
+    /// Counts one operation by its first outcome. If that left it in doubt, also counts the first later
+    /// outcome that resolved the doubt.
     fn count_write(&mut self, attempts: &[&Attempt]) {
         let Some(first) = attempts.first() else { return };
         let is_final = |attempt: &Attempt| {
@@ -136,13 +137,13 @@
         }
     }
 
-    /// Share of reads that replicas served.
+    /// Share of reads that replicas served, from 0 to 1; `None` without reads.
     pub fn replica_read_share(&self) -> Option<f64> {
-        let all = self.reads_at_primary + self.reads_at_replica;
-        (all > 0).then(|| self.reads_at_replica as f64 / all as f64)
+        let total = self.reads_at_primary + self.reads_at_replica;
+        (total > 0).then(|| self.reads_at_replica as f64 / total as f64)
     }
 
-    /// Takes in the counts of another run.
+    /// Adds the counts and times of another run.
     pub fn merge(&mut self, other: &Measurement) {
         self.acknowledged += other.acknowledged;
         self.not_run += other.not_run;
@@ -162,10 +163,10 @@
     }
 }
 
-fn result_name(told: &Told) -> String {
-    match told.number {
+fn result_name(error: &Told) -> String {
+    match error.number {
         Some(number) => format!("KL{number}"),
-        None => format!("SQLSTATE {}", told.sqlstate),
+        None => format!("SQLSTATE {}", error.sqlstate),
     }
 }
 
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The report of a run or of several: what was measured, and what the checker found.
+//! The report on one or several runs: measurements, and the violations that the checker found.
 
 pub mod latency;
 pub mod measurement;
@@ -12,98 +12,100 @@
 use self::measurement::Measurement;
 use crate::check::violation::{Invariant, Verdict};
 
-/// Name of the report within its directory.
+/// File name of the report within its directory.
 pub const REPORT_FILE: &str = "report.json";
-/// Violations whose details a report spells out, at most.
+/// Maximum number of violations whose details are included in a report.
 const DETAILS_LIMIT: usize = 100;
 
-/// One change of primary.
+/// Duration of one primary replacement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FailoverGap {
-    /// Seed of the run it happened in.
+    /// Seed of the run.
     pub seed: u64,
-    /// Group that changed its primary.
+    /// Group whose primary was replaced.
     pub group: String,
-    /// From the loss of the old primary until the new one took writes, in milliseconds.
+    /// Time from the loss of the old primary until the new primary accepted writes, in milliseconds.
     pub election: f64,
-    /// From then until the first write acknowledged to a caller, in milliseconds; `None` if no
-    /// write was acknowledged any more.
+    /// Time from then until a client received the first acknowledgement of a write, in milliseconds;
+    /// `None` if no later write was acknowledged.
     pub added: Option<f64>,
 }
 
-/// A violation and the seed that showed it.
+/// A violation, and the seed of the run in which it occurred.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedViolation {
     /// Seed of the run.
     pub seed: u64,
-    /// Invariant that was broken.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// Where and how.
+    /// The operation, node or commit concerned, and what was observed.
     pub detail: String,
 }
 
-/// What one run gave.
+/// Result of one run.
 #[derive(Clone, Debug)]
 pub struct RunResult {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// What was measured.
+    /// Counts and times.
     pub measurement: Measurement,
-    /// What the checker found.
+    /// Verdict of the checker.
     pub verdict: Verdict,
-    /// What happened, as text, where an invariant was broken.
+    /// Text trace of the run; `None` if no invariant was violated.
     pub trace: Option<String>,
 }
 
-/// The report, as `report.json` holds it.
+/// The contents of `report.json`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the scenario or bench.
     pub scenario: String,
-    /// Decisions the nodes took: the product's (`standard`) or a baseline's.
+    /// Policy of the nodes' decisions: that of the product (`standard`) or a baseline.
     pub policy: String,
     /// Seeds that were run.
     pub seeds: Vec<u64>,
     /// Seeds with at least one violation.
     pub failed_seeds: Vec<u64>,
-    /// Share of the reads that a replica served, from 0 to 1; `None` without reads.
+    /// Share of reads that replicas served, from 0 to 1; `None` without reads.
     pub replica_read_share: Option<f64>,
-    /// Every change of primary.
+    /// Every primary replacement.
     pub failover_gap_ms: Vec<FailoverGap>,
-    /// Median of what the proxy added to the groups' own elections, in milliseconds.
+    /// Median time that the proxy added to the groups' own elections, in milliseconds.
     pub failover_added_median_ms: Option<f64>,
-    /// Largest of them, in milliseconds.
+    /// Maximum time that the proxy added to a group's own election, in milliseconds.
     pub failover_added_max_ms: Option<f64>,
-    /// Requests that may change something and were acknowledged.
+    /// Acknowledged requests that may change data.
     pub acknowledged: u64,
-    /// Requests that were told that they had not run.
+    /// Requests that may change data and were reported as not run.
     pub not_run: u64,
-    /// Requests whose first outcome left them in doubt, a broken connection included.
+    /// Requests that may change data and whose first outcome left them in doubt, including closed
+    /// connections.
     pub in_doubt: u64,
-    /// Those of them that carried a request key.
+    /// Requests in doubt that carried a request key.
     pub in_doubt_keyed: u64,
-    /// Those in doubt that later got a final outcome.
+    /// Requests in doubt for which a later attempt got a final outcome.
     pub in_doubt_resolved: u64,
-    /// Longest time from doubt to its resolution, in milliseconds.
+    /// Longest time from an outcome in doubt to the final outcome, in milliseconds.
     pub longest_resolution_ms: f64,
     /// Reads answered.
     pub reads: u64,
-    /// Reads that ended with an error or a broken connection.
+    /// Reads that ended with an error or a closed connection.
     pub reads_failed: u64,
-    /// Reads that saw an older version than an earlier read of the same session; not judged.
+    /// Reads that returned an older version than an earlier read of the same row by the same session.
+    /// These are no violations.
     pub read_regressions: u64,
-    /// How often each numbered result was told, by its number.
+    /// Number of attempts without an answer, by error number, SQLSTATE or `disconnected`.
     pub results: BTreeMap<String, u64>,
-    /// Latency by class of statement, from the time at which it was due.
+    /// Latency by class of statement, measured from the time at which the statement was due.
     pub latency_ms: BTreeMap<String, Quantiles>,
-    /// Violations of each invariant, zeros included.
+    /// Number of violations of each invariant, including zero.
     pub violations: BTreeMap<Invariant, u64>,
-    /// The first violations in full.
+    /// Details of the first violations.
     pub details: Vec<ReportedViolation>,
 }
 
 impl Report {
-    /// Sums up runs of one scenario under one policy.
+    /// Combines the runs of one scenario under one policy.
     pub fn new(scenario: &str, policy: &str, runs: &[RunResult]) -> Self {
         let mut total = Measurement::default();
         let mut report = Self {
@@ -164,7 +166,7 @@
         self.violations.values().sum()
     }
 
-    /// One line on what was run and how it ended for callers.
+    /// A one-line summary of the runs and of the outcomes for clients.
     pub fn summary(&self) -> String {
         let Self { scenario, policy, seeds, acknowledged, not_run, in_doubt, .. } = self;
         format!(
@@ -177,7 +179,7 @@
         )
     }
 
-    /// The invariants that were broken, how often, and the first case in full.
+    /// The violated invariants with their number of violations, and the details of the first one.
     pub fn broken_invariants(&self) -> String {
         let broken = self.violations.iter().filter(|(_, count)| **count > 0);
         let counts: Vec<String> =
@@ -187,7 +189,7 @@
         format!("{}{}", counts.join(", "), first.unwrap_or_default())
     }
 
-    /// Writes the traces of the runs that broke an invariant to `directory`.
+    /// Writes the traces of the runs that violated an invariant to `directory`.
     pub fn write_traces(directory: &Path, runs: &[RunResult]) -> std::io::Result<()> {
         for run in runs {
             if let Some(trace) = &run.trace {
@@ -198,7 +200,7 @@
         Ok(())
     }
 
-    /// Writes the report to `directory`, which is made if it is not there.
+    /// Writes the report to `directory`, creating the directory if necessary.
     pub fn write(&self, directory: &Path) -> std::io::Result<()> {
         std::fs::create_dir_all(directory)?;
         let text = serde_json::to_string_pretty(self)?;
