--- a/crates/lab/src/check/answers.rs
+++ b/crates/lab/src/check/answers.rs
@@ -1,7 +1,8 @@
 //! Checks that each client gets the complete answer to its own request.
 //!
-//! The first row of an answer repeats the mark of its request, so an answer that the proxy delivered
-//! to the wrong client carries a foreign mark. Row count and command tag show a truncated answer.
+//! The first row of an answer repeats the mark of its request, so an answer that the proxy
+//! delivered to the wrong client carries a foreign mark. Row count and command tag show a truncated
+//! answer.
 
 use super::history::{Action, Answer, Attempt, Ending, History, Outcome};
 use super::violation::{Invariant, Verdict};
--- a/crates/lab/src/check/configuration.rs
+++ b/crates/lab/src/check/configuration.rs
@@ -37,7 +37,7 @@
         track.samples.iter().find(|sample| sample.at > limit && sample.revision < change.revision);
     if let Some(sample) = late {
         let detail = format!(
-            "{} has revision {} in place of {} {} us after it was accepted",
+            "{} has revision {} instead of {}, {} us after that one was accepted",
             track.node,
             sample.revision,
             change.revision,
--- a/crates/lab/src/check/final_state.rs
+++ b/crates/lab/src/check/final_state.rs
@@ -78,12 +78,12 @@
     pub kind: StatementKind,
 }
 
-/// An instance that operators took out of the configuration.
+/// An instance that operators marked as leaving in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RemovedInstance {
+pub struct DrainingInstance {
     /// The instance.
     pub instance: InstanceId,
-    /// When the change of configuration was accepted.
+    /// When that change of configuration was accepted.
     pub since: RunTime,
 }
 
@@ -98,8 +98,8 @@
     pub discarded: Vec<Commit>,
     /// Received statements; those of one connection are in order of arrival.
     pub arrivals: Vec<Arrival>,
-    /// Instances that were removed during the run.
-    pub leaving: Vec<RemovedInstance>,
+    /// Instances that were marked as leaving during the run.
+    pub leaving: Vec<DrainingInstance>,
 }
 
 /// The records of all groups.
--- a/crates/lab/src/check/leaving_instances.rs
+++ b/crates/lab/src/check/leaving_instances.rs
@@ -1,14 +1,16 @@
-//! Checks that an instance removed from the configuration gets no new work after a grace period.
+//! Checks that an instance marked as leaving in the configuration gets no new work after a grace
+//! period.
 
 use super::final_state::{FinalState, StatementKind};
 use super::history::RunTime;
 use super::violation::{Invariant, Verdict};
 
-/// Time after its removal during which an instance may still get new work, in microseconds.
+/// Time for which an instance may still get new work after it was marked as leaving, in
+/// microseconds.
 pub const LEAVING_GRACE_PERIOD: RunTime = RunTime(3_000_000);
 
-/// Checks every statement that reached a removed instance. Commits and rollbacks may still arrive
-/// later, because they end work that is already open there.
+/// Checks every statement that reached a leaving instance. Commits and rollbacks may arrive after
+/// the grace period, because they end transactions that are already open there.
 pub fn check(state: &FinalState, verdict: &mut Verdict) {
     for group in &state.groups {
         for leaving in &group.leaving {
@@ -19,7 +21,7 @@
             });
             for arrival in late {
                 let detail = format!(
-                    "{} got work of {:?} {} us after it began to leave",
+                    "{} received work of {:?} {} us after it was marked as leaving",
                     arrival.instance,
                     arrival.operation,
                     arrival.at.0 - leaving.since.0
--- a/crates/lab/src/check/reads.rs
+++ b/crates/lab/src/check/reads.rs
@@ -72,7 +72,7 @@
 ) {
     let Some(value) = &answer.value else { return };
     let Some(place) = place_of(value, index) else {
-        let detail = format!("{} read {value:?}, which nobody committed", describe(attempt));
+        let detail = format!("{} read {value:?}, which was never committed", describe(attempt));
         verdict.add(Invariant::ReadOfCommitted, detail);
         return;
     };
--- a/crates/lab/src/check/transactions.rs
+++ b/crates/lab/src/check/transactions.rs
@@ -30,6 +30,7 @@
     attempts.filter_map(|attempt| Some((&attempt.operation, of_action(&attempt.action)?))).collect()
 }
 
+/// Checks that a commit holds changes of one operation only, and all parts of a transaction.
 fn check_commit(commit: &Commit, expected: &HashMap<&OperationId, u32>, verdict: &mut Verdict) {
     let operations: BTreeSet<&OperationId> =
         commit.changes.iter().map(RowChange::operation).collect();
@@ -45,9 +46,9 @@
     }
     for (operation, mut found) in parts {
         found.sort_unstable();
-        let whole = expected.get(operation).copied().unwrap_or_default();
-        if !found.iter().copied().eq(0..whole) {
-            let detail = format!("{operation} left parts {found:?} of {whole}");
+        let part_count = expected.get(operation).copied().unwrap_or_default();
+        if !found.iter().copied().eq(0..part_count) {
+            let detail = format!("{operation} committed parts {found:?} of {part_count}");
             verdict.add(Invariant::TransactionWhole, detail);
         }
     }
--- a/crates/lab/src/check/violation.rs
+++ b/crates/lab/src/check/violation.rs
@@ -32,7 +32,7 @@
     TransactionNotMixed,
     /// A transaction takes effect completely or not at all.
     TransactionWhole,
-    /// An instance removed from the configuration gets no new work after a grace period.
+    /// An instance marked as leaving gets no new work after a grace period.
     LeavingUnused,
     /// A planned stop of a node interrupts no request.
     PlannedStopCutsNothing,
--- a/crates/lab/src/check/writes.rs
+++ b/crates/lab/src/check/writes.rs
@@ -19,6 +19,8 @@
     check_seats(history, index, verdict);
 }
 
+/// Checks one operation: it takes effect at most once, an acknowledged one takes effect, and the
+/// outcomes of all its attempts agree with its effect.
 fn check_operation(
     operation: &OperationId,
     attempts: &[&Attempt],
@@ -67,8 +69,8 @@
 }
 
 /// Checks the outcomes of an operation that took effect. An outcome that covers the whole operation
-/// must not state that it had no effect. [`Outcome::NotRun`] covers only its own attempt, so it is a
-/// violation only if every attempt ended with it: otherwise another attempt may have run.
+/// must not state that it had no effect. [`Outcome::NotRun`] covers only its own attempt, so it is
+/// a violation only if every attempt ended with it: otherwise another attempt may have run.
 fn check_denials(operation: &OperationId, attempts: &[&Attempt], verdict: &mut Verdict) {
     for attempt in attempts {
         let denies_operation = matches!(attempt.outcome, Outcome::Abandoned(_))
@@ -85,6 +87,8 @@
     }
 }
 
+/// Checks that each seat has at most one buyer, counting the owners in surviving commits and the
+/// purchases that were acknowledged.
 fn check_seats(history: &History, index: &CommitIndex, verdict: &mut Verdict) {
     let mut buyers: BTreeMap<(&GroupId, RowKey), BTreeSet<&OperationId>> = BTreeMap::new();
     for ((group, row), owners) in index.seat_owners() {
--- a/crates/lab/src/demo/check/mod.rs
+++ b/crates/lab/src/demo/check/mod.rs
@@ -71,8 +71,8 @@
         .connect(NoTls)
 }
 
-/// Connects, and retries until the node accepts this user and database. A node refuses them until it
-/// has activated a configuration that permits them.
+/// Connects, and retries until the node accepts this user and database. A node refuses them until
+/// it has activated a configuration that permits them.
 fn connect_when_ready(address: SocketAddr, user: &str, database: &str) -> miette::Result<Client> {
     let deadline = Instant::now() + READY_TIMEOUT;
     loop {
--- a/crates/lab/src/fault_events.rs
+++ b/crates/lab/src/fault_events.rs
@@ -1,8 +1,9 @@
 //! Fault events and fault counters: those that stay at zero while the cluster works normally.
 //!
-//! Nodes counted faults of the configuration for a long time without anybody noticing, because nothing
-//! examined the counters. This module lists the log events and counters that show a fault, so that
-//! tests, scenarios and operators who search the logs of many days can report those that occurred.
+//! Nodes counted faults of the configuration for a long time without anybody noticing, because
+//! nothing examined the counters. This module lists the log events and counters that show a fault,
+//! so that tests, scenarios and operators who search the logs of many days can report those that
+//! occurred.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::File;
@@ -31,8 +32,8 @@
     ),
 ];
 
-/// Counters of faults that are above zero, with their values. In a test on one machine without injected
-/// faults, there are none.
+/// Counters of faults that are above zero, with their values. In a test on one machine without
+/// injected faults, there are none.
 pub fn nonzero_fault_counters(metrics: &Metrics) -> Vec<(&'static str, u64)> {
     let counters = [
         ("configurations refused", metrics.configuration.get(ConfigurationEvent::Refused)),
@@ -65,7 +66,8 @@
     /// Counts the fault event of a log line. Ignores other events, and text that is no log line.
     /// `default_node` is the node of lines that name none.
     pub fn add_line(&mut self, text: &str, default_node: &str) {
-        // Most log lines report routine answers, so only lines that contain an event's name are parsed.
+        // Most log lines report routine answers, so only lines that contain an event's name are
+        // parsed.
         let named = |(event, _): &&(&str, &str)| text.contains(*event);
         if !FAULT_EVENTS.iter().any(|event| named(&event)) {
             return;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,6 @@
-//! The lab: stand-ins for databases, the store and the network; the demonstration, fault scenarios and
-//! benches that run the proxy's nodes against them; and the checker and reports that judge the runs.
+//! The lab: stand-ins for databases, the store and the network; the demonstration, fault scenarios
+//! and benches that run the proxy's nodes against them; and the checker and reports that judge the
+//! runs.
 
 pub mod bench;
 pub mod check;
--- a/crates/lab/src/platform/check.rs
+++ b/crates/lab/src/platform/check.rs
@@ -61,8 +61,8 @@
     Ok(checked)
 }
 
-/// Checks that a session reads its own writes, whichever instance serves the read, and that a session
-/// on a route to the primary reads them through another node.
+/// Checks that a session reads its own writes, whichever instance serves the read, and that a
+/// session on a route to the primary reads them through another node.
 fn check_sessions(
     platform: &Platform,
     group: &str,
@@ -86,6 +86,7 @@
     Ok(())
 }
 
+/// Checks that a commit keeps a transaction's write and a rollback discards it.
 fn check_transactions(
     platform: &Platform,
     group: &str,
--- a/crates/lab/src/platform/mod.rs
+++ b/crates/lab/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The users' platform in one process on loopback: the store, the instances, the promotion service and
-//! the proxy's nodes, and a client that speaks the platform's line protocol.
+//! The users' platform in one process on loopback: the store, the instances, the promotion service
+//! and the proxy's nodes, and a client that speaks the platform's line protocol.
 
 pub mod check;
 pub mod client;
@@ -25,7 +25,8 @@
 use crate::standin::network::Network;
 use crate::standin::store::{Dialect, PlatformStore, StoreCopy};
 
-/// Names of the zones. Each zone has one instance of each group; nodes are placed in the zones in turn.
+/// Names of the zones. Each zone has one instance of each group; nodes are placed in the zones in
+/// turn.
 pub const ZONES: [&str; 3] = ["casa-ain", "casa-sidi", "casa-bouskoura"];
 /// Names of the database groups.
 pub const GROUPS: [&str; 2] = ["orders", "tickets"];
@@ -53,7 +54,8 @@
     pub synchronous_replicas: usize,
     /// Whether the store has a configuration from the start.
     pub configured: bool,
-    /// Whether nodes reach each other and the store through relays, which can inject network faults.
+    /// Whether nodes reach each other and the store through relays, which can inject network
+    /// faults.
     pub relayed: bool,
     /// Time within which every node must stop accepting a revoked key.
     pub revocation_limit: Option<Duration>,
@@ -96,11 +98,11 @@
     pub groups: Vec<InstanceGroup>,
     /// The service that promotes replicas.
     pub promotions: PromotionService,
-    /// The relays, if [`PlatformOptions::relayed`]. Each node and the store has a zone of its own in
-    /// this network.
+    /// The relays, if [`PlatformOptions::relayed`]. Each node and the store has a zone of its own
+    /// in this network.
     pub network: Option<Arc<Network>>,
     options: PlatformOptions,
-    /// Edition of the configuration written last.
+    /// Edition of the configuration that was written last.
     version: u64,
     /// Customers whose clients authenticate with keys; `None` for a configuration without accounts.
     customers: Option<Vec<Customer>>,
@@ -123,8 +125,8 @@
     format!("{group}-{kind}")
 }
 
-/// Database name of an extra route. The names look random and share no text with each other, like the
-/// names that operators choose.
+/// Database name of an extra route. The names look random and share no text with each other, like
+/// the names that operators choose.
 pub fn extra_database(number: usize) -> String {
     let mixed = (number as u64 + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     format!("d{:013x}", mixed >> 12)
@@ -206,8 +208,8 @@
         self.groups.iter().for_each(InstanceGroup::announce_again);
     }
 
-    /// Writes a configuration with a route of each consistency to each group, except for the databases
-    /// in `without`.
+    /// Writes a configuration with a route of each consistency to each group, except for the
+    /// databases in `without`.
     pub fn configure(&mut self, without: &[&str]) {
         self.write_configuration(without, &[]);
     }
@@ -218,8 +220,8 @@
         self.write_configuration(&[], &[]);
     }
 
-    /// Writes a configuration with one extra route for each of `timeouts_ms`, the statement timeout of
-    /// that route in milliseconds.
+    /// Writes a configuration with one extra route for each of `timeouts_ms`, the statement timeout
+    /// of that route in milliseconds.
     pub fn configure_extra_routes(&mut self, timeouts_ms: &[u64]) {
         self.write_configuration(&[], timeouts_ms);
     }
--- a/crates/lab/src/report/measurement.rs
+++ b/crates/lab/src/report/measurement.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Counts one operation by its first outcome. If that left it in doubt, also counts the first later
-    /// outcome that resolved the doubt.
+    /// Counts one operation by its first outcome. If that left it in doubt, also counts the first
+    /// later outcome that resolved the doubt.
     fn count_write(&mut self, attempts: &[&Attempt]) {
         let Some(first) = attempts.first() else { return };
         let is_final = |attempt: &Attempt| {
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -24,10 +24,11 @@
     pub seed: u64,
     /// Group whose primary was replaced.
     pub group: String,
-    /// Time from the loss of the old primary until the new primary accepted writes, in milliseconds.
+    /// Time from the loss of the old primary until the new primary accepted writes, in
+    /// milliseconds.
     pub election: f64,
-    /// Time from then until a client received the first acknowledgement of a write, in milliseconds;
-    /// `None` if no later write was acknowledged.
+    /// Time from then until a client received the first acknowledgement of a write, in
+    /// milliseconds; `None` if no later write was acknowledged.
     pub added: Option<f64>,
 }
 
@@ -91,8 +92,8 @@
     pub reads: u64,
     /// Reads that ended with an error or a closed connection.
     pub reads_failed: u64,
-    /// Reads that returned an older version than an earlier read of the same row by the same session.
-    /// These are no violations.
+    /// Reads that returned an older version than an earlier read of the same row by the same
+    /// session. These are no violations.
     pub read_regressions: u64,
     /// Number of attempts without an answer, by error number, SQLSTATE or `disconnected`.
     pub results: BTreeMap<String, u64>,
--- a/crates/lab/src/scenario/timeline.rs
+++ b/crates/lab/src/scenario/timeline.rs
@@ -8,7 +8,7 @@
 use super::definition::{Deployment, Fault};
 use super::deployment::{Cluster, Group};
 use super::schedule::PlannedFault;
-use crate::check::final_state::RemovedInstance;
+use crate::check::final_state::DrainingInstance;
 use crate::check::history::{AcceptedChange, GroupId, PlannedStop, RunTime};
 
 /// An instance that operators began to take out of use.
@@ -17,7 +17,7 @@
     /// The group.
     pub group: GroupId,
     /// The instance and the time.
-    pub leaving: RemovedInstance,
+    pub leaving: DrainingInstance,
 }
 
 /// What was done to the cluster that the checker must know.
@@ -196,7 +196,7 @@
         let store = self.cluster.store.as_ref();
         let index = replica.index;
         self.note_change(catalog::mark_leaving(store, self.deployment, group, index));
-        let leaving = RemovedInstance { instance: group.instance(index), since: self.now() };
+        let leaving = DrainingInstance { instance: group.instance(index), since: self.now() };
         let leaving = LeavingInstance { group: group.id.clone(), leaving };
         self.note(|done| done.leaving.push(leaving));
     }
--- a/crates/lab/tests/check/run.rs
+++ b/crates/lab/tests/check/run.rs
@@ -2,7 +2,7 @@
 
 use kestrellock_lab::check::check;
 use kestrellock_lab::check::final_state::{
-    Arrival, Commit, FinalState, GroupRecord, LogPlace, RemovedInstance, RowChange, StatementKind,
+    Arrival, Commit, DrainingInstance, FinalState, GroupRecord, LogPlace, RowChange, StatementKind,
 };
 use kestrellock_lab::check::history::{
     AcceptedChange, Action, Answer, Attempt, ConfigurationSample, ConfigurationTrack, Ending,
@@ -194,7 +194,7 @@
 
 pub fn with_work_on_leaving(run: &mut Run, at: u64) {
     let instance = InstanceId::new("orders-a");
-    run.record().leaving.push(RemovedInstance { instance, since: RunTime(10) });
+    run.record().leaving.push(DrainingInstance { instance, since: RunTime(10) });
     run.arrive(9, "late", StatementKind::Other);
     if let Some(arrival) = run.record().arrivals.last_mut() {
         arrival.at = RunTime(at);
