--- a/crates/lab/src/check/mod.rs
+++ b/crates/lab/src/check/mod.rs
@@ -1,14 +1,15 @@
-//! The checker: judges a run by what callers saw and what the database groups hold in the end.
+//! The checker: decides from the outcomes that clients saw, from the final logs of the database
+//! groups and from the statements that reached instances whether a run broke an invariant.
 //!
-//! It is pure and shares no code with the proxy, so that a fault in a decision of the proxy
-//! cannot hide itself here.
+//! It is pure and shares no code with the proxy, so that a fault in the proxy's decisions cannot
+//! make the checker miss its effects.
 
 pub mod answers;
-pub mod back_ends;
 pub mod configuration;
 pub mod final_state;
 pub mod history;
 pub mod index;
+pub mod leaving_instances;
 pub mod reads;
 pub mod stops;
 pub mod transactions;
@@ -20,7 +21,7 @@
 use self::index::CommitIndex;
 use self::violation::Verdict;
 
-/// Judges a run against every invariant.
+/// Checks a run against every invariant.
 pub fn check(history: &History, state: &FinalState) -> Verdict {
     let index = CommitIndex::new(state);
     let mut verdict = Verdict::default();
@@ -28,7 +29,7 @@
     writes::check(history, &index, &mut verdict);
     answers::check(history, &mut verdict);
     transactions::check(history, state, &mut verdict);
-    back_ends::check(state, &mut verdict);
+    leaving_instances::check(state, &mut verdict);
     stops::check(history, &mut verdict);
     configuration::check(history, &mut verdict);
     verdict
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `kestrellock-lab`: demonstration, scenarios and benches.
+//! `kestrellock-lab`: the command line of the demonstration, fault scenarios and benches.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use argh::FromArgs;
 use kestrellock_lab::bench::command::{BenchCommand, CompareCommand};
 use kestrellock_lab::demo::{Demo, DemoOptions, check};
+use kestrellock_lab::fault_events::FaultEventsCommand;
 use kestrellock_lab::platform;
-use kestrellock_lab::resting::RestingCommand;
 use kestrellock_lab::scenario::command::RunCommand;
 use kestrellock_program::command_line::{self, UsageError};
 use miette::{IntoDiagnostic, miette};
@@ -30,17 +30,17 @@
     Bench(BenchCommand),
     Compare(CompareCommand),
     Run(RunCommand),
-    Resting(RestingCommand),
+    Resting(FaultEventsCommand),
 }
 
-/// start store, database groups and three nodes on loopback
+/// start a store, database groups and three nodes on loopback
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 struct DemoArguments {
-    /// drive it through a client library, print what was checked, and exit
+    /// run checks through a client library, print their counts, and exit
     #[argh(switch)]
     check: bool,
-    /// on stand-ins of the users' platform; only together with --check
+    /// use stand-ins of the users' platform; requires --check
     #[argh(switch)]
     platform: bool,
     /// one-way delay between zones in milliseconds (default: 1.5)
@@ -61,7 +61,7 @@
 fn run_demo(arguments: &DemoArguments) -> miette::Result<()> {
     if arguments.platform {
         if !arguments.check {
-            return Err(UsageError("--platform needs --check".to_owned()).into());
+            return Err(UsageError("--platform requires --check".to_owned()).into());
         }
         print!("{}", platform::check::run()?);
         return Ok(());
@@ -73,7 +73,7 @@
         demo.stop();
         return report(&verdict);
     }
-    for line in demo.directions() {
+    for line in demo.connection_instructions() {
         println!("{line}");
     }
     loop {
@@ -88,6 +88,6 @@
     }
     match verdict.failures.len() {
         0 => Ok(()),
-        count => Err(miette!("{count} checks did not pass")),
+        count => Err(miette!("{count} checks failed")),
     }
 }
