--- a/crates/core/src/credential_evidence.rs
+++ b/crates/core/src/credential_evidence.rs
@@ -86,7 +86,7 @@
     /// Version of the configuration.
     pub version: CatalogVersion,
     /// That moment, or an earlier one.
-    pub at: Instant,
+    pub newest_at: Instant,
 }
 
 /// A node's evidence that its configuration is the newest.
@@ -99,12 +99,14 @@
 impl CredentialEvidence {
     /// Adds a confirmation, unless a known one shows as much.
     pub fn add(&mut self, new: Confirmation) {
-        let is_covered_by =
-            |known: &Confirmation| new.version.covers(known.version) && known.at >= new.at;
+        let is_covered_by = |known: &Confirmation| {
+            new.version.covers(known.version) && known.newest_at >= new.newest_at
+        };
         if self.confirmations.iter().any(is_covered_by) {
             return;
         }
-        self.confirmations.retain(|known| !known.version.covers(new.version) || known.at > new.at);
+        self.confirmations
+            .retain(|known| !known.version.covers(new.version) || known.newest_at > new.newest_at);
         self.confirmations.push(new);
         self.confirmations.sort_by_key(|known| known.version.revision);
         if self.confirmations.len() > MAX_CONFIRMATIONS {
@@ -117,7 +119,7 @@
     pub fn newest(&self, active: impl Into<CatalogVersion>) -> Option<Confirmation> {
         let active = active.into();
         let usable = self.confirmations.iter().filter(|known| active.covers(known.version));
-        usable.max_by_key(|known| known.at).copied()
+        usable.max_by_key(|known| known.newest_at).copied()
     }
 
     /// Whether a credential of the configuration `active` may be used for a request that arrived at
@@ -128,7 +130,7 @@
         arrived: Instant,
         limit: RevocationLimit,
     ) -> bool {
-        self.newest(active).is_some_and(|known| arrived <= known.at + limit.lifetime())
+        self.newest(active).is_some_and(|known| arrived <= known.newest_at + limit.lifetime())
     }
 }
 
@@ -172,7 +174,7 @@
 struct OpenRequest {
     node: NodeName,
     id: EvidenceRequestId,
-    at: Instant,
+    sent_at: Instant,
 }
 
 impl EvidenceRequester {
@@ -184,7 +186,7 @@
     /// The node to send a request to now, if any, and the id of that request.
     pub fn next(&mut self, view: &RequesterView) -> Option<(NodeName, EvidenceRequestId)> {
         if let Some(asked) = &self.open {
-            if view.now < asked.at + ANSWER_TIMEOUT {
+            if view.now < asked.sent_at + ANSWER_TIMEOUT {
                 return None;
             }
             let node = asked.node.clone();
@@ -197,7 +199,7 @@
         let node = self.target(view)?;
         let id = EvidenceRequestId(self.next_id);
         self.next_id += 1;
-        self.open = Some(OpenRequest { node: node.clone(), id, at: view.now });
+        self.open = Some(OpenRequest { node: node.clone(), id, sent_at: view.now });
         Some((node, id))
     }
 
@@ -215,7 +217,7 @@
     /// Handles an answer. Returns when its request was sent, if that request is still open.
     pub fn on_answer(&mut self, node: &NodeName, id: EvidenceRequestId) -> Option<Instant> {
         let matches = |asked: &mut OpenRequest| asked.node == *node && asked.id == id;
-        self.open.take_if(matches).map(|asked| asked.at)
+        self.open.take_if(matches).map(|asked| asked.sent_at)
     }
 
     /// Handles the evidence in an answer: the node that was asked at `asked` has evidence for the
--- a/crates/core/src/membership/timing.rs
+++ b/crates/core/src/membership/timing.rs
@@ -25,9 +25,9 @@
     /// Interval between anti-entropy syncs with a random member.
     pub sync_interval: Duration,
     /// Interval between syncs during the early period of this process.
-    pub early_sync_interval: Duration,
+    pub startup_sync_interval: Duration,
     /// Length of the early period of a process.
-    pub early_period: Duration,
+    pub startup_period: Duration,
     /// Interval between attempts to reach a dead member or a seed that is not a live member.
     pub recontact_interval: Duration,
     /// Interval between attempts to reach seeds while no other member is known.
@@ -56,8 +56,8 @@
             transmissions_base: 5,
             revision_fan_out: 4,
             sync_interval: Duration::from_secs(10),
-            early_sync_interval: Duration::from_secs(1),
-            early_period: Duration::from_secs(10),
+            startup_sync_interval: Duration::from_secs(1),
+            startup_period: Duration::from_secs(10),
             recontact_interval: Duration::from_secs(5),
             join_interval: Duration::from_millis(500),
             join_timeout: Duration::from_secs(2),
--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -71,7 +71,7 @@
     /// When enough replicas were stopped; `None` while too few are.
     stopped_since: Option<Instant>,
     /// When the last check began, in which the replicas confirm that they are still stopped.
-    checks_since: Option<Instant>,
+    stop_check_since: Option<Instant>,
     /// What is known about the old primary.
     old_primary_state: OldPrimaryState,
     /// Whether every node has revoked its evidence.
@@ -151,7 +151,7 @@
             reported: BTreeSet::new(),
             stopped: BTreeMap::new(),
             stopped_since: None,
-            checks_since: None,
+            stop_check_since: None,
             old_primary_state: OldPrimaryState::default(),
             evidence_revoked: false,
             not_running: BTreeMap::new(),
@@ -278,7 +278,7 @@
     /// Sets since when enough replicas are stopped; `None` if too few are.
     fn set_stopped_since(&mut self, stopped_since: Option<Instant>) {
         self.stopped_since = stopped_since;
-        self.checks_since = None;
+        self.stop_check_since = None;
     }
 
     /// Submits the intent to the store, unless it was submitted in this form already.
--- a/crates/core/src/promotion/attempt/promoting.rs
+++ b/crates/core/src/promotion/attempt/promoting.rs
@@ -109,7 +109,7 @@
         }
         // Queried after the incarnations were read: a replica that has restarted since then reports
         // that it is not stopped.
-        let since = self.begin_checks(now);
+        let since = self.begin_stop_check(now);
         let unchecked: Vec<InstanceName> = self
             .stopped
             .iter()
@@ -133,15 +133,15 @@
 
     /// When the current check began. The first queries of a check are sent at once, even if the
     /// replicas were queried within the retry interval, because writes wait for the promotion.
-    fn begin_checks(&mut self, now: Instant) -> Instant {
-        if self.checks_since.is_none() {
+    fn begin_stop_check(&mut self, now: Instant) -> Instant {
+        if self.stop_check_since.is_none() {
             self.last_sent.retain(|(_, kind), _| *kind != RetriedCommand::QueryStatus);
         }
-        *self.checks_since.get_or_insert(now)
+        *self.stop_check_since.get_or_insert(now)
     }
 
     fn promote(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        let Some(best) = self.best() else {
+        let Some(best) = self.best_candidate() else {
             self.set_stopped_since(None);
             self.phase = Phase::Stopping { since: now };
             return;
@@ -202,7 +202,7 @@
     /// The stopped replica with the highest position; among equals one that is not leaving. The old
     /// primary is considered only if the other replicas are not enough, because there is a reason
     /// to replace it.
-    fn best(&self) -> Option<InstanceName> {
+    fn best_candidate(&self) -> Option<InstanceName> {
         let old_primary = self.intent.former.as_ref();
         let others: BTreeMap<&InstanceName, &Stopped> =
             self.stopped.iter().filter(|(name, _)| old_primary != Some(*name)).collect();
--- a/crates/core/tests/credential_evidence.rs
+++ b/crates/core/tests/credential_evidence.rs
@@ -249,7 +249,8 @@
             Event::Ask { from, to, number } => {
                 let known = &self.nodes[to];
                 let newest = known.evidence.newest(Revision(known.active));
-                let newest = newest.map(|known| (known.version.revision.0, self.now - known.at));
+                let newest =
+                    newest.map(|known| (known.version.revision.0, self.now - known.newest_at));
                 if !self.is_partitioned(from, to) {
                     self.send(Event::Reply { from: to, to: from, number, newest });
                 }
@@ -292,7 +293,7 @@
         self.after(TICK.as_millis() as u64..TICK.as_millis() as u64 + 5, Event::Tick(node));
         let random = self.random.random();
         let known = &mut self.nodes[node];
-        let newest = known.evidence.newest(Revision(known.active)).map(|known| known.at);
+        let newest = known.evidence.newest(Revision(known.active)).map(|known| known.newest_at);
         let own = known.candidate.clone();
         let view = RequesterView { now: self.now, own: &own, live: &self.live, newest, random };
         let Some((to, number)) = known.requester.next(&view) else { return };
@@ -306,7 +307,7 @@
         let at = if self.mistake == Mistake::StoreFromArrival { self.now } else { sent };
         let known = &mut self.nodes[node];
         known.active = known.active.max(revision);
-        known.evidence.add(Confirmation { version: Revision(revision).into(), at });
+        known.evidence.add(Confirmation { version: Revision(revision).into(), newest_at: at });
     }
 
     fn on_reply(&mut self, from: usize, to: usize, number: u64, newest: Option<(u64, Duration)>) {
@@ -319,7 +320,7 @@
         let newest = newest.map(|(revision, age)| (revision, counted - age));
         known.requester.on_evidence(&from, asked, newest.map(|(_, at)| at));
         if let Some((revision, at)) = newest {
-            known.evidence.add(Confirmation { version: Revision(revision).into(), at });
+            known.evidence.add(Confirmation { version: Revision(revision).into(), newest_at: at });
         }
     }
 
@@ -396,7 +397,7 @@
     let at = Instant::now();
     let mut evidence = CredentialEvidence::default();
     assert!(!evidence.covers(Revision(5), at, limit), "there is no evidence yet");
-    evidence.add(Confirmation { version: Revision(5).into(), at });
+    evidence.add(Confirmation { version: Revision(5).into(), newest_at: at });
     assert!(evidence.covers(Revision(5), at + limit.lifetime(), limit));
     assert!(!evidence.covers(Revision(5), at + limit.lifetime() + Duration::from_millis(1), limit));
     assert!(limit.lifetime() < LIMIT);
@@ -412,8 +413,9 @@
     let limit = RevocationLimit::new(LIMIT);
     let at = Instant::now();
     let mut evidence = CredentialEvidence::default();
-    evidence.add(Confirmation { version: Revision(5).into(), at });
-    evidence.add(Confirmation { version: Revision(7).into(), at: at + Duration::from_secs(4) });
+    evidence.add(Confirmation { version: Revision(5).into(), newest_at: at });
+    evidence
+        .add(Confirmation { version: Revision(7).into(), newest_at: at + Duration::from_secs(4) });
     let arrived = at + Duration::from_secs(6);
     assert!(!evidence.covers(Revision(5), arrived, limit));
     assert!(evidence.covers(Revision(7), arrived, limit));
--- a/crates/daemon/src/agent/configuration/confirmation_queries.rs
+++ b/crates/daemon/src/agent/configuration/confirmation_queries.rs
@@ -33,7 +33,8 @@
         let context = &configuration.context;
         let (own_candidate, live) =
             (configuration.own_candidate(), configuration.live_candidates());
-        let newest = context.confirmations.newest(configuration.version()).map(|known| known.at);
+        let newest =
+            context.confirmations.newest(configuration.version()).map(|known| known.newest_at);
         let view = RequesterView {
             now: Instant::now(),
             own: &own_candidate,
@@ -51,7 +52,7 @@
     /// Answers the query of a node.
     pub fn on_query(&self, configuration: &Configuration, peer: &Peer, number: u64) {
         let newest = configuration.context.confirmations.newest(configuration.version());
-        let newest = newest.map(|known| (known.version, known.at.elapsed()));
+        let newest = newest.map(|known| (known.version, known.newest_at.elapsed()));
         configuration.send(peer, ConfigurationMessage::Confirmed { number, newest });
     }
 
@@ -68,9 +69,9 @@
         let Some(asked) = seeker.on_answer(&peer.node, EvidenceRequestId(number)) else { return };
         let confirmation = newest.and_then(|(version, age)| {
             configuration.context.revisions.record(&peer.node, version.revision);
-            Some(Confirmation { version, at: asked.checked_sub(age)? })
+            Some(Confirmation { version, newest_at: asked.checked_sub(age)? })
         });
-        seeker.on_evidence(&peer.node, asked, confirmation.map(|known| known.at));
+        seeker.on_evidence(&peer.node, asked, confirmation.map(|known| known.newest_at));
         if let Some(confirmation) = confirmation {
             configuration.context.confirmations.add(confirmation);
         }
--- a/crates/daemon/src/agent/configuration/role.rs
+++ b/crates/daemon/src/agent/configuration/role.rs
@@ -17,13 +17,13 @@
 pub(super) const PEER_WAIT: Duration = Duration::from_secs(1);
 /// Time after the start for which listed nodes count like live ones: as long as membership runs its
 /// anti-entropy sync often. Later an entry may be that of a machine that is gone for good.
-const LIST_USE_PERIOD: Duration = Duration::from_secs(10);
+const MACHINE_LIST_VALIDITY: Duration = Duration::from_secs(10);
 /// The machine list counts as complete once it has not changed in length for this long: nodes that
 /// start together add themselves within a few hundred milliseconds.
-const LIST_STABLE_TIME: Duration = Duration::from_millis(200);
+const MACHINE_LIST_STABLE_TIME: Duration = Duration::from_millis(200);
 /// Longest wait for a complete machine list.
-const LIST_TIMEOUT: Duration = Duration::from_secs(1);
-const LIST_POLL_INTERVAL: Duration = Duration::from_millis(10);
+const MACHINE_LIST_TIMEOUT: Duration = Duration::from_secs(1);
+const MACHINE_LIST_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Configuration {
     /// Waits until the machine list is complete or names this node. A node that is not listed yet
@@ -32,7 +32,9 @@
         let own = &self.context.identity.node;
         let mut length = 0;
         let mut since = Instant::now();
-        while self.has_machine_list && self.started.elapsed() < LIST_TIMEOUT && !stop.is_stopping()
+        while self.has_machine_list
+            && self.started.elapsed() < MACHINE_LIST_TIMEOUT
+            && !stop.is_stopping()
         {
             let listed = self.context.listed_nodes.load();
             if listed.iter().any(|node| node.candidate.node == *own) {
@@ -41,10 +43,10 @@
             if listed.len() != length {
                 (length, since) = (listed.len(), Instant::now());
             }
-            if length > 0 && since.elapsed() >= LIST_STABLE_TIME {
+            if length > 0 && since.elapsed() >= MACHINE_LIST_STABLE_TIME {
                 return;
             }
-            stop.sleep(LIST_POLL_INTERVAL);
+            stop.sleep(MACHINE_LIST_POLL_INTERVAL);
         }
     }
 
@@ -52,7 +54,7 @@
     pub(super) fn is_store_watcher(&self) -> bool {
         let mut expected = self.live_candidates();
         let known = expected.len();
-        if self.started.elapsed() < LIST_USE_PERIOD {
+        if self.started.elapsed() < MACHINE_LIST_VALIDITY {
             let (live, listed) = (self.context.live.load(), self.context.listed_nodes.load());
             expected.extend(listed_but_unknown(&live, &listed).cloned());
         }
--- a/crates/daemon/src/agent/configuration/source_watch.rs
+++ b/crates/daemon/src/agent/configuration/source_watch.rs
@@ -68,7 +68,7 @@
         }
         unreadable.count(source.unreadable_entries(), &configuration.context.metrics);
         if let Some((version, at)) = source.confirmed_version() {
-            configuration.confirm(Confirmation { version, at });
+            configuration.confirm(Confirmation { version, newest_at: at });
         }
     }
 }
--- a/crates/daemon/src/front/decision_log.rs
+++ b/crates/daemon/src/front/decision_log.rs
@@ -12,7 +12,7 @@
 use kestrellock_protocol::login::Login;
 use kestrellock_protocol::request::Request;
 
-use super::target::Target;
+use super::target::RequestTarget;
 use crate::event::Io;
 
 /// The request's id, or "-" if the protocol has none.
@@ -29,7 +29,13 @@
 }
 
 /// Logs that a request was routed to an instance or a gateway.
-pub fn routed(request: &Request, login: &Login, target: &Target, access: &Access, io: &Io) {
+pub fn log_routed(
+    request: &Request,
+    login: &Login,
+    target: &RequestTarget,
+    access: &Access,
+    io: &Io,
+) {
     // Debug level: whether the request is routine is only known at its end, where it is logged.
     log::debug!(
         event = "routed",
@@ -45,7 +51,7 @@
 }
 
 /// Logs that a request waits because no instance qualifies.
-pub fn held(request: &Request, login: &Login, io: &Io) {
+pub fn log_held(request: &Request, login: &Login, io: &Io) {
     log::info!(
         event = "held",
         id = id_of(Some(request)),
@@ -58,7 +64,7 @@
 }
 
 /// Logs that a request is retried after a refusal inside the proxy.
-pub fn retried(request: &Request, refusal: &Refusal, io: &Io) {
+pub fn log_retried(request: &Request, refusal: &Refusal, io: &Io) {
     log::info!(
         event = "retried",
         id = id_of(Some(request)),
@@ -71,7 +77,7 @@
 }
 
 /// Logs a refusal: the proxy answered instead of an instance.
-pub fn refused(
+pub fn log_refused(
     request: Option<&Request>,
     login: Option<&Login>,
     account: Option<&AccountName>,
@@ -97,7 +103,7 @@
 }
 
 /// Logs an answer of an instance, unless the rate limit of routine lines is exceeded.
-pub fn answered(request: &Request, login: &Login, instance: Option<&str>, io: &Io) {
+pub fn log_answered(request: &Request, login: &Login, instance: Option<&str>, io: &Io) {
     if !io.context.routine_log_limiter.admits(io.now) {
         return;
     }
--- a/crates/daemon/src/front/session.rs
+++ b/crates/daemon/src/front/session.rs
@@ -312,7 +312,7 @@
             StartupStep::Refused(refusal) => refusal,
         };
         io.context.metrics.count_code(refusal.code);
-        decision_log::refused(None, None, None, None, &refusal, io);
+        decision_log::log_refused(None, None, None, None, &refusal, io);
         io.context.metrics.client_connections.count(ConnectionEvent::Refused);
         self.protocol.put_refusal(&refusal, Severity::Session, output);
         // Best effort: the connection is closed even if the kernel does not take the message.
--- a/crates/daemon/src/front/session/authorization.rs
+++ b/crates/daemon/src/front/session/authorization.rs
@@ -86,7 +86,7 @@
         if request.is_some() || is_idle {
             counting::refused(&refusal, io);
             let (login, account) = (self.login.as_ref(), self.account.as_ref());
-            decision_log::refused(request.as_ref(), login, account, None, &refusal, io);
+            decision_log::log_refused(request.as_ref(), login, account, None, &refusal, io);
             let output = &mut self.connection.output;
             self.protocol.put_refusal(&refusal, Severity::Session, output);
         }
--- a/crates/daemon/src/front/session/lease.rs
+++ b/crates/daemon/src/front/session/lease.rs
@@ -19,13 +19,13 @@
 
 use super::{ROLLED_BACK, Session, counting, decision_log};
 use crate::event::{Io, Outgoing};
-use crate::front::target::Target;
+use crate::front::target::RequestTarget;
 
 /// Exclusive use of one pooled server connection.
 #[derive(Debug)]
 pub(super) struct Lease {
     pub id: LeaseId,
-    pub target: Target,
+    pub target: RequestTarget,
     /// Whether no exchange of this lease can have written so far.
     pub read_only: bool,
     pub next_exchange: u32,
@@ -160,10 +160,10 @@
         match (event, request, &self.login) {
             (LeaseEvent::Refused(refusal), request, login) => {
                 let account = self.account.as_ref();
-                decision_log::refused(request, login.as_ref(), account, instance, refusal, io);
+                decision_log::log_refused(request, login.as_ref(), account, instance, refusal, io);
             }
             (LeaseEvent::Done { .. }, Some(request), Some(login)) => {
-                decision_log::answered(request, login, instance, io);
+                decision_log::log_answered(request, login, instance, io);
             }
             _ => {}
         }
--- a/crates/daemon/src/front/session/requests.rs
+++ b/crates/daemon/src/front/session/requests.rs
@@ -161,7 +161,14 @@
             self.state.on_exchange_end(&[], ROLLED_BACK);
         }
         counting::refused(refusal, io);
-        decision_log::refused(None, self.login.as_ref(), self.account.as_ref(), None, refusal, io);
+        decision_log::log_refused(
+            None,
+            self.login.as_ref(),
+            self.account.as_ref(),
+            None,
+            refusal,
+            io,
+        );
         let output = &mut self.connection.output;
         self.protocol.put_refusal(refusal, Severity::Request, output);
         self.protocol.put_ready(self.transaction, output);
--- a/crates/daemon/src/front/session/retrying.rs
+++ b/crates/daemon/src/front/session/retrying.rs
@@ -111,7 +111,7 @@
         }
         match &mut self.request {
             Some(request) if may_retry && !self.answer_begun && io.now < request.deadline => {
-                decision_log::retried(request, &refusal, io);
+                decision_log::log_retried(request, &refusal, io);
                 request.sent = false;
                 let delay = self.retry_backoff.on_failure(rand::random());
                 self.retry_at = Some(io.now + refusal.retry_after.unwrap_or(delay));
--- a/crates/daemon/src/front/session/sending.rs
+++ b/crates/daemon/src/front/session/sending.rs
@@ -93,11 +93,11 @@
             let Some(target) = target::find(&login.group, self.account.as_ref(), &routed, io)
             else {
                 if !std::mem::replace(&mut self.is_wait_logged, true) {
-                    decision_log::held(request, login, io);
+                    decision_log::log_held(request, login, io);
                 }
                 return;
             };
-            decision_log::routed(request, login, &target, &routed, io);
+            decision_log::log_routed(request, login, &target, &routed, io);
             if let Access::Read { .. } = routed {
                 access = routed;
             }
--- a/crates/daemon/src/front/target.rs
+++ b/crates/daemon/src/front/target.rs
@@ -15,7 +15,7 @@
 
 /// Destination of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
+pub struct RequestTarget {
     /// Instance that runs it; `None` if the gateway chooses one.
     pub instance: Option<InstanceName>,
     /// Node whose gateway holds the instance's connections.
@@ -30,14 +30,14 @@
     account: Option<&AccountName>,
     access: &Access,
     io: &Io,
-) -> Option<Target> {
+) -> Option<RequestTarget> {
     let catalog = io.context.catalog.load();
     let configured = catalog.groups.get(group)?;
     match configured.elector {
         Elector::Group => find_by_status(group, configured, &catalog, access, io),
         Elector::Proxy => {
             let gateway = io.context.owner_for_group(group, account, io.now)?;
-            Some(Target { instance: None, gateway })
+            Some(RequestTarget { instance: None, gateway })
         }
     }
 }
@@ -48,7 +48,7 @@
     catalog: &IndexedCatalog,
     access: &Access,
     io: &Io,
-) -> Option<Target> {
+) -> Option<RequestTarget> {
     let instances = &configured.instances;
     let group_statuses = io.context.statuses.group(group);
     let statuses = group_statuses.read().expect("a holder of the status lock panicked");
@@ -70,7 +70,7 @@
     let instance = instances.iter().find(|instance| instance.name == *chosen)?;
     let gateway = io.context.gateway_of(&instance.name, io.now)?;
     io.context.metrics.count_route(access, role);
-    Some(Target { instance: Some(instance.name.clone()), gateway })
+    Some(RequestTarget { instance: Some(instance.name.clone()), gateway })
 }
 
 /// Half the lifetime of a subscription, so that one lost renewal does not end it.
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -200,8 +200,10 @@
                 state.current_positions.expire(io.now);
                 let late = state.pools.values_mut().flat_map(|pool| pool.remove_late(io.now));
                 late.collect::<Vec<_>>().into_iter().for_each(|late| notify_refused(late, io));
-                let mut overdue = state.monitor.overdue(io.now);
-                overdue.extend(state.pools.values().flat_map(|pool| pool.overdue(io.now)));
+                let mut overdue = state.monitor.timed_out_probes(io.now);
+                overdue.extend(
+                    state.pools.values().flat_map(|pool| pool.timed_out_connections(io.now)),
+                );
                 for key in overdue {
                     self.on_server_lost(key, Fault::Deadline, io);
                 }
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -183,7 +183,7 @@
     }
 
     /// Probe connections that have not answered in time.
-    pub fn overdue(&self, now: Instant) -> Vec<usize> {
+    pub fn timed_out_probes(&self, now: Instant) -> Vec<usize> {
         let timeout = self.watch.pace(now).probe_timeout();
         let late = |monitored: &MonitoredInstance| match monitored.probe {
             Probe::Busy { key, since } if now > since + timeout => Some(key),
--- a/crates/daemon/src/gateway/pool/sizing.rs
+++ b/crates/daemon/src/gateway/pool/sizing.rs
@@ -170,7 +170,7 @@
     }
 
     /// Connections that have not been established within [`CONNECT_TIMEOUT`].
-    pub fn overdue(&self, now: Instant) -> Vec<usize> {
+    pub fn timed_out_connections(&self, now: Instant) -> Vec<usize> {
         let late = |pooled: &PooledConnection| match &pooled.state {
             State::Connecting { since } => now.saturating_duration_since(*since) > CONNECT_TIMEOUT,
             _ => false,
--- a/crates/daemon/src/gateway/server/replies.rs
+++ b/crates/daemon/src/gateway/server/replies.rs
@@ -195,7 +195,7 @@
         let configured = catalog.instance(&self.instance).map(|(_, instance)| instance);
         let answered = ExchangeResponse {
             sent: running.sent,
-            at: io.now,
+            completed_at: io.now,
             position: running.answer_position(),
             role: configured.and_then(|instance| instance.announced_role),
         };
--- a/crates/daemon/src/shared/confirmations.rs
+++ b/crates/daemon/src/shared/confirmations.rs
@@ -26,7 +26,7 @@
     /// Age of the newest confirmation of the `active` configuration.
     pub fn age(&self, active: CatalogVersion, now: Instant) -> Option<Duration> {
         let newest = self.newest(active)?;
-        Some(now.saturating_duration_since(newest.at))
+        Some(now.saturating_duration_since(newest.newest_at))
     }
 
     /// Whether the evidence for the `active` configuration covers a request that arrived at
--- a/crates/daemon/src/shared/exchange_record.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -148,8 +148,8 @@
         let ended = index.map(|index| self.in_flight.swap_remove(index));
         match (response, ended) {
             (Some(response), _) => {
-                let elapsed = response.at.saturating_duration_since(response.sent);
-                self.on_response(elapsed, response.position, response.at);
+                let elapsed = response.completed_at.saturating_duration_since(response.sent);
+                self.on_response(elapsed, response.position, response.completed_at);
             }
             (None, ended) => {
                 self.in_doubt = true;
@@ -221,7 +221,7 @@
     /// When the exchange was sent.
     pub sent: Instant,
     /// When its response was complete.
-    pub at: Instant,
+    pub completed_at: Instant,
     /// Position that the instance reported.
     pub position: Option<Position>,
     /// Role of the instance.
--- a/crates/daemon/tests/statuses.rs
+++ b/crates/daemon/tests/statuses.rs
@@ -43,7 +43,8 @@
         let number = self.table.on_sent(&self.group, &name(instance), false);
         let now = Instant::now();
         let role = Some(Role::Primary);
-        let answered = ExchangeResponse { sent: now, at: now, position: Some(position), role };
+        let answered =
+            ExchangeResponse { sent: now, completed_at: now, position: Some(position), role };
         self.table.on_ended(&self.group, &name(instance), number, Some(answered));
     }
 
--- a/crates/lab/src/standin/store/key_calls.rs
+++ b/crates/lab/src/standin/store/key_calls.rs
@@ -91,18 +91,18 @@
 fn carry_out(contents: &mut Contents, call: &KeyCall, now: Instant) -> Answer {
     match call {
         KeyCall::Item { key } => match contents.get(key.as_bytes()) {
-            Some(entry) => success(keys::item_answer(&held(key, entry), contents.revision)),
+            Some(entry) => success(keys::encode_item_answer(&held(key, entry), contents.revision)),
             None => failure(NOT_FOUND),
         },
         KeyCall::Range { prefix, after } => range(contents, prefix, after.as_deref()),
         KeyCall::Watch { .. } => failure(MALFORMED),
         KeyCall::Change(change) => carry_out_change(contents, change),
         KeyCall::Grant(life) => match contents.grant(0, *life, now) {
-            Some(number) => success(keys::lease_answer(number, *life)),
+            Some(number) => success(keys::encode_lease_answer(number, *life)),
             None => failure(MALFORMED),
         },
         KeyCall::Renew(number) => match contents.keep_alive(*number, now) {
-            Some(life) => success(keys::lease_answer(*number, life)),
+            Some(life) => success(keys::encode_lease_answer(*number, life)),
             None => failure(NOT_FOUND),
         },
         KeyCall::End(number) => match contents.revoke(*number) {
@@ -121,7 +121,7 @@
         .collect();
     let items: Vec<StoredItem> =
         found.iter().take(PAGE).map(|(key, entry)| held(key, entry)).collect();
-    success(keys::range_answer(&items, found.len() > PAGE, contents.revision))
+    success(keys::encode_range_answer(&items, found.len() > PAGE, contents.revision))
 }
 
 fn carry_out_change(contents: &mut Contents, change: &ChangeCall) -> Answer {
@@ -144,7 +144,7 @@
     for key in &change.removes {
         contents.delete(&KeyRange { start: key.as_bytes().to_vec(), end: None }, revision);
     }
-    success(keys::change_answer(contents.revision))
+    success(keys::encode_change_answer(contents.revision))
 }
 
 fn held<'a>(key: &'a str, entry: &'a Entry) -> StoredItem<'a> {
@@ -169,5 +169,5 @@
             None => StoredEvent::Gone { key, revision: event.revision },
         })
         .collect();
-    keys::watch_answer(&told, revision)
+    keys::encode_watch_answer(&told, revision)
 }
