--- a/crates/core/src/admission/types.rs
+++ b/crates/core/src/admission/types.rs
@@ -25,7 +25,7 @@
     pub account: Option<AccountName>,
     /// Requests that the tenant may run concurrently on this instance.
     pub capacity: u32,
-    /// Priority among all requests.
+    /// Priority in the instance's queue, compared across all tenants.
     pub priority: Priority,
     /// Time by which the request must finish.
     pub deadline: Instant,
--- a/crates/core/src/catalog/mod.rs
+++ b/crates/core/src/catalog/mod.rs
@@ -343,7 +343,7 @@
 pub struct InvalidField {
     /// Path of the invalid field.
     pub field: String,
-    /// Description of the problem.
+    /// Why the value is invalid, such as "must be at least slots".
     pub problem: String,
 }
 
--- a/crates/core/src/classify/mod.rs
+++ b/crates/core/src/classify/mod.rs
@@ -67,7 +67,8 @@
     }
 }
 
-/// Classification of a text, or of a batch of texts.
+/// The result of classifying a text, or a batch of texts: what routing and the reset of the
+/// connection depend on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TextFacts {
     /// Class of the whole text.
@@ -79,13 +80,13 @@
 }
 
 impl TextFacts {
-    /// Facts of one statement without effects on its connection.
+    /// The classification of a single statement that leaves its connection's state unchanged.
     pub fn of(class: StatementClass) -> Self {
         let begins = matches!(class, StatementClass::Begin | StatementClass::BeginReadOnly);
         Self { class, begins, effects: Vec::new() }
     }
 
-    /// Facts of one statement with an effect on its connection.
+    /// The classification of a single statement that has `effect` on its connection's state.
     pub fn with(class: StatementClass, effect: Effect) -> Self {
         Self { effects: vec![effect], ..Self::of(class) }
     }
@@ -94,18 +95,19 @@
         Self::with(StatementClass::Write, Effect::Refuse(reason))
     }
 
-    /// Facts of a text that the classifier does not know.
+    /// The classification of a text that the classifier does not know: it may have any effect, and
+    /// its connection has to be reset.
     pub fn unknown() -> Self {
         Self::with(StatementClass::Unknown, Effect::Taint)
     }
 
-    /// Facts of executing a portal that an earlier batch bound. Its effects were taken from that
-    /// batch.
+    /// The classification of executing a portal that an earlier batch bound. The effects on the
+    /// connection were recorded with that batch.
     pub fn earlier_portal() -> Self {
         Self::of(StatementClass::Unknown)
     }
 
-    /// Facts of an empty text.
+    /// The classification of an empty text.
     pub fn nothing() -> Self {
         Self::of(StatementClass::Read)
     }
--- a/crates/core/src/connection_shares.rs
+++ b/crates/core/src/connection_shares.rs
@@ -90,15 +90,16 @@
     nodes.clamp(1, owners.clamp(1, MAX_OWNERS) as usize)
 }
 
-/// An owner in another zone than a replica gets one part in this many of an even share: it reads
-/// from that replica only while its own zone's instance performs worse, or after the replica's
-/// promotion.
+/// Divides the even share of a replica's connections to give the share of a group owner in another
+/// zone. Such an owner needs fewer connections: it uses the replica only while the instance in its
+/// own zone performs worse, or after the replica's promotion.
 const FAR_SHARE_DIVISOR: u32 = 2;
 
-/// The share of an owner in the connections of a replica, where each connection belongs to an
-/// account. Owners in the replica's zone get more than those in other zones. With an even division,
-/// the owners of that zone, which read there, would have fewer connections than accounts, so that
-/// most statements would wait for a new connection while those of owners in other zones were idle.
+/// The share of one group owner in the connections of a replica, if each connection belongs to an
+/// account. `near` owners are in the replica's zone and `far` owners in other zones; `is_near` says
+/// which kind this owner is. Near owners get more. With an even division, the near owners, which
+/// read from the replica, would have fewer connections than accounts. Most of their statements
+/// would wait for a new connection while connections of far owners were idle.
 pub fn replica_share(connections: u32, near: usize, far: usize, is_near: bool) -> Share {
     let even = share(connections, near + far);
     if near == 0 || far == 0 {
--- a/crates/core/src/credential_evidence.rs
+++ b/crates/core/src/credential_evidence.rs
@@ -85,7 +85,7 @@
 pub struct Confirmation {
     /// Version of the configuration.
     pub version: CatalogVersion,
-    /// That moment, or an earlier one.
+    /// That moment or an earlier one.
     pub newest_at: Instant,
 }
 
@@ -97,7 +97,8 @@
 }
 
 impl CredentialEvidence {
-    /// Adds a confirmation, unless a known one shows as much.
+    /// Adds a confirmation, unless a known one covers it: it confirms the same or an older
+    /// configuration, at the same moment or later.
     pub fn add(&mut self, new: Confirmation) {
         let is_covered_by = |known: &Confirmation| {
             new.version.covers(known.version) && known.newest_at >= new.newest_at
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -43,7 +43,7 @@
         #[serde(rename = "n")]
         number: u32,
     },
-    /// Carries only updates.
+    /// Has no content of its own: the message only carries the updates in [`Message::updates`].
     #[serde(rename = "g")]
     Gossip,
     /// Requests the records of buckets whose hashes differ.
--- a/crates/core/src/membership/synchronization.rs
+++ b/crates/core/src/membership/synchronization.rs
@@ -23,9 +23,9 @@
         if now < self.next_sync {
             return;
         }
-        let is_early = now.saturating_sub(self.started) < self.timing.startup_period;
+        let in_startup = now.saturating_sub(self.started) < self.timing.startup_period;
         let interval =
-            if is_early { self.timing.startup_sync_interval } else { self.timing.sync_interval };
+            if in_startup { self.timing.startup_sync_interval } else { self.timing.sync_interval };
         let jitter = Duration::from_micros(below(random, interval.as_micros() as usize / 2) as u64);
         self.next_sync = now + interval.mul_f64(0.75) + jitter;
         let Some(node) = self.table.random_live(1, None, random).pop() else {
--- a/crates/core/src/membership/timing.rs
+++ b/crates/core/src/membership/timing.rs
@@ -24,9 +24,10 @@
     pub revision_fan_out: usize,
     /// Interval between anti-entropy syncs with a random member.
     pub sync_interval: Duration,
-    /// Interval between syncs during the early period of this process.
+    /// Interval between anti-entropy syncs during the startup period of this process.
     pub startup_sync_interval: Duration,
-    /// Length of the early period of a process.
+    /// Length of a process's startup period: the time after its start in which it syncs more often,
+    /// because it knows few other members.
     pub startup_period: Duration,
     /// Interval between attempts to reach a dead member or a seed that is not a live member.
     pub recontact_interval: Duration,
--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -70,7 +70,8 @@
     releases: Releases,
     /// When enough replicas were stopped; `None` while too few are.
     stopped_since: Option<Instant>,
-    /// When the last check began, in which the replicas confirm that they are still stopped.
+    /// When the current check began, in which the replicas confirm that they are still stopped;
+    /// `None` if no check is in progress.
     stop_check_since: Option<Instant>,
     /// What is known about the old primary.
     old_primary_state: OldPrimaryState,
--- a/crates/core/src/promotion/attempt/promoting.rs
+++ b/crates/core/src/promotion/attempt/promoting.rs
@@ -109,30 +109,32 @@
         }
         // Queried after the incarnations were read: a replica that has restarted since then reports
         // that it is not stopped.
-        let since = self.begin_stop_check(now);
-        let unchecked: Vec<InstanceName> = self
+        let check_began = self.begin_stop_check(now);
+        let unconfirmed: Vec<InstanceName> = self
             .stopped
             .iter()
-            .filter(|(_, stopped)| stopped.confirmed_at < since)
+            .filter(|(_, stopped)| stopped.confirmed_at < check_began)
             .map(|(name, _)| name.clone())
             .collect();
         let has_confirmed =
-            |name: &&InstanceName| !unchecked.contains(name) && self.has_usable_log(name);
-        let checked = self.stopped.keys().filter(has_confirmed).count();
+            |name: &&InstanceName| !unconfirmed.contains(name) && self.has_usable_log(name);
+        let confirmed = self.stopped.keys().filter(has_confirmed).count();
         // Required even if the old primary refuses connections: the replica to be promoted may lose
         // its log before the promotion, and then the other stopped replicas have the acknowledged
         // commits.
-        if checked >= self.required_stops() {
+        if confirmed >= self.required_stops() {
             self.promote(now, commands);
             return;
         }
-        for name in unchecked {
+        for name in unconfirmed {
             self.send(&name, RetriedCommand::QueryStatus, now, commands, Command::QueryStatus);
         }
     }
 
-    /// When the current check began. The first queries of a check are sent at once, even if the
-    /// replicas were queried within the retry interval, because writes wait for the promotion.
+    /// Begins the check that the stopped replicas are still stopped, unless it is in progress.
+    /// Returns when it began: only replicas that have confirmed since then count. The first queries
+    /// of a check are sent at once, even if the replicas were queried within the retry interval,
+    /// because writes wait for the promotion.
     fn begin_stop_check(&mut self, now: Instant) -> Instant {
         if self.stop_check_since.is_none() {
             self.last_sent.retain(|(_, kind), _| *kind != RetriedCommand::QueryStatus);
@@ -199,21 +201,21 @@
         self.phase = Phase::Stopping { since: now };
     }
 
-    /// The stopped replica with the highest position; among equals one that is not leaving. The old
-    /// primary is considered only if the other replicas are not enough, because there is a reason
-    /// to replace it.
+    /// The instance to promote: the stopped replica with the highest position; among equals, one
+    /// that is not leaving. The old primary is a candidate only if too few other replicas are
+    /// stopped, because there is a reason to replace it.
     fn best_candidate(&self) -> Option<InstanceName> {
         let old_primary = self.intent.former.as_ref();
         let others: BTreeMap<&InstanceName, &Stopped> =
             self.stopped.iter().filter(|(name, _)| old_primary != Some(*name)).collect();
         let with_log = others.keys().filter(|name| self.has_usable_log(name)).count();
-        let compared = match with_log >= self.required_stops() {
+        let candidates = match with_log >= self.required_stops() {
             true => others,
             false => self.stopped.iter().collect(),
         };
         let order = |position: &Position| (position.term, position.offset);
-        let highest = compared.values().map(|stopped| order(&stopped.received)).max()?;
-        let mut best: Vec<&InstanceName> = compared
+        let highest = candidates.values().map(|stopped| order(&stopped.received)).max()?;
+        let mut best: Vec<&InstanceName> = candidates
             .into_iter()
             .filter(|(_, stopped)| order(&stopped.received) == highest)
             .map(|(name, _)| name)
--- a/crates/core/src/promotion/restart_reports.rs
+++ b/crates/core/src/promotion/restart_reports.rs
@@ -1,4 +1,5 @@
-//! Reports of the nodes that show whether a restarted instance has every acknowledged commit again.
+//! Reports of the nodes that show, during a primary replacement, whether a restarted instance has
+//! every acknowledged commit again.
 //!
 //! A restarted instance has lost its log. Each node sends its report to the coordinator together
 //! with the confirmation that it has revoked its evidence. Two observations show that the instance
@@ -46,7 +47,8 @@
     pub highest_position: Position,
 }
 
-/// The reports that nodes have sent for one replacement.
+/// The restart reports that the coordinator has received from the nodes during one replacement of
+/// a group's primary.
 #[derive(Clone, Debug, Default)]
 pub struct RestartReports {
     by_node: BTreeMap<NodeName, RestartReport>,
--- a/crates/core/src/store_era.rs
+++ b/crates/core/src/store_era.rs
@@ -27,8 +27,9 @@
         self > Self(1)
     }
 
-    /// The position of a revision of this era; `None` for a number beyond those that a store can
-    /// reach.
+    /// The position in the store's history of `revision` in this era. `None` if the position would
+    /// not be unique, because the revision exceeds those reserved for an era, or if the position
+    /// does not fit into 64 bits.
     pub fn position(self, revision: u64) -> Option<u64> {
         if revision >= REVISIONS_PER_ERA {
             return None;
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -34,25 +34,25 @@
 /// How long abandoned requests still count as a sign that an instance is silent.
 pub const ABANDONED_REQUEST_VALIDITY: Duration = Duration::from_millis(2_000);
 
-/// Requests to an instance that were abandoned without an answer. They show that the instance is
-/// silent just like requests that still wait. Otherwise anything that ends the work on a silent
-/// primary, most of all its replacement, would also end the suspicion against it.
+/// Requests to an instance that this node abandoned without an answer. Like requests that still
+/// wait, they show that the instance is silent. If they did not count, everything that ends the
+/// requests to a silent primary, most of all its replacement, would also end the suspicion.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AbandonedRequests {
     /// When the oldest abandoned request was sent.
     oldest: Option<Instant>,
-    /// When a request was last abandoned.
+    /// When this node last abandoned a request.
     last_abandoned: Option<Instant>,
 }
 
 impl AbandonedRequests {
-    /// A request that was sent at `sent` was abandoned at `now`.
+    /// Records that this node abandoned at `now` a request that it sent at `sent`.
     pub fn on_abandoned(&mut self, sent: Instant, now: Instant) {
         self.oldest = Some(self.oldest_sent(now).map_or(sent, |oldest| oldest.min(sent)));
         self.last_abandoned = Some(now);
     }
 
-    /// The instance answered a request.
+    /// Records that the instance answered a request, so earlier abandoned ones no longer count.
     pub fn on_answer(&mut self) {
         *self = Self::default();
     }
--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -72,7 +72,7 @@
         configuration: &Configuration,
         peer: &Peer,
         part: &Chunk,
-        puller: &mut Fetcher,
+        fetcher: &mut Fetcher,
     ) {
         let Some(fetch) = self.current.as_mut().filter(|fetch| fetch.from == peer.node) else {
             // The fetch has moved to another node meanwhile.
@@ -101,19 +101,19 @@
             );
             return;
         }
-        puller.on_chunk(&peer.node, Instant::now());
+        fetcher.on_chunk(&peer.node, Instant::now());
         let Some(incoming) = &fetch.incoming else { return };
         let (transfer, offset) = (part.transfer, incoming.next_offset());
         configuration.send(peer, ConfigurationMessage::Next { transfer, offset });
         if incoming.is_complete() {
-            self.finish(configuration, peer, puller);
+            self.finish(configuration, peer, fetcher);
         }
     }
 
-    fn finish(&mut self, configuration: &Configuration, peer: &Peer, puller: &mut Fetcher) {
+    fn finish(&mut self, configuration: &Configuration, peer: &Peer, fetcher: &mut Fetcher) {
         let Some(fetch) = self.current.take() else { return };
         let Some(incoming) = fetch.incoming else { return };
-        puller.on_answer(&peer.node);
+        fetcher.on_answer(&peer.node);
         let metrics = &configuration.context.metrics;
         metrics.configuration_bytes.add(ConfigurationEvent::Fetched, incoming.bytes().len() as u64);
         match catalog_transfer::unpack(incoming.bytes()) {
@@ -126,11 +126,11 @@
                     after_ms = fetch.requested_at.elapsed().as_millis() as u64;
                     "received a configuration delta"
                 );
-                self.apply(configuration, peer, fetch.base, delta, puller);
+                self.apply(configuration, peer, fetch.base, delta, fetcher);
             }
             Err(error) => {
                 log::warn!("KL3001 the configuration from {} is dropped: {error}", peer.node);
-                puller.on_unusable(&peer.node, Instant::now());
+                fetcher.on_unusable(&peer.node, Instant::now());
             }
         }
     }
@@ -141,7 +141,7 @@
         peer: &Peer,
         requested_with: Fingerprint,
         delta: CatalogDelta,
-        puller: &mut Fetcher,
+        fetcher: &mut Fetcher,
     ) {
         configuration.context.revisions.record(&peer.node, delta.changed.revision);
         let is_whole = delta.base.is_none();
@@ -152,12 +152,12 @@
                 match configuration.offer(catalog, Origin::Peer) {
                     OfferOutcome::Activated => configuration.announce_if_store_watcher(),
                     OfferOutcome::NotNewer => {}
-                    OfferOutcome::Rejected => puller.on_unusable(&peer.node, Instant::now()),
+                    OfferOutcome::Rejected => fetcher.on_unusable(&peer.node, Instant::now()),
                 }
             }
             Err(DeltaError::NotNewer) => {}
             Err(DeltaError::DoesNotFit) if is_whole => {
-                puller.on_unusable(&peer.node, Instant::now());
+                fetcher.on_unusable(&peer.node, Instant::now());
             }
             Err(DeltaError::DoesNotFit) => {
                 let summary = match catalog.summary() {
@@ -166,7 +166,7 @@
                     // It has not changed: fetch the whole configuration.
                     _ => CatalogSummary::empty(),
                 };
-                puller.on_refetch(&peer.node, catalog.revision, Instant::now());
+                fetcher.on_refetch(&peer.node, catalog.revision, Instant::now());
                 self.start(configuration, peer, summary);
             }
         }
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -51,7 +51,7 @@
 pub enum Origin {
     /// The store, through this node's catalog source.
     Source,
-    /// Another node.
+    /// Another node, which sent the catalog to this one.
     Peer,
 }
 
--- a/crates/daemon/src/agent/configuration/role.rs
+++ b/crates/daemon/src/agent/configuration/role.rs
@@ -15,8 +15,9 @@
 
 /// Time that a node without configuration waits for its peers before it reads the store.
 pub(super) const PEER_WAIT: Duration = Duration::from_secs(1);
-/// Time after the start for which listed nodes count like live ones: as long as membership runs its
-/// anti-entropy sync often. Later an entry may be that of a machine that is gone for good.
+/// Time after this node's start during which the nodes in the machine list count like live ones. It
+/// is as long as the startup period of membership, in which anti-entropy syncs are frequent. Later
+/// an entry may belong to a machine that is permanently gone.
 const MACHINE_LIST_VALIDITY: Duration = Duration::from_secs(10);
 /// The machine list counts as complete once it has not changed in length for this long: nodes that
 /// start together add themselves within a few hundred milliseconds.
--- a/crates/daemon/src/agent/promotion/executor.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -31,7 +31,8 @@
     Finished(GroupName),
     /// A change of the store failed and has to be retried.
     StoreFailed(GroupName),
-    /// The coordinator lease was renewed, or its renewal has to be retried.
+    /// The store call to renew the coordinator lease has ended. The lease has its new end, or its
+    /// previous one if the call failed, so that the coordinator has to renew it again.
     Renewed(CoordinatorLease),
     /// The coordinator lease has ended.
     LeaseOver,
--- a/crates/daemon/src/front/decision_log.rs
+++ b/crates/daemon/src/front/decision_log.rs
@@ -15,7 +15,8 @@
 use super::target::RequestTarget;
 use crate::event::Io;
 
-/// The request's id, or "-" if the protocol has none.
+/// The id by which the request is found in the log; "-" if there is no request, or if the client's
+/// protocol has no request ids.
 fn id_of(request: Option<&Request>) -> &str {
     request.and_then(|request| request.id.as_deref()).unwrap_or("-")
 }
@@ -28,7 +29,7 @@
     duration.as_millis() as u64
 }
 
-/// Logs that a request was routed to an instance or a gateway.
+/// Logs the instance or the gateway to which a request was routed.
 pub fn log_routed(
     request: &Request,
     login: &Login,
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -54,7 +54,7 @@
     let _ = stream.write(&message);
 }
 
-/// The clients of one shard.
+/// The client-facing part of a node, for one shard: its client connections and their sessions.
 pub struct Front {
     identity: Identity,
     shard: u16,
--- a/crates/daemon/src/front/target.rs
+++ b/crates/daemon/src/front/target.rs
@@ -13,10 +13,10 @@
 use crate::event::{Io, Outgoing};
 use crate::ownership::OwnershipSnapshot;
 
-/// Destination of an exchange.
+/// Where a front sends the exchanges of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestTarget {
-    /// Instance that runs it; `None` if the gateway chooses one.
+    /// Instance that runs the request; `None` if the gateway chooses it.
     pub instance: Option<InstanceName>,
     /// Node whose gateway holds the instance's connections.
     pub gateway: NodeName,
--- a/crates/daemon/src/gateway/fencing.rs
+++ b/crates/daemon/src/gateway/fencing.rs
@@ -1,4 +1,10 @@
-//! Keeps work away from a primary that has been replaced, or that no majority confirms.
+//! Keeps work away from an instance that has been replaced as primary, or that cannot be confirmed
+//! as primary. An old primary could acknowledge commits that the new one does not have.
+//!
+//! A primary is outdated once the gateway has seen a higher term: its connections are closed, and
+//! its queued exchanges return to their fronts. In groups that elect their own primary, a write is
+//! refused while no majority of the group's instances follows the instance. In groups whose primary
+//! the proxy elects, it is refused unless the platform announces the instance as the primary.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -200,11 +200,11 @@
                 state.current_positions.expire(io.now);
                 let late = state.pools.values_mut().flat_map(|pool| pool.remove_late(io.now));
                 late.collect::<Vec<_>>().into_iter().for_each(|late| notify_refused(late, io));
-                let mut overdue = state.monitor.timed_out_probes(io.now);
-                overdue.extend(
+                let mut timed_out = state.monitor.timed_out_probes(io.now);
+                timed_out.extend(
                     state.pools.values().flat_map(|pool| pool.timed_out_connections(io.now)),
                 );
-                for key in overdue {
+                for key in timed_out {
                     self.on_server_lost(key, Fault::Deadline, io);
                 }
             }
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -182,14 +182,15 @@
         self.monitored(instance).probe = Probe::Idle { key };
     }
 
-    /// Probe connections that have not answered in time.
+    /// Keys of the probe connections on which the instance has not answered within the probe
+    /// timeout.
     pub fn timed_out_probes(&self, now: Instant) -> Vec<usize> {
         let timeout = self.watch.pace(now).probe_timeout();
-        let late = |monitored: &MonitoredInstance| match monitored.probe {
+        let timed_out = |monitored: &MonitoredInstance| match monitored.probe {
             Probe::Busy { key, since } if now > since + timeout => Some(key),
             _ => None,
         };
-        self.instances.values().filter_map(late).collect()
+        self.instances.values().filter_map(timed_out).collect()
     }
 
     /// Handles the arrival of a statement for the group: it is probed more often for a while.
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -20,7 +20,8 @@
 use super::{Gateway, notify_front, ownership, zone_drains};
 use crate::event::Io;
 
-/// The stake of an exchange that has not been sent: nothing can be lost or in doubt.
+/// The impact of the failure of an exchange that has not been sent to an instance: no transaction
+/// can be lost, and no write can be in doubt.
 const NOTHING_AT_STAKE: ExchangeImpact =
     ExchangeImpact { effect: Effect::Read, continues_transaction: false };
 
--- a/crates/daemon/src/gateway/pool/sizing.rs
+++ b/crates/daemon/src/gateway/pool/sizing.rs
@@ -169,13 +169,13 @@
         self.idle.iter().filter(has_expired).take(surplus).copied().collect()
     }
 
-    /// Connections that have not been established within [`CONNECT_TIMEOUT`].
+    /// Keys of the connections that were not established within [`CONNECT_TIMEOUT`].
     pub fn timed_out_connections(&self, now: Instant) -> Vec<usize> {
-        let late = |pooled: &PooledConnection| match &pooled.state {
+        let has_timed_out = |pooled: &PooledConnection| match &pooled.state {
             State::Connecting { since } => now.saturating_duration_since(*since) > CONNECT_TIMEOUT,
             _ => false,
         };
-        let late = self.connections.iter().filter(|(_, pooled)| late(pooled));
-        late.map(|(key, _)| *key).collect()
+        let timed_out = self.connections.iter().filter(|(_, pooled)| has_timed_out(pooled));
+        timed_out.map(|(key, _)| *key).collect()
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -94,7 +94,7 @@
 }
 
 labels! {
-    /// Event of a connection.
+    /// Event on a connection to a client, an instance or another node.
     ConnectionEvent {
         /// Opened.
         Opened = "opened",
--- a/crates/daemon/src/shard/mod.rs
+++ b/crates/daemon/src/shard/mod.rs
@@ -37,9 +37,9 @@
     context: Arc<NodeContext>,
     mailboxes: Arc<Mailboxes>,
     outbox: VecDeque<Outgoing>,
-    /// Client connections and sessions.
+    /// The client-facing part of the node: this shard's client connections and sessions.
     pub front: Front,
-    /// Pooled connections to instances.
+    /// The instance-facing part of the node: this shard's pooled connections to instances.
     pub gateway: Gateway,
     /// Connections to other nodes.
     pub links: Links,
--- a/crates/daemon/src/shared/exchange_record.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -183,20 +183,20 @@
         }
     }
 
-    fn set_position(&mut self, position: Option<Position>, at: Instant) {
+    fn set_position(&mut self, position: Option<Position>, reported_at: Instant) {
         if position.is_some() {
             self.last_position = position;
-            self.last_position_at = Some(at);
+            self.last_position_at = Some(reported_at);
             self.term = self.term.max(position.map(|position| position.term));
         }
     }
 
-    fn on_response(&mut self, elapsed: Duration, position: Option<Position>, at: Instant) {
+    fn on_response(&mut self, elapsed: Duration, position: Option<Position>, completed: Instant) {
         self.in_doubt = false;
         self.refused_since = None;
         self.abandoned.on_answer();
-        self.last_response = Some(at);
-        self.set_position(position, at);
+        self.last_response = Some(completed);
+        self.set_position(position, completed);
         self.mean_service_time = Some(match self.mean_service_time {
             Some(mean) => (mean * (SERVICE_TIME_WEIGHT - 1) + elapsed) / SERVICE_TIME_WEIGHT,
             None => elapsed,
