--- a/crates/core/src/credential_evidence.rs
+++ b/crates/core/src/credential_evidence.rs
@@ -85,7 +85,8 @@
 pub struct Confirmation {
     /// Version of the configuration.
     pub version: CatalogVersion,
-    /// That moment or an earlier one.
+    /// That moment. If it is not known exactly, it is an earlier one, so that the confirmation
+    /// expires early rather than late.
     pub newest_at: Instant,
 }
 
--- a/crates/core/src/membership/message.rs
+++ b/crates/core/src/membership/message.rs
@@ -43,7 +43,7 @@
         #[serde(rename = "n")]
         number: u32,
     },
-    /// Has no content of its own: the message only carries the updates in [`Message::updates`].
+    /// Carries only the sender's record and the updates that are in each [`Message`].
     #[serde(rename = "g")]
     Gossip,
     /// Requests the records of buckets whose hashes differ.
--- a/crates/core/src/promotion/attempt/promoting.rs
+++ b/crates/core/src/promotion/attempt/promoting.rs
@@ -131,10 +131,10 @@
         }
     }
 
-    /// Begins the check that the stopped replicas are still stopped, unless it is in progress.
-    /// Returns when it began: only replicas that have confirmed since then count. The first queries
-    /// of a check are sent at once, even if the replicas were queried within the retry interval,
-    /// because writes wait for the promotion.
+    /// Begins the check that the stopped replicas are still stopped, unless one is in progress.
+    /// Returns when the check began: only replicas that answer a query sent since then have
+    /// confirmed it. The first queries of a check are sent at once, even if the replicas were
+    /// queried within the retry interval, because writes wait for the promotion.
     fn begin_stop_check(&mut self, now: Instant) -> Instant {
         if self.stop_check_since.is_none() {
             self.last_sent.retain(|(_, kind), _| *kind != RetriedCommand::QueryStatus);
--- a/crates/core/src/promotion/needs.rs
+++ b/crates/core/src/promotion/needs.rs
@@ -77,8 +77,8 @@
 /// The input of [`NeedsEvaluator::evaluate`].
 #[derive(Clone, Copy, Debug)]
 pub struct NeedsInput<'a> {
-    /// The catalog that this node has active; it lists the groups and their instances. It must have
-    /// been passed to [`NeedsEvaluator::apply_catalog`].
+    /// This node's active catalog, which lists the groups and their instances. It must have been
+    /// passed to [`NeedsEvaluator::apply_catalog`].
     pub catalog: &'a IndexedCatalog,
     /// This node's copy of the coordination data in the store.
     pub view: &'a CoordinationView,
--- a/crates/daemon/src/agent/promotion/status_queries.rs
+++ b/crates/daemon/src/agent/promotion/status_queries.rs
@@ -29,7 +29,7 @@
 pub(super) struct Assessment {
     /// Why the primary has to be replaced, if it has to be.
     pub cause: Option<Cause>,
-    at: Instant,
+    assessed_at: Instant,
 }
 
 /// The replication status that an instance reported.
@@ -81,7 +81,7 @@
             let report = status.map(|status| StatusReport { subject, status, sent_at });
             reports.extend(report);
         }
-        self.assessments.retain(|_, assessment| now < assessment.at + ASSESSMENT_LIFETIME);
+        self.assessments.retain(|_, assessment| now < assessment.assessed_at + ASSESSMENT_LIFETIME);
         reports
     }
 
@@ -105,7 +105,7 @@
                 let outcome = control.execute(&target, InstanceCommand::Ask);
                 let status = outcome.as_ref().ok().copied();
                 let cause = assess(control.as_ref(), &target, highest, outcome);
-                let assessment = Assessment { cause, at: Instant::now() };
+                let assessment = Assessment { cause, assessed_at: Instant::now() };
                 // The receiver is gone if the node is stopping.
                 let _ = result_sender.send(QueryResult { subject, assessment, status, sent_at });
             });
--- a/crates/daemon/src/gateway/fencing.rs
+++ b/crates/daemon/src/gateway/fencing.rs
@@ -4,7 +4,9 @@
 //! A primary is outdated once the gateway has seen a higher term: its connections are closed, and
 //! its queued exchanges return to their fronts. In groups that elect their own primary, a write is
 //! refused while no majority of the group's instances follows the instance. In groups whose primary
-//! the proxy elects, it is refused unless the platform announces the instance as the primary.
+//! the proxy elects, it is refused unless the platform announces the instance as the primary. A
+//! front retries a refused write, which has not been sent to the instance. Under
+//! [`Policy::NoConfirmation`] no write is refused here.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/gateway/instance_choice.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -45,7 +45,8 @@
     pub arrived: Instant,
     /// Maximum age of the data that it reads; `None` if it reads nothing.
     pub staleness: Option<Duration>,
-    /// Instance that has just failed to run the statement; if that is a read, another one runs it.
+    /// Instance that has just failed to run the statement. If the statement is a read, it is not
+    /// sent to that instance again.
     pub passed_over: Option<&'a InstanceName>,
     /// The group's pools; exchanges queued there run before it.
     pub pools: &'a HashMap<InstanceName, Pool>,
--- a/crates/daemon/src/gateway/zone_drains.rs
+++ b/crates/daemon/src/gateway/zone_drains.rs
@@ -40,7 +40,7 @@
 /// A transaction that was rolled back while it was idle.
 #[derive(Debug)]
 struct EndedTransaction {
-    at: Instant,
+    ended_at: Instant,
     /// Sequence number of the next event for its front.
     sequence: u32,
 }
@@ -76,8 +76,8 @@
     }
 
     fn record_ended(&mut self, lease: LeaseId, sequence: u32, now: Instant) {
-        self.ended.retain(|_, ended| now < ended.at + ENDED_RETENTION);
-        self.ended.insert(lease, EndedTransaction { at: now, sequence });
+        self.ended.retain(|_, ended| now < ended.ended_at + ENDED_RETENTION);
+        self.ended.insert(lease, EndedTransaction { ended_at: now, sequence });
     }
 }
 
