--- a/crates/daemon/src/gateway/pool/sizing.rs
+++ b/crates/daemon/src/gateway/pool/sizing.rs
@@ -169,7 +169,7 @@
         self.idle.iter().filter(has_expired).take(surplus).copied().collect()
     }
 
-    /// Keys of the connections that were not established within [`CONNECT_TIMEOUT`].
+    /// Keys of the connections that were not established within `CONNECT_TIMEOUT`.
     pub fn timed_out_connections(&self, now: Instant) -> Vec<usize> {
         let has_timed_out = |pooled: &PooledConnection| match &pooled.state {
             State::Connecting { since } => now.saturating_duration_since(*since) > CONNECT_TIMEOUT,
