--- a/crates/lab/src/standin/store/key_calls.rs
+++ b/crates/lab/src/standin/store/key_calls.rs
@@ -91,18 +91,18 @@
 fn execute(contents: &mut Contents, call: &KeyCall, now: Instant) -> CallResponse {
     match call {
         KeyCall::Item { key } => match contents.get(key.as_bytes()) {
-            Some(entry) => success(keys::item_answer(&stored_item(key, entry), contents.revision)),
+            Some(entry) => success(keys::encode_item_answer(&stored_item(key, entry), contents.revision)),
             None => failure(NOT_FOUND),
         },
         KeyCall::Range { prefix, after } => range(contents, prefix, after.as_deref()),
         KeyCall::Watch { .. } => failure(BAD_REQUEST),
         KeyCall::Change(change) => execute_change(contents, change),
         KeyCall::Grant(lifetime) => match contents.grant(0, *lifetime, now) {
-            Some(number) => success(keys::lease_answer(number, *lifetime)),
+            Some(number) => success(keys::encode_lease_answer(number, *lifetime)),
             None => failure(BAD_REQUEST),
         },
         KeyCall::Renew(number) => match contents.keep_alive(*number, now) {
-            Some(lifetime) => success(keys::lease_answer(*number, lifetime)),
+            Some(lifetime) => success(keys::encode_lease_answer(*number, lifetime)),
             None => failure(NOT_FOUND),
         },
         KeyCall::End(number) => match contents.revoke(*number) {
@@ -121,7 +121,7 @@
         .collect();
     let items: Vec<StoredItem> =
         found.iter().take(PAGE_ITEMS).map(|(key, entry)| stored_item(key, entry)).collect();
-    success(keys::range_answer(&items, found.len() > PAGE_ITEMS, contents.revision))
+    success(keys::encode_range_answer(&items, found.len() > PAGE_ITEMS, contents.revision))
 }
 
 fn execute_change(contents: &mut Contents, change: &ChangeCall) -> CallResponse {
@@ -144,7 +144,7 @@
     for key in &change.removes {
         contents.delete(&KeyRange { start: key.as_bytes().to_vec(), end: None }, revision);
     }
-    success(keys::change_answer(contents.revision))
+    success(keys::encode_change_answer(contents.revision))
 }
 
 fn stored_item<'a>(key: &'a str, entry: &'a Entry) -> StoredItem<'a> {
@@ -169,5 +169,5 @@
             None => StoredEvent::Gone { key, revision: event.revision },
         })
         .collect();
-    keys::watch_answer(&stored_events, revision)
+    keys::encode_watch_answer(&stored_events, revision)
 }
