--- a/crates/lab/src/standin/store/key_calls.rs
+++ b/crates/lab/src/standin/store/key_calls.rs
@@ -91,7 +91,9 @@
 fn execute(contents: &mut Contents, call: &KeyCall, now: Instant) -> CallResponse {
     match call {
         KeyCall::Item { key } => match contents.get(key.as_bytes()) {
-            Some(entry) => success(keys::encode_item_answer(&stored_item(key, entry), contents.revision)),
+            Some(entry) => {
+                success(keys::encode_item_answer(&stored_item(key, entry), contents.revision))
+            }
             None => failure(NOT_FOUND),
         },
         KeyCall::Range { prefix, after } => range(contents, prefix, after.as_deref()),
