--- a/crates/core/src/admission/service_time.rs
+++ b/crates/core/src/admission/service_time.rs
@@ -1,4 +1,5 @@
-//! Running estimate of how long a request occupies its slot.
+//! Running estimate of how long a request occupies its slot, from which the scheduler predicts
+//! waits.
 
 use std::time::Duration;
 
--- a/crates/core/src/admission/types.rs
+++ b/crates/core/src/admission/types.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the scheduler.
+//! Inputs and outputs of the scheduler: requests, limits, refusals and the slots in use.
 
 use std::time::{Duration, Instant};
 
--- a/crates/core/src/catalog/digests.rs
+++ b/crates/core/src/catalog/digests.rs
@@ -78,7 +78,7 @@
     }
 
     /// Updates the hash of one entry after a change of `catalog`, or removes it if the entry is
-    /// gone.
+    /// absent.
     pub fn update(&mut self, catalog: &Catalog, id: EntryId) {
         if let Some(previous_digest) = self.entries.remove(&id) {
             self.fingerprint = self.fingerprint.wrapping_sub(previous_digest.content);
--- a/crates/core/src/catalog/fields.rs
+++ b/crates/core/src/catalog/fields.rs
@@ -1,4 +1,4 @@
-//! Checks of individual catalog fields.
+//! Checks of individual catalog fields: valid names, texts and ranges.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
--- a/crates/core/src/catalog/merge.rs
+++ b/crates/core/src/catalog/merge.rs
@@ -1,4 +1,4 @@
-//! Merges the parameters of a tenant: the values of its template, with the tenant's overrides.
+//! Merges the parameters of a tenant from the values of its template and the tenant's overrides.
 
 use super::{Catalog, Template, Tenant};
 use crate::ids::{GroupName, TenantName};
--- a/crates/core/src/classify/functions.rs
+++ b/crates/core/src/classify/functions.rs
@@ -1,4 +1,5 @@
-//! Known PostgreSQL functions and system relations.
+//! Known PostgreSQL functions and system relations: which of them may run on any instance, need the
+//! primary, or depend on the connection. A function that is not listed may have any effect.
 
 use sqlparser::ast::{Ident, ObjectName, ObjectNamePart};
 
--- a/crates/core/src/classify/inspector.rs
+++ b/crates/core/src/classify/inspector.rs
@@ -1,4 +1,5 @@
-//! Finds the functions, relations and locks that a statement uses.
+//! Finds the functions, relations and locks that a statement uses, because they can make a `SELECT`
+//! more than a read.
 
 use std::ops::ControlFlow;
 
--- a/crates/core/src/classify/settings.rs
+++ b/crates/core/src/classify/settings.rs
@@ -1,4 +1,5 @@
-//! The effect of `SET`, `RESET` and `SHOW` on a session that shares connections.
+//! The effect of `SET`, `RESET` and `SHOW` on a session that shares connections: decides whether the
+//! statement is a read, changes a setting that can be replayed on other connections, or is refused.
 
 use sqlparser::ast::{ContextModifier, Ident, ObjectName, ObjectNamePart, Set};
 
--- a/crates/core/src/connection_budget.rs
+++ b/crates/core/src/connection_budget.rs
@@ -17,7 +17,7 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Longest wait of a gateway without any open connection. Such a gateway cannot serve the instance
 /// at all, and what blocks it often ends within seconds, for example connections of processes that
-/// have died.
+/// have terminated.
 const MAX_WAIT_WITHOUT_CONNECTIONS: Duration = Duration::from_millis(120);
 /// Time between two growth steps after a refusal.
 const GROWTH_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/core/src/distribution/mod.rs
+++ b/crates/core/src/distribution/mod.rs
@@ -7,7 +7,7 @@
 //! watcher at intervals.
 //!
 //! A configuration is transferred in small chunks. The receiver requests each chunk after the
-//! previous one has arrived, and the sender serves a few nodes at a time ([`transfers`]). A link
+//! previous one has arrived, and the sender serves a few nodes at a time (`transfers`). A link
 //! therefore carries only a small part of a configuration at once: statements and heartbeats do not
 //! queue behind it, and a slow link slows the transfer down without a configured rate.
 
@@ -87,7 +87,7 @@
     watchers
 }
 
-/// At most [`WATCHERS_PER_ZONE`] of `candidates`, all of `zone`.
+/// At most `WATCHERS_PER_ZONE` of `candidates`, all of `zone`.
 fn choose_watchers(zone: &ZoneName, candidates: &[&Candidate]) -> Vec<NodeName> {
     match ownership(&InstanceName::new(STORE_WATCHING_KEY), zone, candidates.iter().copied()) {
         None => Vec::new(),
--- a/crates/core/src/distribution/transfers.rs
+++ b/crates/core/src/distribution/transfers.rs
@@ -1,4 +1,5 @@
-//! Limits how many nodes receive a configuration from this node at once, and queues the others.
+//! Limits how many nodes receive a configuration from this node at once, and queues the others, so
+//! that transfers do not delay statements and heartbeats on the same link.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,4 +1,5 @@
-//! The queue of updates to send to other members; the least often sent update comes first.
+//! The queue of updates to send to other members. The least often sent update comes first, so that
+//! updates which are repeated do not delay new ones.
 
 use std::collections::BTreeMap;
 
--- a/crates/core/src/membership/receive.rs
+++ b/crates/core/src/membership/receive.rs
@@ -1,4 +1,5 @@
-//! Handles messages from other members.
+//! Handles messages from other members: merges the sender's record and the updates that it carries,
+//! then answers the body.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 use crate::ids::NodeName;
 
 impl Membership {
-    /// Handles a message. The caller has authenticated it and dropped duplicates.
+    /// Handles a message. It must have been authenticated, and duplicates dropped.
     pub fn on_message(&mut self, message: Message, now: Duration, random: &mut dyn RandomSource) {
         let Message { sender, body, updates } = message;
         if sender.node == self.own.node || self.own.health == Health::Left {
--- a/crates/core/src/membership/state.rs
+++ b/crates/core/src/membership/state.rs
@@ -1,4 +1,5 @@
-//! The membership state machine of one node, and its periodic work.
+//! The membership state machine of one node. From received messages and the passing of time it
+//! decides which members are live, and which messages to send: probes, gossip and syncs.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/core/src/membership/table.rs
+++ b/crates/core/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of known members.
+//! The table of known members, with the timers of their suspicions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -56,7 +56,8 @@
         self.members.get(node)
     }
 
-    /// The member with that name; callers may change only the revision in its record.
+    /// The member with that name. Only the revision in its record may be changed through this
+    /// reference.
     pub fn get_mut(&mut self, node: &NodeName) -> Option<&mut Member> {
         self.members.get_mut(node)
     }
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -1,4 +1,5 @@
-//! Numbered result codes, which clients get when the proxy itself answers.
+//! Numbered result codes, which clients get when the proxy itself answers. Each code states whether
+//! the statement took effect, so that a client does not repeat a statement that may have run.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
--- a/crates/core/src/placement_deadline.rs
+++ b/crates/core/src/placement_deadline.rs
@@ -1,4 +1,5 @@
-//! Limits how long a request waits while no instance can serve it.
+//! Limits how long a request waits while no instance can serve it, so that a client that retries
+//! refused requests still has time for another attempt.
 
 use std::time::{Duration, Instant};
 
--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -1,5 +1,7 @@
-//! The state machine of one attempt: which phase follows which. The submodules implement the
-//! phases.
+//! The state machine of one attempt: from events, the members of the group and the current time it
+//! decides which phase follows and which commands the coordinator sends. The submodules implement
+//! the phases. The rules that prevent two primaries from acknowledging commits are described in
+//! the parent module.
 
 mod events;
 mod incarnations;
--- a/crates/core/src/promotion/attempt/events.rs
+++ b/crates/core/src/promotion/attempt/events.rs
@@ -1,5 +1,6 @@
 //! Processes the events of an attempt: reports of the instances, the platform, the store and the
-//! nodes.
+//! nodes. An answer may be late or come from an earlier process of an instance; the time at which
+//! its query was sent decides what it still shows.
 
 use std::time::Instant;
 
--- a/crates/core/src/promotion/attempt/other_primaries.rs
+++ b/crates/core/src/promotion/attempt/other_primaries.rs
@@ -1,5 +1,6 @@
-//! Members other than the old primary that report to be primary: the successor, or earlier
-//! primaries.
+//! Distinguishes the members other than the old primary that report to be primary: the successor,
+//! or earlier primaries. An earlier primary that is taken for the successor would acknowledge
+//! writes that the promotion rolls back.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -43,7 +44,7 @@
 
     /// Whether a member that reports to be primary can be the successor. Once an instance has been
     /// chosen, this is the chosen one, or another one whose term shows that it was promoted. An old
-    /// primary that restarted under another name must not be taken for the successor: it would
+    /// primary that restarted under another name must not count as the successor: it would
     /// acknowledge writes that the promotion rolls back.
     fn may_succeed(&self, name: &InstanceName) -> bool {
         match &self.chosen {
--- a/crates/core/src/promotion/attempt/releases.rs
+++ b/crates/core/src/promotion/attempt/releases.rs
@@ -1,4 +1,6 @@
 //! Releases the stopped replicas when an attempt finishes, whether or not an instance was promoted.
+//! Also releases those that an earlier coordinator may have stopped: a replica that stays stopped
+//! never follows a primary whose term is below its minimum term.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
--- a/crates/core/src/promotion/attempt/settling.rs
+++ b/crates/core/src/promotion/attempt/settling.rs
@@ -42,7 +42,7 @@
         reported.unwrap_or(Successor { instance, term: None })
     }
 
-    /// Tells an old primary to step down.
+    /// Sends an old primary the command to step down.
     pub(super) fn demote(&mut self, old: &InstanceName, now: Instant, commands: &mut Vec<Command>) {
         let term = Term(self.highest_term.0.max(self.stop_term.0));
         self.send(old, RetriedCommand::Demote, now, commands, |instance| Command::Demote {
--- a/crates/core/src/promotion/coordination.rs
+++ b/crates/core/src/promotion/coordination.rs
@@ -31,7 +31,7 @@
     pub term: Option<Term>,
 }
 
-/// The holder of the coordinator lease.
+/// The node that holds the coordinator lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Coordinator {
     /// The node.
--- a/crates/core/src/promotion/members.rs
+++ b/crates/core/src/promotion/members.rs
@@ -1,4 +1,5 @@
-//! The instances that an attempt works with.
+//! The instances that an attempt works with, and how many of them must be stopped so that no
+//! acknowledged commit is lost and the old primary cannot acknowledge another one.
 
 use crate::ids::InstanceName;
 use crate::incarnation::InstanceIncarnation;
--- a/crates/core/src/promotion/mod.rs
+++ b/crates/core/src/promotion/mod.rs
@@ -10,10 +10,10 @@
 //! 3. *Stop*: make replicas reject replication below a new term, until so many are stopped that the
 //!    primary cannot acknowledge another commit and at least one stopped replica has every commit
 //!    acknowledged so far: all but `synchronous - 1` of them.
-//! 4. *Lapse*: wait until evidence of the old primary has expired (`primary_evidence`). The wait is
-//!    skipped if the old primary refuses connections, so that no client can read there, and
-//!    shortened if every node has revoked its evidence. Meanwhile the recorded intent says that a
-//!    promotion may be sent.
+//! 4. *Expire* ([`Phase::Lapsing`]): wait until evidence of the old primary has expired
+//!    (`primary_evidence`). The wait is skipped if the old primary refuses connections, so that no
+//!    client can read there, and shortened if every node has revoked its evidence. Meanwhile the
+//!    recorded intent states that a promotion may be sent.
 //! 5. *Check*: the replicas confirm again that they are stopped, since a restarted replica is no
 //!    longer stopped. The coordinator also reads from the store which of them were restarted and so
 //!    have lost their logs, since its own copy of the store may be stale.
@@ -107,8 +107,8 @@
 
 /// The active intents: those of attempts that have not been cancelled.
 pub fn active_intents(intents: &BTreeMap<GroupName, Intent>) -> BTreeMap<GroupName, Intent> {
-    let heeded = intents.iter().filter(|(_, intent)| !intent.called_off);
-    heeded.map(|(group, intent)| (group.clone(), intent.clone())).collect()
+    let active = intents.iter().filter(|(_, intent)| !intent.called_off);
+    active.map(|(group, intent)| (group.clone(), intent.clone())).collect()
 }
 
 /// What an instance reports of itself when it is queried, stopped or demoted.
--- a/crates/core/src/quota/bucket.rs
+++ b/crates/core/src/quota/bucket.rs
@@ -1,4 +1,7 @@
-//! The token bucket from which an allocator grants an account's tokens.
+//! The token bucket from which an allocator grants an account's tokens: decides how many tokens a
+//! request gets, and when the front may retry if it got too few. While it is unknown what another
+//! allocator has granted, the bucket starts below the full burst and refills at a reduced rate, so
+//! that a restart or a handover does not grant the burst twice.
 
 use std::time::{Duration, Instant};
 
--- a/crates/core/src/quota/limits.rs
+++ b/crates/core/src/quota/limits.rs
@@ -1,5 +1,5 @@
 //! The limits that an allocator applies: those of the configuration, except that a lowered limit
-//! takes effect only after [`LOWERED_LIMIT_DELAY`].
+//! takes effect only after `LOWERED_LIMIT_DELAY`.
 
 use std::collections::HashMap;
 use std::time::Instant;
--- a/crates/core/src/quota/reachability.rs
+++ b/crates/core/src/quota/reachability.rs
@@ -1,4 +1,5 @@
-//! Tracks which nodes answer quota messages.
+//! Tracks which nodes answer quota messages, and decides from their unanswered requests when fronts
+//! ask another node first and when another node allocates in place of an unreachable one.
 
 use std::collections::HashMap;
 use std::time::Instant;
--- a/crates/core/src/quota/token_cache.rs
+++ b/crates/core/src/quota/token_cache.rs
@@ -1,4 +1,5 @@
-//! A front's cached tokens for one account, and its pending request for more.
+//! A front's cached tokens for one account, and its pending request for more: decides whether an
+//! operation runs, waits for tokens or is refused, and how many tokens to request.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -71,49 +71,49 @@
         &mut self,
         configuration: &Configuration,
         peer: &Peer,
-        part: &Chunk,
-        puller: &mut Fetcher,
+        chunk: &Chunk,
+        fetcher: &mut Fetcher,
     ) {
         let Some(fetch) = self.current.as_mut().filter(|fetch| fetch.from == peer.node) else {
             // The fetch has moved to another node meanwhile.
             log::info!(
                 event = "configuration_unasked",
                 peer = peer.node.as_str(),
-                transfer = part.transfer.0,
-                offset = part.offset,
-                bytes = part.bytes.len() as u64;
+                transfer = chunk.transfer.0,
+                offset = chunk.offset,
+                bytes = chunk.bytes.len() as u64;
                 "dropped a chunk of the configuration from a node that this node does not fetch from"
             );
             configuration.send(peer, ConfigurationMessage::StopTransfer);
             return;
         };
-        if let Err(error) = fetch.add(part) {
+        if let Err(error) = fetch.add(chunk) {
             // When a connection has been replaced by another one, chunks sent before may arrive
             // twice or not at all.
             log::info!(
                 event = "configuration_part_dropped",
                 peer = peer.node.as_str(),
-                transfer = part.transfer.0,
-                offset = part.offset,
-                bytes = part.bytes.len() as u64,
+                transfer = chunk.transfer.0,
+                offset = chunk.offset,
+                bytes = chunk.bytes.len() as u64,
                 problem = error.to_string().as_str();
                 "dropped a chunk of the configuration that does not continue the transfer"
             );
             return;
         }
-        puller.on_chunk(&peer.node, Instant::now());
+        fetcher.on_chunk(&peer.node, Instant::now());
         let Some(incoming) = &fetch.incoming else { return };
-        let (transfer, offset) = (part.transfer, incoming.next_offset());
+        let (transfer, offset) = (chunk.transfer, incoming.next_offset());
         configuration.send(peer, ConfigurationMessage::Next { transfer, offset });
         if incoming.is_complete() {
-            self.finish(configuration, peer, puller);
+            self.finish(configuration, peer, fetcher);
         }
     }
 
-    fn finish(&mut self, configuration: &Configuration, peer: &Peer, puller: &mut Fetcher) {
+    fn finish(&mut self, configuration: &Configuration, peer: &Peer, fetcher: &mut Fetcher) {
         let Some(fetch) = self.current.take() else { return };
         let Some(incoming) = fetch.incoming else { return };
-        puller.on_answer(&peer.node);
+        fetcher.on_answer(&peer.node);
         let metrics = &configuration.context.metrics;
         metrics.configuration_bytes.add(ConfigurationEvent::Fetched, incoming.bytes().len() as u64);
         match catalog_transfer::unpack(incoming.bytes()) {
@@ -126,11 +126,11 @@
                     after_ms = fetch.requested_at.elapsed().as_millis() as u64;
                     "received a configuration delta"
                 );
-                self.apply(configuration, peer, fetch.base, delta, puller);
+                self.apply(configuration, peer, fetch.base, delta, fetcher);
             }
             Err(error) => {
                 log::warn!("KL3001 the configuration from {} is dropped: {error}", peer.node);
-                puller.on_unusable(&peer.node, Instant::now());
+                fetcher.on_unusable(&peer.node, Instant::now());
             }
         }
     }
@@ -141,7 +141,7 @@
         peer: &Peer,
         requested_with: Fingerprint,
         delta: CatalogDelta,
-        puller: &mut Fetcher,
+        fetcher: &mut Fetcher,
     ) {
         configuration.context.revisions.record(&peer.node, delta.changed.revision);
         let is_whole = delta.base.is_none();
@@ -152,12 +152,12 @@
                 match configuration.offer(catalog, Origin::Peer) {
                     OfferOutcome::Activated => configuration.announce_if_store_watcher(),
                     OfferOutcome::NotNewer => {}
-                    OfferOutcome::Rejected => puller.on_unusable(&peer.node, Instant::now()),
+                    OfferOutcome::Rejected => fetcher.on_unusable(&peer.node, Instant::now()),
                 }
             }
             Err(DeltaError::NotNewer) => {}
             Err(DeltaError::DoesNotFit) if is_whole => {
-                puller.on_unusable(&peer.node, Instant::now());
+                fetcher.on_unusable(&peer.node, Instant::now());
             }
             Err(DeltaError::DoesNotFit) => {
                 let summary = match catalog.summary() {
@@ -166,7 +166,7 @@
                     // It has not changed: fetch the whole configuration.
                     _ => CatalogSummary::empty(),
                 };
-                puller.on_refetch(&peer.node, catalog.revision, Instant::now());
+                fetcher.on_refetch(&peer.node, catalog.revision, Instant::now());
                 self.start(configuration, peer, summary);
             }
         }
@@ -174,11 +174,11 @@
 }
 
 impl Fetch {
-    fn add(&mut self, part: &Chunk) -> Result<(), TransferError> {
+    fn add(&mut self, chunk: &Chunk) -> Result<(), TransferError> {
         match &mut self.incoming {
-            Some(incoming) if part.offset > 0 => incoming.add(part),
+            Some(incoming) if chunk.offset > 0 => incoming.add(chunk),
             _ => {
-                self.incoming = Some(IncomingTransfer::begin(part)?);
+                self.incoming = Some(IncomingTransfer::begin(chunk)?);
                 Ok(())
             }
         }
--- a/crates/daemon/src/agent/configuration/delta_server.rs
+++ b/crates/daemon/src/agent/configuration/delta_server.rs
@@ -86,7 +86,7 @@
     }
 
     /// Ends the transfer to a node that needs no more chunks.
-    pub fn on_enough(&mut self, configuration: &Configuration, node: &NodeName) {
+    pub fn on_stop_transfer(&mut self, configuration: &Configuration, node: &NodeName) {
         self.queue.finish(node);
         self.serve_waiting(configuration);
     }
--- a/crates/daemon/src/agent/configuration/peer_distribution.rs
+++ b/crates/daemon/src/agent/configuration/peer_distribution.rs
@@ -39,7 +39,7 @@
 /// State of the exchange with peers.
 struct Distribution<'a> {
     configuration: &'a Configuration,
-    puller: Fetcher,
+    fetcher: Fetcher,
     delta_server: DeltaServer,
     delta_receiver: DeltaReceiver,
     confirmation_queries: ConfirmationQueries,
@@ -47,11 +47,11 @@
 
 impl<'a> Distribution<'a> {
     fn new(configuration: &'a Configuration) -> Self {
-        let puller = Fetcher::new(configuration.own_candidate());
+        let fetcher = Fetcher::new(configuration.own_candidate());
         let confirmation_queries = ConfirmationQueries::new(configuration);
         Self {
             configuration,
-            puller,
+            fetcher,
             delta_server: DeltaServer::default(),
             delta_receiver: DeltaReceiver::default(),
             confirmation_queries,
@@ -62,7 +62,7 @@
         let context = &self.configuration.context;
         let (now, have) = (Instant::now(), self.configuration.revision());
         let newer = context.revisions.newer_than(have);
-        if !self.puller.is_due(newer.is_some(), now) {
+        if !self.fetcher.is_due(newer.is_some(), now) {
             return;
         }
         let live = self.configuration.live_candidates();
@@ -73,7 +73,7 @@
             live: &live,
             random: rand::random(),
         };
-        let Some(node) = self.puller.next(&view) else { return };
+        let Some(node) = self.fetcher.next(&view) else { return };
         // Dead nodes are removed here, because a dead node may be the only one with a newer
         // revision.
         let live: HashSet<&NodeName> = live.iter().map(|other| &other.node).collect();
@@ -98,7 +98,7 @@
             }
             ConfigurationMessage::Active { revision } => {
                 configuration.context.revisions.record(&peer.node, revision);
-                if self.puller.on_revision(&peer.node, revision) {
+                if self.fetcher.on_revision(&peer.node, revision) {
                     self.delta_receiver.on_nothing_newer(&peer.node, revision);
                 }
             }
@@ -106,9 +106,9 @@
                 configuration.context.revisions.record(&peer.node, have.revision);
                 self.delta_server.on_fetch(configuration, &peer, have);
             }
-            ConfigurationMessage::Queued => self.puller.on_queued(&peer.node, Instant::now()),
-            ConfigurationMessage::Chunk(part) => {
-                self.delta_receiver.on_chunk(configuration, &peer, &part, &mut self.puller);
+            ConfigurationMessage::Queued => self.fetcher.on_queued(&peer.node, Instant::now()),
+            ConfigurationMessage::Chunk(chunk) => {
+                self.delta_receiver.on_chunk(configuration, &peer, &chunk, &mut self.fetcher);
             }
             ConfigurationMessage::Next { transfer, offset } => {
                 self.delta_server.on_next(configuration, &peer, transfer, offset);
@@ -120,7 +120,7 @@
                 self.confirmation_queries.on_answer(configuration, &peer, number, newest);
             }
             ConfigurationMessage::StopTransfer => {
-                self.delta_server.on_enough(configuration, &peer.node)
+                self.delta_server.on_stop_transfer(configuration, &peer.node)
             }
         }
     }
--- a/crates/daemon/src/agent/counted_store.rs
+++ b/crates/daemon/src/agent/counted_store.rs
@@ -1,4 +1,4 @@
-//! A wrapper of the configuration store that counts requests by their result.
+//! A wrapper of the configuration store that counts requests by their result in the node's metrics.
 
 use std::sync::Arc;
 
--- a/crates/daemon/src/agent/promotion/coordinator.rs
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -310,10 +310,10 @@
         running.attempt.on_event(Event::Members(input.known.members(group)), now);
         running.attempt.on_event(Event::StillNeeded(wanted), now);
         let id = running.attempt.id();
-        let witnesses = self.context.revoked_evidence.for_replacement(group, id);
-        if let Some(witnesses) = witnesses {
+        let reports = self.context.revoked_evidence.for_replacement(group, id);
+        if let Some(reports) = reports {
             running.attempt.on_reports(
-                &witnesses,
+                &reports,
                 &nodes_to_await(self.context, &*self.coordination),
                 now,
             );
@@ -356,16 +356,16 @@
                 self.executor.read_starts(group.clone(), instances);
             }
             Command::QueryStatus(instance) => {
-                self.send_order(group, &instance, InstanceCommand::Ask, known)
+                self.send_command(group, &instance, InstanceCommand::Ask, known)
             }
             Command::Stop { instance, term } => {
-                self.send_order(group, &instance, InstanceCommand::Stop(term), known);
+                self.send_command(group, &instance, InstanceCommand::Stop(term), known);
             }
             Command::Demote { instance, term } => {
-                self.send_order(group, &instance, InstanceCommand::Demote(term), known);
+                self.send_command(group, &instance, InstanceCommand::Demote(term), known);
             }
             Command::Release(instance) => {
-                self.send_order(group, &instance, InstanceCommand::Release, known)
+                self.send_command(group, &instance, InstanceCommand::Release, known)
             }
             Command::Promote(instance) => {
                 if now + MIN_LEASE_FOR_PROMOTION < self.lease.valid_until {
@@ -404,16 +404,16 @@
         }
     }
 
-    fn send_order(
+    fn send_command(
         &mut self,
         group: &GroupName,
         instance: &InstanceName,
-        order: InstanceCommand,
+        command: InstanceCommand,
         known: &KnownInstances,
     ) {
         let Some(address) = known.address(group, instance) else { return };
         let (group, instance) = (group.clone(), instance.clone());
-        self.executor.send_order(ControlTarget { group, instance, address }, order);
+        self.executor.send_command(ControlTarget { group, instance, address }, command);
     }
 }
 
--- a/crates/daemon/src/agent/promotion/executor.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -3,8 +3,8 @@
 //!
 //! There is a thread for each instance and one for changes of the store, each with one command at a
 //! time; promotions and reads of incarnations have a thread for each call. Changes of the store are
-//! queued. An order to an instance is dropped if an earlier order to it is still
-//! queued; the attempt sends its orders again until the instance has answered.
+//! queued. A command to an instance is dropped if an earlier command to it is still queued; the
+//! attempt sends its commands again until the instance has answered.
 
 use std::collections::HashMap;
 use std::thread;
@@ -55,7 +55,7 @@
 }
 
 impl Executor {
-    /// Starts the thread for the store; the thread of an instance starts with its first order.
+    /// Starts the thread for the store; the thread of an instance starts with its first command.
     pub fn start(services: ReplacementServices) -> (Self, Receiver<Report>) {
         let (reports, report_receiver) = unbounded();
         let (store, commands) = bounded(64);
@@ -73,18 +73,18 @@
         (executor, report_receiver)
     }
 
-    /// Sends an order to an instance, unless an earlier order to it is still queued.
-    pub fn send_order(&mut self, target: ControlTarget, order: InstanceCommand) {
+    /// Sends a command to an instance, unless an earlier command to it is still queued.
+    pub fn send_command(&mut self, target: ControlTarget, command: InstanceCommand) {
         let sender = self.instances.entry(target.instance.clone()).or_insert_with(|| {
-            let (sender, orders) = bounded::<(ControlTarget, InstanceCommand)>(1);
+            let (sender, commands) = bounded::<(ControlTarget, InstanceCommand)>(1);
             let control = self.services.control.clone();
             let reports = self.reports.clone();
             spawn("promotion-instance", move || {
-                for (target, order) in orders {
+                for (target, command) in commands {
                     let sent = Instant::now();
-                    let outcome = control.execute(&target, order);
-                    log::info!(event = "order", group = target.group.as_str(), instance = target.instance.as_str(), order:? = order, outcome:? = outcome, took_us = sent.elapsed().as_micros() as u64; "executed an order to an instance");
-                    for event in events_for(&target, order, outcome, sent) {
+                    let outcome = control.execute(&target, command);
+                    log::info!(event = "order", group = target.group.as_str(), instance = target.instance.as_str(), order:? = command, outcome:? = outcome, took_us = sent.elapsed().as_micros() as u64; "executed a command on an instance");
+                    for event in events_for(&target, command, outcome, sent) {
                         if reports.send(Report::Event(target.group.clone(), event)).is_err() {
                             return;
                         }
@@ -93,8 +93,8 @@
             });
             sender
         });
-        // If an earlier order is still queued, this one is dropped: the attempt sends it again.
-        let _ = sender.try_send((target, order));
+        // If an earlier command is still queued, this one is dropped: the attempt sends it again.
+        let _ = sender.try_send((target, command));
     }
 
     /// Asks the platform to promote an instance.
@@ -209,7 +209,7 @@
 fn read_starts(coordination: &dyn Coordination, instances: &[InstanceName]) -> Event {
     let asked = Instant::now();
     match coordination.reported_incarnations(instances) {
-        Ok(told) => Event::Incarnations { by_instance: told, asked },
+        Ok(incarnations) => Event::Incarnations { by_instance: incarnations, asked },
         Err(error) => {
             log::info!(event = "starts_unknown", error = error.to_string().as_str(); "the store did not return the incarnations of the instances");
             Event::IncarnationsUnavailable
@@ -217,19 +217,18 @@
     }
 }
 
-/// The events for the attempt that follow from the outcome of an order.
+/// The events for the attempt that follow from the outcome of a command.
 fn events_for(
     target: &ControlTarget,
-    order: InstanceCommand,
+    command: InstanceCommand,
     outcome: Result<ReplicationStatus, ControlError>,
     sent: Instant,
 ) -> Vec<Event> {
     let instance = target.instance.clone();
     match outcome {
-        Ok(standing) => {
-            let status_event =
-                Event::StatusReported { instance: instance.clone(), status: standing, sent };
-            match order {
+        Ok(status) => {
+            let status_event = Event::StatusReported { instance: instance.clone(), status, sent };
+            match command {
                 InstanceCommand::Release => vec![status_event, Event::Released(instance)],
                 InstanceCommand::Ask | InstanceCommand::Stop(_) | InstanceCommand::Demote(_) => {
                     vec![status_event]
@@ -239,7 +238,7 @@
         Err(ControlError::Refused) => vec![Event::Refused { instance, sent }],
         Err(ControlError::Displaced) => vec![Event::Displaced { instance, sent }],
         // An instance that was not stopped rejects the release.
-        Err(ControlError::Rejected(_)) if order == InstanceCommand::Release => {
+        Err(ControlError::Rejected(_)) if command == InstanceCommand::Release => {
             vec![Event::Released(instance)]
         }
         Err(ControlError::Unanswered(_) | ControlError::Rejected(_)) => {
--- a/crates/daemon/src/agent/promotion/mod.rs
+++ b/crates/daemon/src/agent/promotion/mod.rs
@@ -5,12 +5,12 @@
 //! `core::promotion` (which primaries have to be replaced by the votes of all nodes, and each step
 //! of a replacement). The threads in this module execute them:
 //!
-//! * [`watch`] assesses each group's primary by this node's own exchanges and publishes the votes;
-//! * [`coordinator`] runs primary replacements while this node holds the coordinator lease;
-//! * [`replacement_checker`] confirms with the store that no primary replacement is running, which
+//! * `watch` assesses each group's primary by this node's own exchanges and publishes the votes;
+//! * `coordinator` runs primary replacements while this node holds the coordinator lease;
+//! * `replacement_checker` confirms with the store that no primary replacement is running, which
 //!   turns the status reports of some of a group's replicas into evidence for its primary;
-//! * [`write_back`] records again what a store restore has lost;
-//! * [`executor`] runs the threads that call instances, the store and the platform.
+//! * `write_back` records again what a store restore has lost;
+//! * `executor` runs the threads that call instances, the store and the platform.
 
 mod announcer;
 mod coordinator;
@@ -35,7 +35,7 @@
 pub struct ReplacementServices {
     /// Coordination between nodes through the store: votes, intents and the coordinator lease.
     pub coordination: Arc<dyn Coordination>,
-    /// Sends orders to instances.
+    /// Sends commands to instances.
     pub control: Arc<dyn InstanceControl>,
     /// Asks the platform to promote a replica.
     pub promotions: Arc<dyn PromotionService>,
--- a/crates/daemon/src/agent/promotion/owned.rs
+++ b/crates/daemon/src/agent/promotion/owned.rs
@@ -1,4 +1,5 @@
-//! The groups that this node owns, collected when the owners change and not at each step.
+//! The groups that this node owns, collected only when the owners change, so that a step of the
+//! watcher does not iterate over all groups.
 
 use std::sync::Arc;
 
--- a/crates/daemon/src/agent/promotion/watch.rs
+++ b/crates/daemon/src/agent/promotion/watch.rs
@@ -82,7 +82,7 @@
     replacement_checker: ReplacementChecker,
     mailboxes: &'a Mailboxes,
     stop: &'a StopFlag,
-    /// When coordinators were last told which evidence this node has revoked.
+    /// When this node last reported to coordinators which evidence it has revoked.
     last_report: Option<Instant>,
 }
 
@@ -189,7 +189,8 @@
         if intents == self.intents {
             return;
         }
-        // Evidence is revoked before the coordinator is told: from here on no read relies on it.
+        // Evidence is revoked before that is reported to the coordinator: from here on no read
+        // relies on it.
         let active_intents = active_intents(&intents);
         self.context.statuses.follow_replacements(&active_intents);
         log::info!(
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Tells each coordinator that this node has revoked its evidence of the primary being
+    /// Reports to each coordinator that this node has revoked its evidence of the primary being
     /// replaced. The message is repeated for as long as the replacement runs, because it may be
     /// lost.
     fn report_revoked_evidence(&mut self) {
@@ -252,24 +253,25 @@
         let own = &self.context.identity.node;
         for (group, intent) in &self.intents {
             let is_revoked = {
-                let board = self.context.statuses.group(group);
-                let known = board.read().expect("a thread panicked while it held the status lock");
+                let group_statuses = self.context.statuses.group(group);
+                let known =
+                    group_statuses.read().expect("a thread panicked while it held the status lock");
                 known.evidence.revoked_for() == Some(intent.id)
             };
             if !is_revoked {
                 continue;
             }
             let highest_position = self.context.statuses.highest_primary_position(group);
-            let witness = self.known.restart_report(group, highest_position);
+            let report = self.known.restart_report(group, highest_position);
             if intent.holder == *own {
-                self.context.revoked_evidence.add(group, intent.id, own, witness);
+                self.context.revoked_evidence.add(group, intent.id, own, report);
                 continue;
             }
             let message = PeerMessage::EvidenceRevoked {
                 node: own.clone(),
                 group: group.clone(),
                 id: intent.id,
-                witness,
+                witness: report,
             };
             let message = ShardMessage::ToPeer { node: intent.holder.clone(), message };
             self.mailboxes.send(FIRST_SHARD, message);
--- a/crates/daemon/src/front/current_position.rs
+++ b/crates/daemon/src/front/current_position.rs
@@ -103,7 +103,7 @@
     let catalog = io.context.catalog.load();
     let instances = &catalog.groups.get(group)?.instances;
     let group_statuses = io.context.statuses.group(group);
-    let statuses = group_statuses.read().expect("a holder of the status lock panicked");
+    let statuses = group_statuses.read().expect("a thread panicked while it held the status lock");
     let primary = instances.iter().position(|instance| {
         let status = statuses.instances.get(&instance.name);
         status.is_some_and(|entry| entry.status.reachable && entry.status.role == Role::Primary)
--- a/crates/daemon/src/front/session.rs
+++ b/crates/daemon/src/front/session.rs
@@ -98,7 +98,7 @@
     /// Tracked only for protocols in which acknowledged commits are evidence of a primary.
     writes: TransactionWrites,
     /// What may be lost if the current exchange fails.
-    stake: ExchangeImpact,
+    impact: ExchangeImpact,
     /// Whether part of the current answer has been sent to the client.
     answer_begun: bool,
     /// Earliest time of the next attempt.
@@ -157,7 +157,7 @@
             state: SessionState::default(),
             transaction_lost: false,
             writes: TransactionWrites::default(),
-            stake: READ_OUTSIDE_TRANSACTION,
+            impact: READ_OUTSIDE_TRANSACTION,
             answer_begun: false,
             retry_at: None,
             followed_referral: false,
--- a/crates/daemon/src/front/session/lease.rs
+++ b/crates/daemon/src/front/session/lease.rs
@@ -79,7 +79,7 @@
             }
             LeaseEvent::Refused(refusal) => self.on_refused(refusal, io),
             LeaseEvent::NotOwner { owner } => self.on_not_owner(owner, io),
-            LeaseEvent::NotInProgress { has_not_run } => self.on_not_under_way(has_not_run, io),
+            LeaseEvent::NotInProgress { has_not_run } => self.on_exchange_unknown(has_not_run, io),
             LeaseEvent::Done { .. } => self.on_exchange_done(event, io),
         }
     }
--- a/crates/daemon/src/front/session/retrying.rs
+++ b/crates/daemon/src/front/session/retrying.rs
@@ -33,7 +33,7 @@
     /// The request could not be sent to the gateway's node, or that node left without running it.
     pub fn on_undelivered(&mut self, io: &mut Io) {
         self.mark_unreachable(io);
-        let code = failure_code(self.stake, Progress::AtFront, Fault::GatewayLost);
+        let code = failure_code(self.impact, Progress::AtFront, Fault::GatewayLost);
         self.on_refused(Refusal::new(code, "no connection to the gateway"), io);
     }
 
@@ -47,7 +47,7 @@
     /// Whether the current exchange may run a second time: it only reads, outside a transaction, and
     /// no part of its answer has been sent to the client.
     pub fn is_safe_to_retry(&self) -> bool {
-        let reads_only = self.stake.effect == Effect::Read && !self.stake.continues_transaction;
+        let reads_only = self.impact.effect == Effect::Read && !self.impact.continues_transaction;
         reads_only && !self.answer_begun
     }
 
@@ -60,18 +60,18 @@
     /// After the link to the gateway was replaced, the gateway does not know the exchange.
     /// `has_not_run` is true if it never received it; otherwise it may have run and its answer is
     /// lost.
-    pub(super) fn on_not_under_way(&mut self, has_not_run: bool, io: &mut Io) {
+    pub(super) fn on_exchange_unknown(&mut self, has_not_run: bool, io: &mut Io) {
         if !has_not_run {
             return self.end_unanswered(Fault::AnswerLost, "the gateway lost the answer", io);
         }
-        let code = failure_code(self.stake, Progress::AtFront, Fault::GatewayLost);
+        let code = failure_code(self.impact, Progress::AtFront, Fault::GatewayLost);
         self.on_refused(Refusal::new(code, "the statement did not reach the gateway"), io);
     }
 
     /// Ends an exchange that the gateway may have run. The lease ends too, so nothing more is sent
     /// on it and a transaction whose commit has not been sent can no longer commit.
     pub(super) fn end_unanswered(&mut self, fault: Fault, detail: &str, io: &mut Io) {
-        let code = failure_code(self.stake, Progress::Forwarded, fault);
+        let code = failure_code(self.impact, Progress::Forwarded, fault);
         self.abandon(io);
         self.on_refused(Refusal::new(code, detail), io);
     }
@@ -100,12 +100,12 @@
     /// Retries the request with another instance or gateway where that is safe, or ends it.
     pub(super) fn on_refused(&mut self, refusal: Refusal, io: &mut Io) {
         let retries_read = refusal.code == ResultCode::ReadInterrupted
-            && !self.stake.continues_transaction
+            && !self.impact.continues_transaction
             && self.read_retries.try_retry();
         let retries_unsafely = io.context.policy == Policy::ResendOnError
             && refusal.code.execution() == Execution::InDoubt
-            && !self.stake.continues_transaction;
-        let may_retry = may_retry(self.stake, refusal.code) || retries_read || retries_unsafely;
+            && !self.impact.continues_transaction;
+        let may_retry = may_retry(self.impact, refusal.code) || retries_read || retries_unsafely;
         if retries_read {
             self.restart_operation();
         }
--- a/crates/daemon/src/front/session/sending.rs
+++ b/crates/daemon/src/front/session/sending.rs
@@ -28,7 +28,7 @@
 use crate::front::baseline::effective_access;
 use crate::front::decision_log;
 use crate::front::target;
-use crate::gateway::running_exchange::stake_of;
+use crate::gateway::running_exchange::impact_of;
 
 impl Session {
     /// Sends the current request if it has not been sent, or ends it if it has waited for too long.
@@ -139,7 +139,7 @@
                 && self.keys.may_commit(request.class().may_commit(open)),
             commits_write: request.executes && self.writes.would_commit(request.class()),
         };
-        self.stake = stake_of(&exchange);
+        self.impact = impact_of(&exchange);
         self.answer_begun = false;
         self.keys.on_sent();
         lease.next_exchange += 1;
--- a/crates/daemon/src/front/target.rs
+++ b/crates/daemon/src/front/target.rs
@@ -51,7 +51,7 @@
 ) -> Option<Target> {
     let instances = &configured.instances;
     let group_statuses = io.context.statuses.group(group);
-    let statuses = group_statuses.read().expect("a holder of the status lock panicked");
+    let statuses = group_statuses.read().expect("a thread panicked while it held the status lock");
     let statuses = &statuses.instances;
     let candidates: Vec<Candidate> = instances
         .iter()
@@ -122,7 +122,7 @@
         return true;
     }
     let group_statuses = io.context.statuses.group(group);
-    let statuses = group_statuses.read().expect("a holder of the status lock panicked");
+    let statuses = group_statuses.read().expect("a thread panicked while it held the status lock");
     configured.instances.iter().all(|instance| statuses.instances.contains_key(&instance.name))
 }
 
--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -280,12 +280,12 @@
 }
 
 fn refuse(commit: Commit, progress: Progress, fault: Fault, io: &mut Io) {
-    let stake = ExchangeImpact { effect: Effect::MayCommit, continues_transaction: false };
+    let impact = ExchangeImpact { effect: Effect::MayCommit, continues_transaction: false };
     let detail = match fault {
         Fault::Superseded => "a new primary appeared before a majority confirmed the commit",
         Fault::Deadline => "no majority confirmed the commit in time",
         _ => "the primary did not say where the commit stands",
     };
-    let refusal = Refusal::new(failure_code(stake, progress, fault), detail);
+    let refusal = Refusal::new(failure_code(impact, progress, fault), detail);
     notify_front(&commit.lease, commit.sequence, LeaseEvent::Refused(refusal), io);
 }
--- a/crates/daemon/src/gateway/current_position.rs
+++ b/crates/daemon/src/gateway/current_position.rs
@@ -89,7 +89,7 @@
         });
     }
 
-    /// Drops requests that are older than [`REQUEST_LIFETIME`].
+    /// Drops requests that are older than `REQUEST_LIFETIME`.
     pub fn expire(&mut self, now: Instant) {
         self.pending.retain(|pending| pending.until > now);
     }
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -16,7 +16,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 /// Delays between rounds whose answers did not help. They start over after 500 ms without a round.
 /// After a round that helped, the evidence lasts much longer than any of these delays.
-const QUERY_REPETITION: RequestPacer = RequestPacer::new(
+const ROUND_PACER: RequestPacer = RequestPacer::new(
     Backoff::new(Duration::from_millis(8), Duration::from_millis(60)),
     Duration::from_millis(500),
 );
@@ -33,12 +33,12 @@
 #[derive(Debug)]
 pub struct EvidenceQueries {
     latest: Option<QueryRound>,
-    repetition: RequestPacer,
+    pacer: RequestPacer,
 }
 
 impl Default for EvidenceQueries {
     fn default() -> Self {
-        Self { latest: None, repetition: QUERY_REPETITION }
+        Self { latest: None, pacer: ROUND_PACER }
     }
 }
 
@@ -59,7 +59,7 @@
         }
         let chosen = instances_lacking_evidence(name, group, io);
         if !chosen.is_empty() {
-            let delay = self.repetition.on_request(io.now, rand::random());
+            let delay = self.pacer.on_request(io.now, rand::random());
             self.latest = Some(QueryRound { asked: Instant::now(), answered: false, delay });
         }
         chosen
@@ -79,8 +79,8 @@
 /// replica answers, the store need not be asked. The primary is included if it is not known to lead
 /// the term that its replicas follow.
 fn instances_lacking_evidence(name: &GroupName, group: &Group, io: &Io) -> Vec<InstanceName> {
-    let board = io.context.statuses.group(name);
-    let known = board.read().expect("a holder of the status lock panicked");
+    let group_statuses = io.context.statuses.group(name);
+    let known = group_statuses.read().expect("a thread panicked while it held the status lock");
     let leader = io.context.leader(name, group).map(|leader| &leader.name);
     let newest_term = known.evidence.highest_led();
     let leads = leader.and_then(|leader| known.led_term_of(leader));
--- a/crates/daemon/src/gateway/exchanges.rs
+++ b/crates/daemon/src/gateway/exchanges.rs
@@ -38,7 +38,7 @@
             self.last_remote_exchange = Some(io.now);
         }
         if self.reported_not_run.contains_key(&exchange.lease) {
-            log::info!(event = "ruled_out", id = exchange.request.as_deref().unwrap_or("-"); "dropped a statement that arrived after its front was told that it has not run");
+            log::info!(event = "ruled_out", id = exchange.request.as_deref().unwrap_or("-"); "dropped a statement that arrived after it was reported to its front as not run");
             return;
         }
         if let Some(&key) = self.leases.get(&exchange.lease) {
--- a/crates/daemon/src/gateway/fencing.rs
+++ b/crates/daemon/src/gateway/fencing.rs
@@ -1,4 +1,6 @@
-//! Keeps work away from a primary that has been replaced, or that no majority confirms.
+//! Refuses new writes at an instance that is no longer announced as primary or that no majority
+//! follows, because their commits could not be confirmed. When a primary has been replaced, closes
+//! the connections to it and returns its queued exchanges to their fronts.
 
 use std::time::Duration;
 
--- a/crates/daemon/src/gateway/instance_choice.rs
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -46,7 +46,7 @@
     /// Maximum age of the data that it reads; `None` if it reads nothing.
     pub staleness: Option<Duration>,
     /// An instance that has just failed to run it.
-    pub passed_over: Option<&'a InstanceName>,
+    pub excluded_instance: Option<&'a InstanceName>,
     /// The group's pools; exchanges queued there run before it.
     pub pools: &'a HashMap<InstanceName, Pool>,
 }
@@ -61,8 +61,8 @@
     io: &Io,
 ) -> InstanceChoice {
     let catalog = io.context.catalog.load();
-    let board = io.context.statuses.group(group);
-    let known = board.read().expect("a holder of the status lock panicked");
+    let group_statuses = io.context.statuses.group(group);
+    let known = group_statuses.read().expect("a thread panicked while it held the status lock");
     let primary = io.context.leader(group, configured);
     let synchronous = configured.synchronous_replicas;
     let (replication, lifetime) = (configured.replication(), io.context.evidence_lifetime());
@@ -164,7 +164,7 @@
         };
         let is_running = !io.context.address_occupants.is_displaced(configured, instance);
         let takes_work = catalog.accepts_work(instance);
-        qualifies && is_running && takes_work && needs.passed_over != Some(&instance.name)
+        qualifies && is_running && takes_work && needs.excluded_instance != Some(&instance.name)
     };
     let queued = |name| needs.pools.get(name).map_or(0, |pool| pool.waiting() as u32);
     let readers: Vec<Reader> = configured
@@ -184,7 +184,7 @@
                 service_time: record.mean_service_time,
                 running: record.in_flight() + queued(&instance.name),
                 slots: instance.slots,
-                is_unresponsive: record.in_doubt,
+                is_unresponsive: record.is_unresponsive,
             }
         })
         .collect();
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -14,7 +14,7 @@
 use super::{Gateway, GroupGateway};
 use crate::event::Io;
 
-/// How long to remember a lease whose front was told that its exchange has not run. The exchange
+/// How long to remember a lease whose exchange was reported to its front as not run. The exchange
 /// may still arrive late. This is longer than the longest network outage that a TCP connection
 /// survives: the kernel stops retransmitting after about 15 minutes.
 const NOT_RUN_RETENTION: Duration = Duration::from_secs(1_200);
@@ -47,7 +47,7 @@
         runs || self.groups.values().any(waits)
     }
 
-    /// Records that the front of a lease is told that its exchange has not run, so the exchange
+    /// Records that the exchange of a lease is reported to its front as not run, so the exchange
     /// must not run later either. It may still arrive on an older link that this node has not read
     /// to its end; it is then dropped.
     pub fn mark_not_run(&mut self, lease: &LeaseId, io: &mut Io) {
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -67,7 +67,7 @@
     servers: Slab<Server>,
     groups: HashMap<GroupName, GroupGateway>,
     leases: HashMap<LeaseId, usize>,
-    /// Leases whose fronts were told that the exchange has not run, and when they were told.
+    /// Leases whose exchange was reported to their front as not run, and when that was reported.
     reported_not_run: HashMap<LeaseId, Instant>,
     applied_snapshot: Option<Arc<OwnershipSnapshot>>,
     zone_drains: ZoneDrains,
@@ -206,7 +206,7 @@
                     self.on_server_lost(key, Fault::Deadline, io);
                 }
             }
-            self.query_instances_in_doubt(&name, io);
+            self.query_unresponsive_instances(&name, io);
             self.confirm_waiting_commits(&name, io);
             self.advance_group(&name, io);
         }
--- a/crates/daemon/src/gateway/ownership.rs
+++ b/crates/daemon/src/gateway/ownership.rs
@@ -17,7 +17,7 @@
 use crate::event::Io;
 use crate::ownership::OwnershipSnapshot;
 
-/// Tells the front which node owns the instance.
+/// Informs the front which node owns the instance.
 pub fn redirect(exchange: &Exchange, owner: Option<NodeName>, io: &mut Io) {
     notify_front(&exchange.lease, 0, LeaseEvent::NotOwner { owner }, io);
 }
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -20,8 +20,8 @@
 use super::{Gateway, notify_front, ownership, zone_drains};
 use crate::event::Io;
 
-/// The stake of an exchange that has not been sent: nothing can be lost or in doubt.
-const NOTHING_AT_STAKE: ExchangeImpact =
+/// The impact of an exchange that has not been sent: nothing can be lost or in doubt.
+const UNSENT_IMPACT: ExchangeImpact =
     ExchangeImpact { effect: Effect::Read, continues_transaction: false };
 
 /// An exchange that waits for a qualifying instance.
@@ -60,7 +60,7 @@
         let needs = StatementNeeds {
             arrived: self.arrived,
             staleness: self.need.staleness,
-            passed_over: self.need.excluded_instance.as_ref(),
+            excluded_instance: self.need.excluded_instance.as_ref(),
             pools,
         };
         let mut access = self.exchange.access.clone();
@@ -100,7 +100,7 @@
     }
 
     fn refuse_overdue(self, io: &mut Io) {
-        let code = failure_code(NOTHING_AT_STAKE, Progress::AtFront, Fault::Deadline);
+        let code = failure_code(UNSENT_IMPACT, Progress::AtFront, Fault::Deadline);
         let refusal = Refusal::new(code, "no instance could take the statement");
         notify_front(&self.exchange.lease, 0, LeaseEvent::Refused(refusal), io);
     }
--- a/crates/daemon/src/gateway/pool.rs
+++ b/crates/daemon/src/gateway/pool.rs
@@ -1,7 +1,7 @@
 //! The connection pool of one instance: the state of each connection, and the scheduler that
 //! assigns queued exchanges to idle connections.
 //!
-//! [`sizing`] decides how many connections the pool opens, keeps and closes.
+//! `sizing` decides how many connections the pool opens, keeps and closes.
 
 mod recent_use;
 mod sizing;
--- a/crates/daemon/src/gateway/pool/recent_use.rs
+++ b/crates/daemon/src/gateway/pool/recent_use.rs
@@ -1,4 +1,5 @@
-//! The recent peak of connections of a pool that were in use at the same time.
+//! The recent peak of connections of a pool that were in use at the same time. The pool keeps so
+//! many connections open.
 
 use std::time::{Duration, Instant};
 
--- a/crates/daemon/src/gateway/pool/sizing.rs
+++ b/crates/daemon/src/gateway/pool/sizing.rs
@@ -169,7 +169,7 @@
         self.idle.iter().filter(has_expired).take(surplus).copied().collect()
     }
 
-    /// Connections that have not been established within [`CONNECT_TIMEOUT`].
+    /// Connections that have not been established within `CONNECT_TIMEOUT`.
     pub fn overdue(&self, now: Instant) -> Vec<usize> {
         let late = |pooled: &PooledConnection| match &pooled.state {
             State::Connecting { since } => now.saturating_duration_since(*since) > CONNECT_TIMEOUT,
--- a/crates/daemon/src/gateway/running_exchange.rs
+++ b/crates/daemon/src/gateway/running_exchange.rs
@@ -13,7 +13,7 @@
 use kestrellock_protocol::backend::{BackendProtocol, Failure, Passage, Reply, ReplyKind, Report};
 
 /// What is lost or in doubt if the exchange fails.
-pub fn stake_of(exchange: &Exchange) -> ExchangeImpact {
+pub fn impact_of(exchange: &Exchange) -> ExchangeImpact {
     let effect = match (&exchange.access, exchange.may_commit) {
         (Access::Read { .. } | Access::PrimaryRead { .. }, _) => Effect::Read,
         (Access::Write { .. }, false) => Effect::InsideTransaction,
@@ -54,7 +54,7 @@
     /// Lease that the exchange belongs to.
     pub lease: LeaseId,
     /// What is lost or in doubt if it fails.
-    pub stake: ExchangeImpact,
+    pub impact: ExchangeImpact,
     /// When it was sent.
     pub sent: Instant,
     /// Latest time to answer the client.
@@ -85,7 +85,7 @@
     pub fn new(exchange: &Exchange, asks_position: bool, bytes: usize, deadline: Instant) -> Self {
         Self {
             lease: exchange.lease.clone(),
-            stake: stake_of(exchange),
+            impact: impact_of(exchange),
             sent: Instant::now(),
             deadline,
             bytes,
@@ -177,7 +177,7 @@
         let segment = std::mem::take(&mut self.segment);
         // An error rolls back the implicit transaction; earlier explicit commits remain.
         let ended = self.transaction == TransactionState::Idle && !segment.failed;
-        let implicit = ended && self.stake.effect == Effect::MayCommit;
+        let implicit = ended && self.impact.effect == Effect::MayCommit;
         self.has_committed |= segment.committed || implicit;
         self.ready_remaining = self.ready_remaining.saturating_sub(1);
         if self.ready_remaining > 0 {
@@ -209,7 +209,7 @@
     /// first exchange of a lease, this is a refusal upon which the front tries another instance.
     pub fn final_event(&mut self, instance: &InstanceName) -> LeaseEvent {
         let starts =
-            !self.stake.continues_transaction && !self.has_committed && !self.is_partly_forwarded;
+            !self.impact.continues_transaction && !self.has_committed && !self.is_partly_forwarded;
         let idle = self.transaction == TransactionState::Idle;
         if starts
             && idle
@@ -225,7 +225,7 @@
     /// The refusal that says why the instance has not run the exchange; `None` if it may have run.
     fn not_run_refusal(&self) -> Option<Refusal> {
         let (code, detail) = match self.first_failure? {
-            Failure::ReadOnly if self.stake.effect != Effect::Read => {
+            Failure::ReadOnly if self.impact.effect != Effect::Read => {
                 (ResultCode::NotPrimary, "the instance is read-only")
             }
             Failure::Busy => (ResultCode::BackendBusy, "the instance has no room"),
@@ -267,13 +267,13 @@
         } else {
             Progress::Sent
         };
-        let stake = match self.is_answered() && !idle && !self.has_committed {
+        let impact = match self.is_answered() && !idle && !self.has_committed {
             // The transaction was still open after the answer: closing the connection rolls it
             // back.
-            true => ExchangeImpact { effect: Effect::InsideTransaction, ..self.stake },
-            false => self.stake,
+            true => ExchangeImpact { effect: Effect::InsideTransaction, ..self.impact },
+            false => self.impact,
         };
-        let code = failure_code(stake, progress, fault);
+        let code = failure_code(impact, progress, fault);
         LeaseEvent::Refused(Refusal::new(code, fault_detail(fault)).at(instance))
     }
 }
--- a/crates/daemon/src/gateway/server.rs
+++ b/crates/daemon/src/gateway/server.rs
@@ -1,7 +1,7 @@
 //! A connection to an instance. It starts up, runs one exchange, status query or probe at a time,
 //! and sends the events of a lease to its front in order.
 //!
-//! [`replies`] processes the messages of the instance.
+//! `replies` processes the messages of the instance.
 
 mod replies;
 
@@ -22,7 +22,7 @@
 
 use super::confirmation::Commit;
 use super::notify_front;
-use super::running_exchange::{RunningExchange, stake_of};
+use super::running_exchange::{RunningExchange, impact_of};
 use crate::event::{EventSource, Io, token};
 use crate::metrics::ConnectionEvent;
 use crate::net::connect::connect_from;
@@ -312,7 +312,7 @@
     /// Refuses an exchange of this connection's lease without sending it. The caller must end the
     /// lease.
     pub fn refuse_unsent(&mut self, exchange: &Exchange, fault: Fault, io: &mut Io) {
-        let code = failure_code(stake_of(exchange), Progress::Queued, fault);
+        let code = failure_code(impact_of(exchange), Progress::Queued, fault);
         let event = LeaseEvent::Refused(Refusal::new(code, "the statement was not sent"));
         notify_front(&exchange.lease, self.next_sequence, event, io);
     }
--- a/crates/daemon/src/gateway/server/replies.rs
+++ b/crates/daemon/src/gateway/server/replies.rs
@@ -1,4 +1,5 @@
-//! Processes the messages that a connection receives from its instance.
+//! Processes the messages that a connection receives from its instance: completes startup, forwards
+//! answers to the front, and derives whether the running exchange may have committed.
 
 use std::time::Instant;
 
@@ -215,7 +216,7 @@
     /// kept whole until the commit is confirmed.
     fn forward_partial_answer(&mut self, io: &mut Io) {
         let State::Running(running) = &mut self.state else { return };
-        if running.stake.effect == Effect::MayCommit
+        if running.impact.effect == Effect::MayCommit
             || running.answer.len() < FORWARD_THRESHOLD_BYTES
         {
             return;
--- a/crates/daemon/src/gateway/status_queries.rs
+++ b/crates/daemon/src/gateway/status_queries.rs
@@ -72,8 +72,9 @@
 }
 
 impl Gateway {
-    /// Queries instances that are in doubt and have open connections. An answer clears the doubt.
-    pub(super) fn query_instances_in_doubt(&mut self, name: &GroupName, io: &mut Io) {
+    /// Queries unresponsive instances that have open connections. An answer shows that the instance
+    /// responds again.
+    pub(super) fn query_unresponsive_instances(&mut self, name: &GroupName, io: &mut Io) {
         let targets = io.context.statuses.take_due_status_queries(name, io.now);
         let Some(state) = self.groups.get_mut(name).filter(|_| !targets.is_empty()) else { return };
         for instance in targets {
--- a/crates/daemon/src/shared/exchange_record.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -1,4 +1,6 @@
-//! What this node's own exchanges and connections with one instance show about it.
+//! What this node's own exchanges and connections with one instance show about it: its position,
+//! term and response time, and the signals from which the node decides whether to avoid or suspect
+//! the instance.
 
 use std::time::{Duration, Instant};
 
@@ -7,11 +9,11 @@
 use kestrellock_core::routing::Role;
 use kestrellock_core::suspicion::{AbandonedRequests, HealthSignals};
 
-/// Time between two status queries to an instance in doubt. Reads avoid such an instance, so
+/// Interval between status queries to an unresponsive instance. Reads avoid such an instance, so
 /// without queries nothing would show that it responds again. A query uses a connection slot for a
 /// moment. Half a second is a tenth of the time until an unresponsive instance is replaced or
 /// returns.
-const DOUBT_QUERY_INTERVAL: Duration = Duration::from_millis(500);
+const STATUS_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The newest response has a weight of one in this many in the mean service time.
 const SERVICE_TIME_WEIGHT: u32 = 8;
@@ -41,9 +43,9 @@
     /// Moving average of its response time.
     pub mean_service_time: Option<Duration>,
     /// Whether an exchange or a connection has failed since it last responded.
-    pub in_doubt: bool,
-    /// When it was last sent a status query because it is in doubt.
-    last_doubt_query: Option<Instant>,
+    pub is_unresponsive: bool,
+    /// When it was last sent a status query because it is unresponsive.
+    last_status_query: Option<Instant>,
     in_flight: Vec<InFlight>,
     abandoned: AbandonedRequests,
     abandoned_commits: AbandonedRequests,
@@ -106,16 +108,16 @@
         }
     }
 
-    /// Whether a status query is due, because the instance is in doubt.
+    /// Whether a status query is due, because the instance is unresponsive.
     pub(super) fn is_status_query_due(&self, now: Instant) -> bool {
-        let last_query = self.last_doubt_query;
-        self.in_doubt
-            && last_query.is_none_or(|last_query| now >= last_query + DOUBT_QUERY_INTERVAL)
+        let last_query = self.last_status_query;
+        self.is_unresponsive
+            && last_query.is_none_or(|last_query| now >= last_query + STATUS_QUERY_INTERVAL)
     }
 
-    /// Records that a status query is sent because the instance is in doubt.
+    /// Records that a status query is sent because the instance is unresponsive.
     pub(super) fn on_status_query(&mut self, now: Instant) {
-        self.last_doubt_query = Some(now);
+        self.last_status_query = Some(now);
     }
 
     /// Highest term that it reported.
@@ -135,7 +137,7 @@
 
     /// Records its replication status. The instance responds, so earlier failures no longer count.
     pub(super) fn on_replication_status(&mut self, role: Role, term: Term) {
-        self.in_doubt = false;
+        self.is_unresponsive = false;
         if role == Role::Primary {
             self.term = self.term.max(Some(term));
             self.on_led_term(term);
@@ -152,7 +154,7 @@
                 self.on_response(elapsed, response.position, response.at);
             }
             (None, ended) => {
-                self.in_doubt = true;
+                self.is_unresponsive = true;
                 if let Some(ended) = ended {
                     self.on_abandoned(ended, Instant::now());
                 }
@@ -162,7 +164,7 @@
 
     /// Records the outcome of a connection to it.
     pub(super) fn on_connection(&mut self, outcome: ConnectionOutcome) {
-        self.in_doubt = !matches!(outcome, ConnectionOutcome::Established(_));
+        self.is_unresponsive = !matches!(outcome, ConnectionOutcome::Established(_));
         match outcome {
             ConnectionOutcome::Established(position) => {
                 self.refused_since = None;
@@ -192,7 +194,7 @@
     }
 
     fn on_response(&mut self, elapsed: Duration, position: Option<Position>, at: Instant) {
-        self.in_doubt = false;
+        self.is_unresponsive = false;
         self.refused_since = None;
         self.abandoned.on_answer();
         self.last_response = Some(at);
--- a/crates/daemon/src/shared/revoked_evidence.rs
+++ b/crates/daemon/src/shared/revoked_evidence.rs
@@ -23,7 +23,7 @@
         group: &GroupName,
         id: ReplacementId,
         node: &NodeName,
-        witness: RestartReport,
+        report: RestartReport,
     ) {
         let mut groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
         let reports =
@@ -32,7 +32,7 @@
             *reports = (id, RestartReports::default());
         }
         if reports.0 == id {
-            reports.1.add(node, witness);
+            reports.1.add(node, report);
         }
     }
 
@@ -40,6 +40,6 @@
     pub fn for_replacement(&self, group: &GroupName, id: ReplacementId) -> Option<RestartReports> {
         let groups = self.groups.lock().unwrap_or_else(PoisonError::into_inner);
         let reports = groups.get(group).filter(|(newest, _)| *newest == id);
-        reports.map(|(_, witnesses)| witnesses.clone())
+        reports.map(|(_, reports)| reports.clone())
     }
 }
--- a/crates/daemon/tests/statuses.rs
+++ b/crates/daemon/tests/statuses.rs
@@ -61,7 +61,7 @@
     fn is_in_doubt(&self, instance: &str) -> bool {
         let statuses = self.table.group(&self.group);
         let statuses = statuses.read().expect("no thread panicked");
-        statuses.exchange_records.get(&name(instance)).is_some_and(|record| record.in_doubt)
+        statuses.exchange_records.get(&name(instance)).is_some_and(|record| record.is_unresponsive)
     }
 }
 
--- a/crates/lab/tests/silent_connections.rs
+++ b/crates/lab/tests/silent_connections.rs
@@ -137,7 +137,7 @@
     let platform = start();
     let network = platform.network.as_ref().expect("relays");
     let exposed = network.expose_tcp(&store_relay(), platform.store.address).expect("exposed");
-    let store = KeyStore::new(&exposed.to_string()).with_call_limit(CALL_LIMIT);
+    let store = KeyStore::new(&exposed.to_string()).with_call_timeout(CALL_LIMIT);
     std::thread::scope(|scope| {
         for _ in 0..CALLS_AT_ONCE {
             scope.spawn(|| {
--- a/crates/lab/tests/store_contract.rs
+++ b/crates/lab/tests/store_contract.rs
@@ -20,7 +20,7 @@
             Box::new(EtcdStore::new(vec![server.endpoint()]).with_call_timeout(CALL_LIMIT))
         }
         Dialect::Platform => {
-            Box::new(KeyStore::new(&server.endpoint()).with_call_limit(CALL_LIMIT))
+            Box::new(KeyStore::new(&server.endpoint()).with_call_timeout(CALL_LIMIT))
         }
     }
 }
--- a/crates/lab/tests/store_copy.rs
+++ b/crates/lab/tests/store_copy.rs
@@ -115,7 +115,7 @@
         view.all_keys_revision, first.all_keys_revision,
         "what it has not followed is not new"
     );
-    assert_eq!(mirror.complete_revision().expect("an answer"), Some(view.revision));
+    assert_eq!(mirror.revision_if_complete().expect("an answer"), Some(view.revision));
 }
 
 /// What happened: each node that started or stopped woke all others: 49 that were restarted one after the other
