--- a/crates/core/src/classify/settings.rs
+++ b/crates/core/src/classify/settings.rs
@@ -1,5 +1,6 @@
-//! The effect of `SET`, `RESET` and `SHOW` on a session that shares connections: decides whether the
-//! statement is a read, changes a setting that can be replayed on other connections, or is refused.
+//! The effect of `SET`, `RESET` and `SHOW` on a session that shares connections: decides whether
+//! the statement is a read, changes a setting that can be replayed on other connections, or is
+//! refused.
 
 use sqlparser::ast::{ContextModifier, Ident, ObjectName, ObjectNamePart, Set};
 
--- a/crates/core/src/credential_evidence.rs
+++ b/crates/core/src/credential_evidence.rs
@@ -183,11 +183,11 @@
 
     /// The node to send a request to now, if any, and the id of that request.
     pub fn next(&mut self, view: &RequesterView) -> Option<(NodeName, EvidenceRequestId)> {
-        if let Some(asked) = &self.open {
-            if view.now < asked.at + ANSWER_TIMEOUT {
+        if let Some(request) = &self.open {
+            if view.now < request.at + ANSWER_TIMEOUT {
                 return None;
             }
-            let node = asked.node.clone();
+            let node = request.node.clone();
             self.skip(node, view.now);
             self.open = None;
         }
@@ -214,16 +214,16 @@
 
     /// Handles an answer. Returns when its request was sent, if that request is still open.
     pub fn on_answer(&mut self, node: &NodeName, id: EvidenceRequestId) -> Option<Instant> {
-        let matches = |asked: &mut OpenRequest| asked.node == *node && asked.id == id;
-        self.open.take_if(matches).map(|asked| asked.at)
+        let matches = |request: &mut OpenRequest| request.node == *node && request.id == id;
+        self.open.take_if(matches).map(|request| request.at)
     }
 
-    /// Handles the evidence in an answer: the node that was asked at `asked` has evidence for the
-    /// moment `newest`. A node with stale evidence is skipped from then on.
-    pub fn on_evidence(&mut self, node: &NodeName, asked: Instant, newest: Option<Instant>) {
-        match newest.is_some_and(|newest| asked < newest + self.limit.stale_age()) {
-            true => self.last_useful = Some(asked),
-            false => self.skip(node.clone(), asked),
+    /// Handles the evidence in an answer: the node to which a request was sent at `requested_at`
+    /// has evidence for the moment `newest`. A node with stale evidence is skipped from then on.
+    pub fn on_evidence(&mut self, node: &NodeName, requested_at: Instant, newest: Option<Instant>) {
+        match newest.is_some_and(|newest| requested_at < newest + self.limit.stale_age()) {
+            true => self.last_useful = Some(requested_at),
+            false => self.skip(node.clone(), requested_at),
         }
     }
 
--- a/crates/core/src/exchange_state.rs
+++ b/crates/core/src/exchange_state.rs
@@ -12,8 +12,9 @@
 pub enum Effect {
     /// Changes nothing.
     Read,
-    /// Changes data inside a transaction that it cannot commit. Once the client has been told that
-    /// the transaction is lost, nothing more is sent on its server lease, so no commit can follow.
+    /// Changes data inside a transaction that it cannot commit. Once the loss of the transaction
+    /// has been reported to the client, nothing more is sent on its server lease, so no commit can
+    /// follow.
     InsideTransaction,
     /// May commit.
     MayCommit,
@@ -46,7 +47,7 @@
     InstanceConnectionLost,
     /// A higher term was reported, so the primary that ran the exchange has been replaced.
     Superseded,
-    /// The gateway's node died, or the link to it broke.
+    /// The gateway's node crashed, or the link to it broke.
     GatewayLost,
     /// The gateway has not answered within the deadline. It may be paused and resume later.
     GatewaySilent,
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -15,22 +15,22 @@
     /// Term that it follows or leads.
     pub term: Term,
     /// When the query was sent.
-    pub asked: Instant,
+    pub queried_at: Instant,
 }
 
 /// The latest time at which a majority is known to have followed `term`; `None` if there was none.
 pub fn confirmed_at(
     term: Term,
-    sightings: impl IntoIterator<Item = TermReport>,
+    reports: impl IntoIterator<Item = TermReport>,
     majority: usize,
 ) -> Option<Instant> {
-    let mut asked: Vec<Instant> = sightings
+    let mut query_times: Vec<Instant> = reports
         .into_iter()
-        .filter(|sighting| sighting.term == term)
-        .map(|sighting| sighting.asked)
+        .filter(|report| report.term == term)
+        .map(|report| report.queried_at)
         .collect();
-    asked.sort_unstable_by(|one, other| other.cmp(one));
-    asked.get(majority.checked_sub(1)?).copied()
+    query_times.sort_unstable_by(|one, other| other.cmp(one));
+    query_times.get(majority.checked_sub(1)?).copied()
 }
 
 /// Whether the primary of `term` may receive a write now.
--- a/crates/core/src/membership/prober.rs
+++ b/crates/core/src/membership/prober.rs
@@ -1,6 +1,6 @@
-//! Chooses the members to probe and tracks the probes in progress. A member fails a probe only if it
-//! answers neither this node nor the members that ping it on this node's behalf, so that a single
-//! broken path does not cause a suspicion.
+//! Chooses the members to probe and tracks the probes in progress. A member fails a probe only if
+//! it answers neither this node nor the members that ping it on this node's behalf, so that a
+//! single broken path does not cause a suspicion.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -115,7 +115,7 @@
     UnconfirmedInDoubt = 1602, "08007", InDoubt;
     /// The gateway that processed the write stopped answering.
     GatewaySilentInDoubt = 1603, "08007", InDoubt;
-    /// The gateway that processed the write died, or the link to it broke.
+    /// The gateway that processed the write crashed, or the link to it broke.
     GatewayLostInDoubt = 1604, "08007", InDoubt;
     /// The primary was replaced before the commit was confirmed.
     SupersededInDoubt = 1605, "08007", InDoubt;
--- a/crates/core/src/primary_evidence.rs
+++ b/crates/core/src/primary_evidence.rs
@@ -65,7 +65,7 @@
 struct ReplicaReport {
     term: Term,
     /// When the query was sent.
-    asked: Instant,
+    queried_at: Instant,
     /// When the answer arrived.
     answered: Instant,
 }
@@ -117,30 +117,30 @@
         self.highest_led_otherwise = self.highest_led_otherwise.max(term);
     }
 
-    /// A replica answered at `answered` a query that was sent at `asked`.
+    /// A replica answered at `answered` a query that was sent at `queried_at`.
     pub fn on_replica_report(
         &mut self,
         replica: &InstanceName,
         terms: ReplicaTerms,
-        asked: Instant,
+        queried_at: Instant,
         answered: Instant,
     ) {
         self.advance_term(terms.term);
-        let report = ReplicaReport { term: terms.supported_term(), asked, answered };
+        let report = ReplicaReport { term: terms.supported_term(), queried_at, answered };
         if report.term < self.term {
             self.replicas.remove(replica);
             return;
         }
         let known = self.replicas.entry(replica.clone()).or_insert(report);
-        if known.asked <= asked {
+        if known.queried_at <= queried_at {
             *known = report;
         }
     }
 
-    /// The store, queried at `asked`, showed no replacement of the primary that this node uses,
-    /// neither running nor finished.
-    pub fn on_no_replacement(&mut self, asked: Instant) {
-        self.no_replacement_at = self.no_replacement_at.max(Some(asked));
+    /// The store, queried at `queried_at`, showed no replacement of the primary that this node
+    /// uses, neither running nor finished.
+    pub fn on_no_replacement(&mut self, queried_at: Instant) {
+        self.no_replacement_at = self.no_replacement_at.max(Some(queried_at));
     }
 
     /// Whether the replica's last report is evidence for `term` that covers arrivals until `now`.
@@ -152,12 +152,12 @@
         now: Instant,
     ) -> bool {
         let report = self.replicas.get(replica).filter(|report| report.term <= term);
-        report.is_some_and(|report| now <= report.asked + lifetime)
+        report.is_some_and(|report| now <= report.queried_at + lifetime)
     }
 
     /// When the request for the newest evidence was sent.
     pub fn newest(&self) -> Option<Instant> {
-        let newest_report = self.replicas.values().map(|report| report.asked).max();
+        let newest_report = self.replicas.values().map(|report| report.queried_at).max();
         self.last_commit.max(newest_report)
     }
 
@@ -185,9 +185,9 @@
     }
 
     /// Discards the evidence because a connection to the group broke: the process that gave the
-    /// evidence may be gone. A primary that crashed may return and serve reads while a replacement
-    /// is running that did not wait for evidence to expire because the primary refused connections.
-    /// New evidence counts.
+    /// evidence may have terminated. A primary that crashed may return and serve reads while a
+    /// replacement is running that did not wait for evidence to expire because the primary refused
+    /// connections. New evidence counts.
     pub fn discard(&mut self) {
         self.last_commit = None;
         self.replicas.clear();
@@ -238,7 +238,9 @@
     /// that are not notified of replacements.
     pub fn confirms_commit(&self, term: Term, group: Replication, answered: Instant) -> bool {
         self.may_cover(term)
-            && self.confirmed_by_replicas_at(term, group).is_some_and(|asked| asked >= answered)
+            && self
+                .confirmed_by_replicas_at(term, group)
+                .is_some_and(|queried_at| queried_at >= answered)
     }
 
     /// When the replicas were queried whose reports show that there is no other primary.
@@ -275,7 +277,8 @@
     /// Whether the store's confirmation shows that no replacement can have released the replica
     /// before it answered.
     fn is_confirmed_by_store(&self, report: &ReplicaReport) -> bool {
-        self.no_replacement_at.is_some_and(|asked| report.answered <= asked + MIN_PROMOTION_TIME)
+        self.no_replacement_at
+            .is_some_and(|queried_at| report.answered <= queried_at + MIN_PROMOTION_TIME)
     }
 
     /// Of the `count` most recently queried replicas that are evidence for `term`, the time of the
@@ -288,9 +291,9 @@
     ) -> Option<Instant> {
         let reports =
             self.replicas.values().filter(|report| report.term <= term && accepts(report));
-        let mut asked: Vec<Instant> = reports.map(|report| report.asked).collect();
-        asked.sort_unstable_by(|left, right| right.cmp(left));
-        asked.get(count.checked_sub(1)?).copied()
+        let mut query_times: Vec<Instant> = reports.map(|report| report.queried_at).collect();
+        query_times.sort_unstable_by(|left, right| right.cmp(left));
+        query_times.get(count.checked_sub(1)?).copied()
     }
 }
 
@@ -319,8 +322,8 @@
     }
 }
 
-/// Tracks whether a session's transaction has written, to tell which answers acknowledge a commit
-/// of writes.
+/// Tracks whether a session's transaction has written, to determine which answers acknowledge a
+/// commit of writes.
 ///
 /// Only such a commit is evidence. A commit without writes waits for no replica, so an old primary
 /// acknowledges it as well.
@@ -331,7 +334,7 @@
 }
 
 impl TransactionWrites {
-    /// An exchange was answered; `open` tells whether a transaction is open after it. Returns
+    /// Handles the answer to an exchange; `open` is whether a transaction is open after it. Returns
     /// whether the answer acknowledges a commit of writes.
     pub fn on_answer(&mut self, class: StatementClass, failed: bool, open: bool) -> bool {
         let writes = class == StatementClass::Write && !failed;
--- a/crates/core/src/primary_samples.rs
+++ b/crates/core/src/primary_samples.rs
@@ -18,7 +18,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Sample {
-    asked: Instant,
+    queried_at: Instant,
     position: Position,
 }
 
@@ -31,8 +31,8 @@
 }
 
 impl PrimarySamples {
-    /// The primary reported `position` in answer to a query that was sent at `asked`.
-    pub fn record(&mut self, asked: Instant, position: Position) {
+    /// The primary reported `position` in answer to a query that was sent at `queried_at`.
+    pub fn record(&mut self, queried_at: Instant, position: Position) {
         if position.term < self.term {
             return;
         }
@@ -46,8 +46,8 @@
             self.highest = Some(position);
         }
         match self.samples.back() {
-            Some(last) if asked < last.asked + SAMPLE_INTERVAL => {}
-            _ => self.samples.push_back(Sample { asked, position }),
+            Some(last) if queried_at < last.queried_at + SAMPLE_INTERVAL => {}
+            _ => self.samples.push_back(Sample { queried_at, position }),
         }
         if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
@@ -58,7 +58,8 @@
     /// a primary for which evidence covers arrivals until `covered_until`.
     pub fn covering(&self, moment: Instant, covered_until: Instant) -> Option<Position> {
         let mut samples = self.samples.iter();
-        let sample = samples.find(|sample| sample.asked >= moment && sample.asked <= covered_until);
+        let sample = samples
+            .find(|sample| sample.queried_at >= moment && sample.queried_at <= covered_until);
         sample.map(|sample| sample.position)
     }
 
@@ -74,6 +75,6 @@
 
     /// When the query for the newest position was sent.
     pub fn newest(&self) -> Option<Instant> {
-        self.samples.back().map(|sample| sample.asked)
+        self.samples.back().map(|sample| sample.queried_at)
     }
 }
--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -47,7 +47,7 @@
     ended: BTreeSet<InstanceName>,
     /// Other members that report that they are primary.
     other_primaries: OtherPrimaries,
-    /// The intent that was last submitted to the store; the caller retries the write.
+    /// The intent that was last submitted to the store; the coordinator retries the write.
     submitted: Option<Intent>,
     /// The intent that is in the store.
     recorded: Option<Intent>,
@@ -306,7 +306,7 @@
 
     /// How many replicas must be stopped, whether or not the old primary is one of them. Never more
     /// than still have their logs: the attempt does not wait for an old primary that is permanently
-    /// gone or has lost its log as well.
+    /// lost or has lost its log as well.
     fn required_stops(&self) -> usize {
         let replicas = self.replicas();
         let other_replicas = match self.old_primary() {
--- a/crates/core/src/promotion/attempt/events.rs
+++ b/crates/core/src/promotion/attempt/events.rs
@@ -50,8 +50,8 @@
                     false => self.releases.on_released_early(&instance),
                 }
             }
-            Event::Incarnations { by_instance, asked } => {
-                self.incarnations.on_stored(by_instance, asked)
+            Event::Incarnations { by_instance, requested_at } => {
+                self.incarnations.on_stored(by_instance, requested_at)
             }
             Event::IncarnationsUnavailable => self.incarnations.on_unavailable(now),
             Event::Refilled(refilled) => self.incarnations.on_refilled(refilled),
@@ -104,9 +104,9 @@
             self.stopped.remove(name);
             let was_promoted = self.chosen.as_ref() == Some(name);
             if was_promoted && !matches!(self.phase, Phase::Settling { .. } | Phase::Over) {
-                // The process that was to be promoted is gone, and with it the log for which it was
-                // chosen. It may have been primary, so the attempt must not end here: nodes would
-                // let the old primary acknowledge commits after a promotion.
+                // The process that was to be promoted has terminated, and the log for which it was
+                // chosen is lost. It may have been primary, so the attempt must not end here: nodes
+                // would let the old primary acknowledge commits after a promotion.
                 self.discard_choice(now);
             }
         }
--- a/crates/core/src/promotion/attempt/incarnations.rs
+++ b/crates/core/src/promotion/attempt/incarnations.rs
@@ -38,14 +38,14 @@
 }
 
 impl KnownIncarnations {
-    /// The store answered a request that was sent at `asked`.
+    /// The store answered a request that was sent at `requested_at`.
     pub fn on_stored(
         &mut self,
         stored: BTreeMap<InstanceName, InstanceIncarnation>,
-        asked: Instant,
+        requested_at: Instant,
     ) {
         self.stored = stored;
-        self.requested_at = self.requested_at.max(Some(asked));
+        self.requested_at = self.requested_at.max(Some(requested_at));
         self.pending_since = None;
     }
 
@@ -82,7 +82,7 @@
         commands: &mut Vec<Command>,
     ) -> bool {
         let since = self.stopped_since.unwrap_or(now);
-        if self.incarnations.requested_at.is_some_and(|asked| asked >= since) {
+        if self.incarnations.requested_at.is_some_and(|requested_at| requested_at >= since) {
             return true;
         }
         let delay = self.timing.store_retry_interval;
@@ -90,7 +90,7 @@
         let is_waiting = self
             .incarnations
             .pending_since
-            .is_some_and(|asked| now < asked + STORE_REQUEST_TIMEOUT);
+            .is_some_and(|requested_at| now < requested_at + STORE_REQUEST_TIMEOUT);
         if !is_waiting && !is_early {
             self.incarnations.pending_since = Some(now);
             commands.push(Command::ReadIncarnations);
--- a/crates/core/src/promotion/known_instances.rs
+++ b/crates/core/src/promotion/known_instances.rs
@@ -78,11 +78,11 @@
     }
 
     /// An instance of its group reported its status.
-    fn on_status(&mut self, instance: &InstanceName, status: &ReplicationStatus, asked: Instant) {
+    fn on_status(&mut self, instance: &InstanceName, status: &ReplicationStatus, sent: Instant) {
         let Some(refill) = &mut self.refill else { return };
         if self.instance.name != *instance {
-            refill.on_primary(status, asked);
-        } else if refill.is_complete(status, asked) {
+            refill.on_primary(status, sent);
+        } else if refill.is_complete(status, sent) {
             self.refill = None;
         }
     }
@@ -179,16 +179,16 @@
         self.groups.get(group).is_some_and(|known| known.knows_restarts(now))
     }
 
-    /// An instance reported its status in answer to a query that was sent at `asked`.
+    /// An instance reported its status in answer to a query that was sent at `sent`.
     pub fn on_status(
         &mut self,
         group: &GroupName,
         instance: &InstanceName,
         status: &ReplicationStatus,
-        asked: Instant,
+        sent: Instant,
     ) {
         let Some(known) = self.groups.get_mut(group) else { return };
-        known.instances.values_mut().for_each(|known| known.on_status(instance, status, asked));
+        known.instances.values_mut().for_each(|known| known.on_status(instance, status, sent));
     }
 
     /// The instances whose status has to be queried to find out when the restarted ones have
--- a/crates/core/src/promotion/needs.rs
+++ b/crates/core/src/promotion/needs.rs
@@ -31,7 +31,7 @@
     /// Whether there is still a reason for a replacement. An unfinished attempt is completed in any
     /// case.
     pub is_current: bool,
-    /// Whether an attempt was begun earlier, so that replicas may be stopped.
+    /// Whether an attempt was started earlier, so that replicas may be stopped.
     pub has_begun: bool,
     /// Whether the coordinator of the earlier attempt may have sent a promotion.
     pub may_have_promoted: bool,
@@ -171,8 +171,7 @@
     let current = current_need(name, group, history, input);
     let is_delayed = history.retry_not_before.is_some_and(|until| now < until);
     match (input.view.intents.get(name), current) {
-        // The attempt was begun by this node, or by a coordinator that has failed: it has to be
-        // completed.
+        // This node, or a coordinator that has failed, started the attempt: it has to be completed.
         (Some(intent), current) => Some(Need {
             reason: current.as_ref().map_or(Reason::Unfinished, |need| need.reason),
             old_primary: intent.former.clone(),
--- a/crates/core/src/promotion/refill.rs
+++ b/crates/core/src/promotion/refill.rs
@@ -28,24 +28,24 @@
         Self { restart_seen, primary: None }
     }
 
-    /// Processes a status that was requested at `asked` from another instance of the group. The
-    /// first status of a primary after the restart suffices. A status of a newer term replaces it,
-    /// since commits of that term may have been acknowledged before the restart.
-    pub fn on_primary(&mut self, status: &ReplicationStatus, asked: Instant) {
+    /// Processes a status that was requested at `queried_at` from another instance of the group.
+    /// The first status of a primary after the restart suffices. A status of a newer term replaces
+    /// it, since commits of that term may have been acknowledged before the restart.
+    pub fn on_primary(&mut self, status: &ReplicationStatus, queried_at: Instant) {
         let is_newer = self.primary.is_none_or(|(term, _)| status.term > term);
-        if status.role == Role::Primary && asked >= self.restart_seen && is_newer {
+        if status.role == Role::Primary && queried_at >= self.restart_seen && is_newer {
             self.primary = Some((status.term, status.received));
         }
     }
 
     /// Whether the instance reports that it has received everything from that primary.
-    pub fn is_complete(&self, status: &ReplicationStatus, asked: Instant) -> bool {
+    pub fn is_complete(&self, status: &ReplicationStatus, queried_at: Instant) -> bool {
         let order = |position: Position| (position.term, position.offset);
         let has_received = |(term, received): (Term, Position)| {
             status.term == term && order(status.received) >= order(received)
         };
         status.role == Role::Replica
-            && asked >= self.restart_seen
+            && queried_at >= self.restart_seen
             && self.primary.is_some_and(has_received)
     }
 }
--- a/crates/core/src/promotion/steps.rs
+++ b/crates/core/src/promotion/steps.rs
@@ -93,7 +93,7 @@
     },
 }
 
-/// What an attempt learns.
+/// An input of the attempt's state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// This intent is in the store.
@@ -103,7 +103,7 @@
         /// Incarnation of each instance.
         by_instance: BTreeMap<InstanceName, InstanceIncarnation>,
         /// When the request was sent to the store.
-        asked: Instant,
+        requested_at: Instant,
     },
     /// The store did not return the incarnations.
     IncarnationsUnavailable,
--- a/crates/core/src/quota/node.rs
+++ b/crates/core/src/quota/node.rs
@@ -95,7 +95,7 @@
         if outcome != Take::Pending || !cache.needs_request(now) {
             return outcome;
         }
-        self.ask(account, view);
+        self.request_tokens(account, view);
         // If this node is the allocator, the request was answered synchronously.
         self.token_caches.get_mut(account).map_or(outcome, |cache| cache.take(ticket, now))
     }
@@ -108,7 +108,7 @@
     }
 
     /// Sends a request for tokens to the account's allocator.
-    fn ask(&mut self, account: &AccountName, view: &View) {
+    fn request_tokens(&mut self, account: &AccountName, view: &View) {
         let number = self.next_request_number();
         let Some(allocator) = self.allocator(account, view) else { return };
         let Some(cache) = self.token_caches.get_mut(account) else { return };
--- a/crates/core/tests/failover.rs
+++ b/crates/core/tests/failover.rs
@@ -26,7 +26,8 @@
     ];
     for (reports, highest, expected) in table {
         let term = Term(reports[0].0);
-        let sightings = reports.map(|(term, age)| TermReport { term: Term(term), asked: ago(age) });
+        let sightings =
+            reports.map(|(term, age)| TermReport { term: Term(term), queried_at: ago(age) });
         let confirmed = confirmed_at(term, sightings, 2);
         let found = may_take_writes(term, Term(highest), confirmed, Pace::Active, now);
         assert_eq!(found, expected, "{reports:?}");
--- a/crates/core/tests/promotion/lost_logs.rs
+++ b/crates/core/tests/promotion/lost_logs.rs
@@ -107,9 +107,9 @@
     members.all[1].incarnation = Some(InstanceIncarnation(1));
     let mut attempt = attempt(Reason::Suspected, members);
     record_intent(&mut attempt, now);
-    let incarnations = |asked| {
+    let incarnations = |requested_at| {
         let by_instance = [(name("b"), InstanceIncarnation(2))].into();
-        Event::Incarnations { by_instance, asked }
+        Event::Incarnations { by_instance, requested_at }
     };
     let offsets = |_| vec![("b", 33), ("c", 33)];
     assert_eq!(run_to_promotion_with(&mut attempt, &mut now, incarnations, offsets), None);
--- a/crates/core/tests/promotion/support.rs
+++ b/crates/core/tests/promotion/support.rs
@@ -54,8 +54,8 @@
 }
 
 /// The store shows no restarted instance.
-pub fn no_restarts(asked: Instant) -> Event {
-    Event::Incarnations { by_instance: BTreeMap::new(), asked }
+pub fn no_restarts(requested_at: Instant) -> Event {
+    Event::Incarnations { by_instance: BTreeMap::new(), requested_at }
 }
 
 /// The status of a replica in term 1.
--- a/crates/core/tests/replacement/acting.rs
+++ b/crates/core/tests/replacement/acting.rs
@@ -325,7 +325,7 @@
                 let may_be_old = self.nodes[call.node].era.incarnations_may_be_stale(asked);
                 let event = match may_be_old && self.plant != Plant::StartsBelieved {
                     true => Event::IncarnationsUnavailable,
-                    false => Event::Incarnations { by_instance: told, asked },
+                    false => Event::Incarnations { by_instance: told, requested_at: asked },
                 };
                 self.on_event(call.node, event);
             }
--- a/crates/daemon/src/admin/report.rs
+++ b/crates/daemon/src/admin/report.rs
@@ -1,4 +1,4 @@
-//! `/healthz` and `/status`: the state of this node.
+//! `/healthz` and `/status`: whether clients should be sent to this node, and its state.
 
 use std::sync::PoisonError;
 
--- a/crates/daemon/src/agent/configuration/confirmation_queries.rs
+++ b/crates/daemon/src/agent/configuration/confirmation_queries.rs
@@ -65,12 +65,12 @@
         newest: Option<(CatalogVersion, Duration)>,
     ) {
         let Some(seeker) = &mut self.seeker else { return };
-        let Some(asked) = seeker.on_answer(&peer.node, EvidenceRequestId(number)) else { return };
+        let Some(sent) = seeker.on_answer(&peer.node, EvidenceRequestId(number)) else { return };
         let confirmation = newest.and_then(|(version, age)| {
             configuration.context.revisions.record(&peer.node, version.revision);
-            Some(Confirmation { version, at: asked.checked_sub(age)? })
+            Some(Confirmation { version, at: sent.checked_sub(age)? })
         });
-        seeker.on_evidence(&peer.node, asked, confirmation.map(|known| known.at));
+        seeker.on_evidence(&peer.node, sent, confirmation.map(|known| known.at));
         if let Some(confirmation) = confirmation {
             configuration.context.confirmations.add(confirmation);
         }
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -119,7 +119,7 @@
     }
 
     /// Returns the catalog, with the operators' part of the active one if that has a newer edition.
-    /// Operators were told that this edition is active, and after a store restore the store lacks
+    /// This edition was reported to operators as active, and after a store restore the store lacks
     /// it until they write it again.
     fn with_newest_edition(&self, catalog: VersionedCatalog) -> VersionedCatalog {
         let active = self.context.catalog.load();
--- a/crates/daemon/src/agent/configuration/role.rs
+++ b/crates/daemon/src/agent/configuration/role.rs
@@ -16,7 +16,7 @@
 /// Time that a node without configuration waits for its peers before it reads the store.
 pub(super) const PEER_WAIT: Duration = Duration::from_secs(1);
 /// Time after the start for which listed nodes count like live ones: as long as membership runs its
-/// anti-entropy sync often. Later an entry may be that of a machine that is gone for good.
+/// anti-entropy sync often. Later an entry may be that of a permanently lost machine.
 const LIST_USE_PERIOD: Duration = Duration::from_secs(10);
 /// The machine list counts as complete once it has not changed in length for this long: nodes that
 /// start together add themselves within a few hundred milliseconds.
--- a/crates/daemon/src/agent/configuration/source_watch.rs
+++ b/crates/daemon/src/agent/configuration/source_watch.rs
@@ -98,8 +98,8 @@
 impl Configuration {
     /// Waits a limited time for a configuration from peers. A node that starts prefers the peers'
     /// configuration for two reasons: many nodes that start at once do not all read the store, and
-    /// the node does not activate an older configuration if the store lacks changes that operators
-    /// were told are active.
+    /// the node does not activate an older configuration if the store lacks changes that were
+    /// reported to operators as active.
     fn wait_for_peers(&self, source: &dyn CatalogSource, stop: &StopFlag) {
         let end = Instant::now() + PEER_WAIT;
         while self.expects_peers(source) && !stop.is_stopping() && Instant::now() < end {
--- a/crates/daemon/src/agent/promotion/coordinator.rs
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -118,7 +118,7 @@
 }
 
 /// Acquires the lease again after a store restore, in place of one that would have lasted until
-/// `until`. Until then no other node can acquire it, so the attempts that are under way can
+/// `until`. Until then no other node can acquire it, so the attempts in progress can
 /// continue.
 fn reacquire_lease(
     until: Instant,
--- a/crates/daemon/src/agent/promotion/executor.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -207,9 +207,9 @@
 }
 
 fn read_starts(coordination: &dyn Coordination, instances: &[InstanceName]) -> Event {
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     match coordination.reported_incarnations(instances) {
-        Ok(incarnations) => Event::Incarnations { by_instance: incarnations, asked },
+        Ok(incarnations) => Event::Incarnations { by_instance: incarnations, requested_at },
         Err(error) => {
             log::info!(event = "starts_unknown", error = error.to_string().as_str(); "the store did not return the incarnations of the instances");
             Event::IncarnationsUnavailable
--- a/crates/daemon/src/agent/promotion/status_queries.rs
+++ b/crates/daemon/src/agent/promotion/status_queries.rs
@@ -106,7 +106,7 @@
                 let status = outcome.as_ref().ok().copied();
                 let cause = assess(control.as_ref(), &target, highest, outcome);
                 let assessment = Assessment { cause, at: Instant::now() };
-                // The receiver is gone if the node is stopping.
+                // The receiver has been dropped if the node is stopping.
                 let _ = result_sender.send(QueryResult { subject, assessment, status, sent_at });
             });
         if let Err(error) = spawned {
--- a/crates/daemon/src/agent/promotion/write_back.rs
+++ b/crates/daemon/src/agent/promotion/write_back.rs
@@ -1,5 +1,5 @@
 //! Records again what the store has lost about replacements in a store restore. From these records,
-//! nodes that start later can tell which of two primaries is the old one, and do not repeat a
+//! nodes that start later can determine which of two primaries is the old one, and do not repeat a
 //! replacement that has ended.
 
 use std::thread;
--- a/crates/daemon/src/drain.rs
+++ b/crates/daemon/src/drain.rs
@@ -2,8 +2,8 @@
 //!
 //! In the stage *leaving*, the node accepts no clients, disconnects idle ones, finishes open work,
 //! and refers new work for its instances to their standbys. Once no work is left, the node is
-//! *closed*: it runs nothing that other nodes still send, and can therefore tell them that their
-//! unanswered messages will not run.
+//! *closed*: it runs nothing that other nodes still send, and can therefore report to them that
+//! their unanswered messages will not run.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -1,9 +1,9 @@
 //! The front: client connections, their sessions and the routing of their statements.
 //!
-//! Each shard has one front. It accepts clients up to a limit, routes each event to the session that
-//! it concerns, and removes sessions that have closed. When a link to another node breaks, goes
-//! silent or ends with a leave message, the front ends or retries the exchanges that waited for that
-//! node.
+//! Each shard has one front. It accepts clients up to a limit, routes each event to the session
+//! that it concerns, and removes sessions that have closed. When a link to another node breaks,
+//! goes silent or ends with a leave message, the front ends or retries the exchanges that waited
+//! for that node.
 
 pub mod baseline;
 pub mod counting;
@@ -46,10 +46,10 @@
 pub const MAX_PENDING_LOGINS: usize = 1024;
 
 /// Sends a refusal to a client that is not accepted, as far as the socket takes it immediately.
-fn reject_connection(mut stream: TcpStream, caller: &dyn CallerProtocol, detail: &str) {
+fn reject_connection(mut stream: TcpStream, protocol: &dyn CallerProtocol, detail: &str) {
     let refusal = Refusal::new(ResultCode::TooManyCallers, detail);
     let mut message = BytesMut::new();
-    caller.put_refusal(&refusal, Severity::Session, &mut message);
+    protocol.put_refusal(&refusal, Severity::Session, &mut message);
     // Best effort: the connection is closed either way.
     let _ = stream.write(&message);
 }
@@ -64,7 +64,8 @@
     subscriptions: Subscriptions,
     classes: Classes,
     position_queries: PositionQueries,
-    /// Revision of the configuration that the credentials of all sessions were last checked against.
+    /// Revision of the configuration that the credentials of all sessions were last checked
+    /// against.
     credentials_checked_revision: Revision,
 }
 
@@ -282,8 +283,8 @@
         }
     }
 
-    /// Whether any session soon acts on the passage of time: it holds a request, is logging in or is
-    /// closing.
+    /// Whether any session soon acts on the passage of time: it holds a request, is logging in or
+    /// is closing.
     pub fn is_waiting(&self) -> bool {
         self.sessions.iter().any(|(_, session)| session.needs_frequent_ticks())
     }
--- a/crates/daemon/src/front/session.rs
+++ b/crates/daemon/src/front/session.rs
@@ -321,8 +321,9 @@
     }
 }
 
-/// Whether a new session must read at least the group's current position: the protocol lets a client
-/// continue in a new session, so an earlier one may have written, and the policy uses session bounds.
+/// Whether a new session must read at least the group's current position: the protocol lets a
+/// client continue in a new session, so an earlier one may have written, and the policy uses
+/// session bounds.
 fn needs_current_position(io: &Io) -> bool {
     io.context.protocol.traits().sessions_resume && baseline::uses_session_bounds(io.context.policy)
 }
--- a/crates/daemon/src/front/session/closing.rs
+++ b/crates/daemon/src/front/session/closing.rs
@@ -1,9 +1,9 @@
 //! Closes a session during a planned stop of its node, or after its credential was revoked.
 //!
-//! During a planned stop the client is told to connect to another node once it has neither a request
-//! nor a transaction in progress. The node then waits for the client to close first: closing a socket
-//! with unread input makes TCP send a reset, which can destroy the message on its way. An open
-//! transaction that exceeds its idle limit or the limit of the stop is aborted.
+//! During a planned stop the session asks its client to connect to another node once it has neither
+//! a request nor a transaction in progress. The node then waits for the client to close first:
+//! closing a socket with unread input makes TCP send a reset, which can destroy the message on its
+//! way. An open transaction that exceeds its idle limit or the limit of the stop is aborted.
 
 use std::time::Duration;
 
@@ -18,18 +18,18 @@
 /// Idle time after which a planned stop closes a session without waiting for a request.
 const MIN_IDLE_BEFORE_CLOSE: Duration = Duration::from_secs(1);
 const STOPPING_DETAIL: &str = "the node is stopping; connect to another one";
-/// How long a client may take to close its connection after it was told to connect elsewhere.
+/// How long a client may take to close its connection after it was asked to connect elsewhere.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same for protocols without such a message. The client learns of the stop only from the closed
-/// connection, so the time in which requests it still sends are ignored must be short.
+/// The same for protocols without such a message. The client learns of the stop only from the
+/// closed connection, so the time in which requests it still sends are ignored must be short.
 const SILENT_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Delay between the message that the node is stopping and the end of the stream: some client
 /// libraries that read both at once report only the end of the stream.
 const END_OF_STREAM_DELAY: Duration = Duration::from_millis(50);
 
 impl Session {
-    /// Whether a new request is refused because of a planned stop: the protocol can tell the client
-    /// to connect to another node, and no transaction is open.
+    /// Whether a new request is refused because of a planned stop: the protocol has a message that
+    /// asks the client to connect to another node, and no transaction is open.
     pub(super) fn rejects_new_requests(&self, io: &Io) -> bool {
         let sends_farewell = io.context.protocol.traits().tells_farewell;
         sends_farewell && io.context.is_leaving() && self.transaction == TransactionState::Idle
@@ -54,7 +54,7 @@
         is_between_requests && has_no_input && (has_been_idle || follows_answer)
     }
 
-    /// Tells the client to connect to another node, in answer to a request if there is one, and
+    /// Asks the client to connect to another node, in answer to a request if there is one, and
     /// starts to close the session. Requests that arrive from now on do not run.
     pub(super) fn close_for_shutdown(
         &mut self,
--- a/crates/daemon/src/front/session/keys.rs
+++ b/crates/daemon/src/front/session/keys.rs
@@ -179,7 +179,8 @@
                 request.messages = keyed.messages();
                 request.sent = false;
                 self.retry_at = Some(io.now);
-                // Roll back a transaction that the lease may still have open before the next attempt.
+                // Roll back a transaction that the lease may still have open before the next
+                // attempt.
                 self.abandon(io);
             }
             (Step::Continue, Some(keyed), Some(request)) => {
--- a/crates/daemon/src/front/session/quota.rs
+++ b/crates/daemon/src/front/session/quota.rs
@@ -14,8 +14,8 @@
 use super::Session;
 use crate::event::Io;
 
-/// Longest wait for tokens. It allows three nodes, which may become the quota allocator in turn, the
-/// full time to answer.
+/// Longest wait for tokens. It allows three nodes, which may become the quota allocator in turn,
+/// the full time to answer.
 const TOKEN_TIMEOUT: Duration = ANSWER_TIMEOUT.saturating_mul(3);
 /// Retry delay suggested to a client whose operation ended because no allocator answered.
 const UNANSWERED_RETRY_DELAY: Duration = Duration::from_millis(100);
--- a/crates/daemon/src/front/session/retrying.rs
+++ b/crates/daemon/src/front/session/retrying.rs
@@ -1,11 +1,11 @@
 //! Decides what happens to a request that was not answered: it is retried where that is safe, or
-//! ends with a refusal whose code tells the client whether it may have run.
+//! ends with a refusal whose code states whether it may have run.
 //!
 //! A request is retried if it has certainly not run and no open transaction was lost with it, or if
 //! it is a read outside a transaction that an instance interrupted and the session's retry budget
 //! allows it. It is never retried once a part of its answer has been sent to the client or its
-//! deadline has passed. The baseline policy [`Policy::ResendOnError`] also retries requests that may
-//! have run. A request with a request key has further ways to be retried (`keys`).
+//! deadline has passed. The baseline policy [`Policy::ResendOnError`] also retries requests that
+//! may have run. A request with a request key has further ways to be retried (`keys`).
 
 use std::time::Duration;
 
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Whether the current exchange may run a second time: it only reads, outside a transaction, and
-    /// no part of its answer has been sent to the client.
+    /// Whether the current exchange may run a second time: it only reads, outside a transaction,
+    /// and no part of its answer has been sent to the client.
     pub fn is_safe_to_retry(&self) -> bool {
         let reads_only = self.impact.effect == Effect::Read && !self.impact.continues_transaction;
         reads_only && !self.answer_begun
@@ -76,8 +76,8 @@
         self.on_refused(Refusal::new(code, detail), io);
     }
 
-    /// The gateway has not run the request because it does not own the instance. The request goes to
-    /// the owner that the gateway named without delay. If that owner refuses too, the request is
+    /// The gateway has not run the request because it does not own the instance. The request goes
+    /// to the owner that the gateway named without delay. If that owner refuses too, the request is
     /// retried after the usual delay, so that two nodes that name each other cause no tight loop.
     pub(super) fn on_not_owner(&mut self, owner: Option<NodeName>, io: &mut Io) {
         let is_immediate = owner.is_some() && !self.followed_referral;
--- a/crates/daemon/src/front/target.rs
+++ b/crates/daemon/src/front/target.rs
@@ -1,5 +1,6 @@
 //! Chooses the gateway that serves a statement and, in groups that elect their own primary, the
-//! instance that runs it. Keeps the subscriptions to the instances' statuses that this choice needs.
+//! instance that runs it. Keeps the subscriptions to the instances' statuses that this choice
+//! needs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -163,14 +163,15 @@
         let newest =
             self.pending.iter().filter_map(PendingCommit::awaits_replica_statuses_since).max();
         let Some(newest) = newest else { return false };
-        let is_due = |asked: Instant| asked <= newest || now >= asked + STATUS_QUERY_INTERVAL;
-        let asks = self.last_status_query.is_none_or(is_due);
-        if asks {
+        let is_due =
+            |queried_at: Instant| queried_at <= newest || now >= queried_at + STATUS_QUERY_INTERVAL;
+        let is_due_now = self.last_status_query.is_none_or(is_due);
+        if is_due_now {
             // Read the clock again: the answer may have arrived after this process received the
             // event.
             self.last_status_query = Some(Instant::now());
         }
-        asks
+        is_due_now
     }
 
     /// Answers the commits that the replication statuses of the replicas decide.
@@ -208,8 +209,8 @@
         self.pending.retain(|pending| pending.commit.lease != *lease);
     }
 
-    /// Ends the wait for the commits of an unreachable front. They have taken effect, so the front
-    /// is told that their outcome is in doubt: it may reconnect and ask for it.
+    /// Ends the wait for the commits of an unreachable front. They have taken effect, so their
+    /// outcome is reported as in doubt: the front may reconnect and request it.
     pub fn fail_commits_of_node(&mut self, node: &NodeName, io: &mut Io) {
         let of_node = |pending: &mut PendingCommit| pending.commit.lease.node == *node;
         for pending in self.pending.extract_if(.., of_node) {
--- a/crates/daemon/src/gateway/connection_loss.rs
+++ b/crates/daemon/src/gateway/connection_loss.rs
@@ -1,5 +1,6 @@
 //! Handles the end of connections: lost, closed while idle, or closed because the instance did not
-//! answer in time.
+//! answer in time. Fails the exchange that ran on the connection, and drops evidence that the
+//! instance's process gave, because that process may have terminated.
 
 use kestrellock_core::exchange_state::Fault;
 
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -23,7 +23,7 @@
 
 #[derive(Debug)]
 struct QueryRound {
-    asked: Instant,
+    started_at: Instant,
     answered: bool,
     /// Time from the start of the round until the next one, if the round has been answered.
     delay: Duration,
@@ -53,14 +53,14 @@
     ) -> Vec<InstanceName> {
         if let Some(round) = &self.latest {
             let limit = if round.answered { round.delay } else { ANSWER_TIMEOUT };
-            if io.now < round.asked + limit {
+            if io.now < round.started_at + limit {
                 return Vec::new();
             }
         }
         let chosen = instances_lacking_evidence(name, group, io);
         if !chosen.is_empty() {
             let delay = self.pacer.on_request(io.now, rand::random());
-            self.latest = Some(QueryRound { asked: Instant::now(), answered: false, delay });
+            self.latest = Some(QueryRound { started_at: Instant::now(), answered: false, delay });
         }
         chosen
     }
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -1,5 +1,6 @@
 //! Ends leases that their fronts have abandoned or that belong to lost nodes, and forwards cancel
-//! requests.
+//! requests. Remembers the exchanges that it has reported as not run, so that one that arrives late
+//! is not run after its front has retried it.
 
 use std::collections::HashSet;
 use std::time::Duration;
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 struct MonitoredInstance {
     probe: Probe,
-    asked: Instant,
+    queried_at: Instant,
     last_probe: ProbeNumber,
     status: Option<InstanceStatus>,
     /// When the probe was sent that `status` answers.
@@ -63,9 +63,9 @@
 impl MonitoredInstance {
     fn is_due(&self, wanted: Option<ProbeNumber>, interval: Duration, now: Instant) -> bool {
         let urgent = wanted.is_some_and(|wanted| {
-            wanted > self.last_probe || now >= self.asked + COMMIT_PROBE_INTERVAL
+            wanted > self.last_probe || now >= self.queried_at + COMMIT_PROBE_INTERVAL
         });
-        urgent || self.reported.is_none() || now >= self.asked + interval
+        urgent || self.reported.is_none() || now >= self.queried_at + interval
     }
 }
 
@@ -101,7 +101,7 @@
     /// Sets whether the gateway is a standby: it keeps its probe connections, but probes rarely.
     pub fn set_standby(&mut self, standby: bool) {
         if self.is_standby && !standby {
-            self.instances.values_mut().for_each(|monitored| monitored.asked = self.started);
+            self.instances.values_mut().for_each(|monitored| monitored.queried_at = self.started);
         }
         self.is_standby = standby;
     }
@@ -120,7 +120,7 @@
         let started = self.started;
         self.instances.entry(instance.clone()).or_insert_with(|| MonitoredInstance {
             probe: Probe::Closed { since: None },
-            asked: started,
+            queried_at: started,
             last_probe: ProbeNumber::default(),
             status: None,
             reported: None,
@@ -160,7 +160,7 @@
             }
             Probe::Idle { key } if monitored.is_due(wanted, interval, now) => {
                 monitored.probe = Probe::Busy { key, since: now };
-                monitored.asked = now;
+                monitored.queried_at = now;
                 ProbeStep::Query(key)
             }
             _ => ProbeStep::Nothing,
@@ -211,8 +211,8 @@
         self.watch.pace(now) == Pace::Searching
     }
 
-    /// Handles the loss of a probe connection. Only the owner of the instance tells fronts that it
-    /// is unreachable: any other node may just be cut off from it itself.
+    /// Handles the loss of a probe connection. Only the owner of the instance reports to fronts
+    /// that it is unreachable: any other node may just be cut off from it itself.
     pub fn on_probe_lost(&mut self, instance: &InstanceName, owned: bool, io: &mut Io) {
         self.on_connection_lost(instance, io.now);
         let monitored = self.monitored(instance);
@@ -229,13 +229,13 @@
 
     /// The latest time at which a majority is known to have followed `term`.
     fn confirmed_at(&self, term: Term, majority: usize) -> Option<Instant> {
-        let sightings = self.instances.values().filter_map(|monitored| {
+        let reports = self.instances.values().filter_map(|monitored| {
             Some(TermReport {
                 term: monitored.status.as_ref()?.flushed.term,
-                asked: monitored.reported?,
+                queried_at: monitored.reported?,
             })
         });
-        confirmed_at(term, sightings, majority)
+        confirmed_at(term, reports, majority)
     }
 
     /// Whether writes may be sent to an instance now.
@@ -281,7 +281,7 @@
         let leads = report.role == Role::Primary && term >= self.highest_term;
         let lag = self.lag(instance, answer, majority, io.now);
         let monitored = self.monitored(instance);
-        monitored.reported = Some(answer.asked);
+        monitored.reported = Some(answer.queried_at);
         let status = InstanceStatus {
             instance: instance.clone(),
             role: report.role,
@@ -310,9 +310,10 @@
         now: Instant,
     ) -> Duration {
         let moment = |at: Instant| at.saturating_duration_since(self.started);
-        let (asked, now) = (moment(answer.asked), moment(now));
+        let (queried_at, now) = (moment(answer.queried_at), moment(now));
         let Report { role, applied, .. } = answer.report;
-        self.freshness.on_observation(instance, Observation { role, applied, requested_at: asked });
+        self.freshness
+            .on_observation(instance, Observation { role, applied, requested_at: queried_at });
         self.freshness.age(instance, majority, now).unwrap_or(UNKNOWN_LAG)
     }
 
--- a/crates/daemon/src/gateway/running_exchange.rs
+++ b/crates/daemon/src/gateway/running_exchange.rs
@@ -29,7 +29,7 @@
     Await,
     /// The answer is complete, but the exchange may have committed unexpectedly: query the
     /// position.
-    AskPosition,
+    QueryPosition,
     /// The exchange is complete.
     Finished,
 }
@@ -67,7 +67,7 @@
     pub answer: BytesMut,
     /// Whether parts of the answer have been forwarded to the front.
     pub is_partly_forwarded: bool,
-    asks_position: bool,
+    needs_query: bool,
     /// Whether the exchange, if it succeeds, commits a transaction that wrote.
     commits_write: bool,
     /// Position that the answer carried.
@@ -82,7 +82,7 @@
 
 impl RunningExchange {
     /// An exchange that is about to be sent and takes `bytes` bytes on the wire.
-    pub fn new(exchange: &Exchange, asks_position: bool, bytes: usize, deadline: Instant) -> Self {
+    pub fn new(exchange: &Exchange, needs_query: bool, bytes: usize, deadline: Instant) -> Self {
         Self {
             lease: exchange.lease.clone(),
             impact: impact_of(exchange),
@@ -92,7 +92,7 @@
             transaction: TransactionState::Idle,
             answer: BytesMut::new(),
             is_partly_forwarded: false,
-            asks_position,
+            needs_query,
             commits_write: exchange.commits_write,
             answer_position: None,
             ready_remaining: exchange.ready_expected,
@@ -194,13 +194,13 @@
             self.position_query = PositionQuery::Awaited(Some(report));
             return Next::Finished;
         }
-        if self.asks_position {
+        if self.needs_query {
             self.position_query = PositionQuery::Awaited(None);
             return Next::Await;
         }
         if self.has_committed {
             self.position_query = PositionQuery::Awaited(None);
-            return Next::AskPosition;
+            return Next::QueryPosition;
         }
         Next::Finished
     }
--- a/crates/daemon/src/gateway/server.rs
+++ b/crates/daemon/src/gateway/server.rs
@@ -87,7 +87,7 @@
     /// What the instance reported.
     pub report: Report,
     /// When the probe was sent.
-    pub asked: Instant,
+    pub queried_at: Instant,
 }
 
 #[derive(Debug)]
@@ -107,7 +107,7 @@
     },
     Probing {
         number: ProbeNumber,
-        asked: Instant,
+        queried_at: Instant,
         report: Option<Report>,
     },
     /// Rolls back an abandoned transaction.
@@ -294,13 +294,13 @@
         let output = &mut self.connection.output;
         let before = output.len();
         self.protocol.put_exchange(exchange, output);
-        let asks_position = exchange.may_commit && !self.positions_in_answers;
-        if asks_position {
+        let needs_query = exchange.may_commit && !self.positions_in_answers;
+        if needs_query {
             self.protocol.put_position_query(output);
         }
         let bytes = output.len() - before;
         self.next_exchange = exchange.number + 1;
-        let running = RunningExchange::new(exchange, asks_position, bytes, deadline);
+        let running = RunningExchange::new(exchange, needs_query, bytes, deadline);
         self.state = State::Running(Box::new(running));
         if self.positions_in_answers {
             let commits = exchange.may_commit;
@@ -326,7 +326,7 @@
     pub fn query_position(&mut self, number: ProbeNumber) {
         self.protocol.put_position_query(&mut self.connection.output);
         // Read the clock now: every request that waits for the answer arrived before this time.
-        self.state = State::Probing { number, asked: Instant::now(), report: None };
+        self.state = State::Probing { number, queried_at: Instant::now(), report: None };
     }
 
     /// Rolls back the transaction of an abandoned lease so that the connection can be reused.
@@ -346,8 +346,8 @@
             State::Running(running) => now > running.deadline + DEADLINE_GRACE_PERIOD,
             State::Preparing { deadline, .. } => now > *deadline + DEADLINE_GRACE_PERIOD,
             State::RollingBack { until } | State::DiscardingSession { until } => now > *until,
-            State::Probing { asked, .. } if self.purpose == Purpose::Pooled => {
-                now > *asked + STATUS_QUERY_TIMEOUT
+            State::Probing { queried_at, .. } if self.purpose == Purpose::Pooled => {
+                now > *queried_at + STATUS_QUERY_TIMEOUT
             }
             State::StartingUp | State::Idle | State::Probing { .. } => false,
         }
--- a/crates/daemon/src/gateway/server/replies.rs
+++ b/crates/daemon/src/gateway/server/replies.rs
@@ -65,11 +65,14 @@
                 ReplyKind::Ready { .. } => self.on_session_discarded(events, io),
                 _ => {}
             },
-            State::Probing { number, asked, report } => match reply.kind {
+            State::Probing { number, queried_at, report } => match reply.kind {
                 ReplyKind::Row => *report = self.protocol.report(reply),
                 ReplyKind::Ready { .. } => {
-                    let answer =
-                        report.map(|report| ProbeAnswer { number: *number, report, asked: *asked });
+                    let answer = report.map(|report| ProbeAnswer {
+                        number: *number,
+                        report,
+                        queried_at: *queried_at,
+                    });
                     self.state = State::Idle;
                     events.extend(answer.map(ServerEvent::Probed));
                     events.push(ServerEvent::Ready);
@@ -78,7 +81,7 @@
             },
             State::Running(running) => match running.on_reply(reply, self.protocol.as_mut()) {
                 Next::Await => {}
-                Next::AskPosition => {
+                Next::QueryPosition => {
                     self.protocol.put_position_query(&mut self.connection.output);
                 }
                 Next::Finished => self.finish_exchange(events, io),
--- a/crates/daemon/src/gateway/status_queries.rs
+++ b/crates/daemon/src/gateway/status_queries.rs
@@ -67,7 +67,12 @@
         if let Some(query) = self.instances.get_mut(instance) {
             query.is_answered = true;
         }
-        io.context.statuses.on_replication_status(group, instance, &answer.report, answer.asked);
+        io.context.statuses.on_replication_status(
+            group,
+            instance,
+            &answer.report,
+            answer.queried_at,
+        );
     }
 }
 
--- a/crates/daemon/src/gateway/zone_drains.rs
+++ b/crates/daemon/src/gateway/zone_drains.rs
@@ -2,7 +2,7 @@
 //!
 //! New work goes to other zones as soon as this node has activated the operators' configuration. An
 //! open transaction stays on its connection for a limited time. After that it is rolled back while
-//! it is idle, and its client is told so with the next statement.
+//! it is idle, and the answer to the client's next statement reports that.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
--- a/crates/daemon/src/links/duplicates.rs
+++ b/crates/daemon/src/links/duplicates.rs
@@ -55,10 +55,10 @@
 impl LinkInfo {
     /// Decides between this connection and `older`, which was established before it at this end.
     ///
-    /// A connection that was opened to replace the other one stays. If both nodes connected at about
-    /// the same time, the connection stays that the node with the lesser name opened. Otherwise the
-    /// newer one stays, because its opener no longer has the older one. `max_handshake` is the
-    /// longest time that a handshake may take.
+    /// A connection that was opened to replace the other one stays. If both nodes connected at
+    /// about the same time, the connection stays that the node with the lesser name opened.
+    /// Otherwise the newer one stays, because its opener no longer has the older one.
+    /// `max_handshake` is the longest time that a handshake may take.
     pub fn resolve_duplicate(&self, older: &Self, max_handshake: Duration) -> DuplicateResolution {
         if self.replaces == Some(older.id) {
             return DuplicateResolution::NewerReplaces;
--- a/crates/daemon/src/links/heartbeat.rs
+++ b/crates/daemon/src/links/heartbeat.rs
@@ -3,8 +3,8 @@
 //! If nothing arrives for a while after a message that expects an answer, the node is pinged. If it
 //! still sends nothing, not even a pong, it is reported as silent.
 //!
-//! A machine that is frozen, partitioned or without power does not close its connections. Membership
-//! detects it within seconds, which is too slow for a client that waits for a statement.
+//! A machine that is frozen, partitioned or without power does not close its connections.
+//! Membership detects it within seconds, which is too slow for a client that waits for a statement.
 
 use std::time::{Duration, Instant};
 
@@ -42,7 +42,7 @@
 }
 
 /// How often an unanswered message was polled. A node that gets little CPU time polls rarely and
-/// reads late what has arrived, so these numbers tell a slow node from a silent one.
+/// reads late what has arrived, so these numbers distinguish a slow node from a silent one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PollStats {
     /// Polls since the message was sent.
--- a/crates/daemon/src/links/link.rs
+++ b/crates/daemon/src/links/link.rs
@@ -1,4 +1,5 @@
 //! One connection to another node: authentication, message framing, queued messages and heartbeat.
+//! A message that the link cannot send is returned, so that the front can retry it elsewhere.
 
 use std::time::Instant;
 
@@ -183,7 +184,7 @@
         let peer = self.node().map(NodeName::as_str).unwrap_or_default();
         let unanswered_ms = self.heartbeat.unanswered_for(now).as_millis() as u64;
         let longest_step_ms = poll_stats.longest_gap.as_millis() as u64;
-        log::info!(event = "link_unheard", peer = peer, unanswered_ms = unanswered_ms, looks = poll_stats.polls, longest_step_ms = longest_step_ms; "a node is not heard on a connection");
+        log::info!(event = "link_unheard", peer = peer, unanswered_ms = unanswered_ms, looks = poll_stats.polls, longest_step_ms = longest_step_ms; "nothing has arrived from a node on a connection");
     }
 
     /// Pings the other node unless an answer is outstanding already. Returns whether there is
--- a/crates/daemon/src/links/mod.rs
+++ b/crates/daemon/src/links/mod.rs
@@ -10,9 +10,9 @@
 //!
 //! A connection on which a node is silent ([`heartbeat`]) is retired and a new one opened. If the
 //! new one is established, the node runs and only the connection was dead. Both ends then read what
-//! has arrived on the old connection, ignore everything that arrives later, and send each other their
-//! leases ([`PeerMessage::Reconnected`]). The exchanges in progress are resolved by what has actually
-//! arrived.
+//! has arrived on the old connection, ignore everything that arrives later, and send each other
+//! their leases ([`PeerMessage::Reconnected`]). The exchanges in progress are resolved by what has
+//! actually arrived.
 
 pub mod duplicates;
 pub mod heartbeat;
@@ -242,8 +242,8 @@
         received.messages
     }
 
-    /// Whether a link that another node opens must yield to the one that this node is opening to it.
-    /// Only between single-shard nodes are both links certain to connect the same two shards.
+    /// Whether a link that another node opens must yield to the one that this node is opening to
+    /// it. Only between single-shard nodes are both links certain to connect the same two shards.
     fn yields_to_own_link(&self, key: usize) -> bool {
         let link = &self.links[key];
         let Some(peer) = link.peer().filter(|_| link.side() == Side::Acceptor) else {
--- a/crates/daemon/src/links/replacing.rs
+++ b/crates/daemon/src/links/replacing.rs
@@ -4,7 +4,8 @@
 //! it is retired: nothing more is sent on it, messages that still arrive count, and a new link is
 //! opened. Once the new link is established to the same process, the old one is sealed: this node
 //! reads what has arrived, ignores everything later, and keeps the socket open until the other node
-//! has done the same. Both nodes then reconcile their leases on the new link (`shard::reconnecting`).
+//! has done the same. Both nodes then reconcile their leases on the new link
+//! (`shard::reconnecting`).
 //!
 //! While no new link is established, the node is reported as silent at intervals and work is routed
 //! to other nodes.
@@ -22,8 +23,8 @@
 use crate::event::Io;
 use crate::metrics::ConnectionEvent;
 
-/// How long a replaced connection is kept open if the other node never reports that it has read what
-/// arrived on it. Closing earlier could destroy data that it has not read yet.
+/// How long a replaced connection is kept open if the other node never reports that it has read
+/// what arrived on it. Closing earlier could destroy data that it has not read yet.
 const REPLACED_LINK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Interval between reports of a silent node to which no new link is established. Work avoids a
@@ -56,8 +57,8 @@
 }
 
 impl Links {
-    /// Seals the retired links to a node after a new link to it was established. A retired link to an
-    /// earlier process is closed instead.
+    /// Seals the retired links to a node after a new link to it was established. A retired link to
+    /// an earlier process is closed instead.
     pub(super) fn seal_retired_links(&mut self, peer: &Hello, io: &mut Io) {
         let is_retired =
             |link: &Link| link.stage() == LinkStage::Retired && link.node() == Some(&peer.node);
@@ -67,8 +68,8 @@
             let known = self.links[key].peer().map(|known| (known.incarnation, known.shards));
             match known == Some((peer.incarnation, 1)) && self.hello.shards == 1 {
                 true => self.seal(key, peer, SealReason::Silent, io),
-                // The process that had the exchanges is gone, or the nodes have several shards and
-                // cannot reconcile their leases: report the exchanges as lost.
+                // The process that had the exchanges has terminated, or the nodes have several
+                // shards and cannot reconcile their leases: report the exchanges as lost.
                 false => self.close(key, io),
             }
         }
@@ -133,8 +134,8 @@
         self.silent.push(node);
     }
 
-    /// Pings all links on which no answer is outstanding. The failure that silenced one link may have
-    /// broken others that are idle; the next exchange on such a link would wait in vain.
+    /// Pings all links on which no answer is outstanding. The failure that silenced one link may
+    /// have broken others that are idle; the next exchange on such a link would get no answer.
     fn ping_quiet_links(&mut self, now: Instant) {
         for (key, link) in &mut self.links {
             if link.ping_if_quiet(now) {
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Reports nodes whose link was retired and not yet replaced, so that work avoids them, and opens
-    /// the new link again if that failed.
+    /// Reports nodes whose link was retired and not yet replaced, so that work avoids them, and
+    /// opens the new link again if that failed.
     pub(super) fn check_retired_links(&mut self, io: &mut Io) {
         if io.now < self.next_report {
             return;
--- a/crates/daemon/src/net/connection.rs
+++ b/crates/daemon/src/net/connection.rs
@@ -72,7 +72,8 @@
     }
 
     /// Reads into `input` until the kernel has no more data. A short read does not mean that:
-    /// readiness is edge-triggered, and the other side's close may have arrived with its last bytes.
+    /// readiness is edge-triggered, and the other side's close may have arrived with its last
+    /// bytes.
     pub fn fill(&mut self) -> ReadOutcome {
         self.fill_up_to(usize::MAX)
     }
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Sends as much of `output` as the kernel accepts, and registers for write readiness if some is
-    /// left.
+    /// Sends as much of `output` as the kernel accepts, and registers for write readiness if some
+    /// is left.
     pub fn flush(&mut self, registry: &Registry) -> io::Result<()> {
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
--- a/crates/daemon/src/net/keepalive.rs
+++ b/crates/daemon/src/net/keepalive.rs
@@ -1,6 +1,6 @@
-//! TCP keepalive settings: when the system drops a connection whose other side no longer responds. A
-//! machine that lost power or is partitioned does not close its connections. Neither does a network
-//! that drops the packets of one connection while new connections work.
+//! TCP keepalive settings: when the system drops a connection whose other side no longer responds.
+//! A machine that lost power or is partitioned does not close its connections. Neither does a
+//! network that drops the packets of one connection while new connections work.
 //!
 //! Links between nodes have their own heartbeat (`links::heartbeat`), which detects failures sooner
 //! and distinguishes a dead connection from a dead node.
@@ -21,18 +21,19 @@
     pub interval: Duration,
 }
 
-/// Keepalive of connections to instances. A statement on a dead connection fails after 700 ms instead
-/// of its full deadline, and a dead idle connection is usually detected before a statement uses it.
-/// The limit still allows for data that is lost twice in a row: the system retransmits after 200 ms
-/// and 600 ms.
+/// Keepalive of connections to instances. A statement on a dead connection fails after 700 ms
+/// instead of its full deadline, and a dead idle connection is usually detected before a statement
+/// uses it. The limit still allows for data that is lost twice in a row: the system retransmits
+/// after 200 ms and 600 ms.
 pub const INSTANCE_KEEPALIVE: Keepalive = Keepalive {
     unacknowledged: Some(Duration::from_millis(700)),
     idle: Duration::from_secs(1),
     interval: Duration::from_secs(1),
 };
 
-/// Keepalive of client connections. Without it, sessions of clients that have disappeared would keep
-/// their file descriptors. Clients are often idle for minutes, and a probe per minute is cheap.
+/// Keepalive of client connections. Without it, sessions of clients that have disappeared would
+/// keep their file descriptors. Clients are often idle for minutes, and a probe per minute is
+/// cheap.
 pub const CLIENT_KEEPALIVE: Keepalive = Keepalive {
     unacknowledged: None,
     idle: Duration::from_secs(60),
--- a/crates/daemon/src/routing_overrides.rs
+++ b/crates/daemon/src/routing_overrides.rs
@@ -65,9 +65,9 @@
         self.count.store(count, Ordering::Release);
     }
 
-    /// Chooses the node for an instance's work: the first that need not be avoided of the owner that
-    /// a gateway named, the computed owner and the standby; the computed owner if all of them must be
-    /// avoided.
+    /// Chooses the node for an instance's work: the first that need not be avoided of the owner
+    /// that a gateway named, the computed owner and the standby; the computed owner if all of them
+    /// must be avoided.
     pub fn choose(&self, instance: &InstanceName, known: &Ownership, now: Instant) -> NodeName {
         if self.count.load(Ordering::Acquire) == 0 {
             return known.owner.clone();
@@ -95,8 +95,8 @@
         nearest.get(chosen as usize).copied()
     }
 
-    /// The preferred `owners` for work from `zone`: those in `zone`, else all, among the owners that
-    /// need not be avoided, or among all owners if every one must be avoided.
+    /// The preferred `owners` for work from `zone`: those in `zone`, else all, among the owners
+    /// that need not be avoided, or among all owners if every one must be avoided.
     pub fn nearest<'a>(
         &self,
         owners: &'a [Candidate],
--- a/crates/daemon/src/shard/event_loop.rs
+++ b/crates/daemon/src/shard/event_loop.rs
@@ -1,4 +1,6 @@
-//! The event loop of one shard.
+//! The event loop of one shard: passes socket events, mailbox messages and ticks to the shard, and
+//! decides how long to wait for the next of them, so that pending commits are not delayed and an
+//! idle node uses little processor time.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
--- a/crates/daemon/src/shard/mailbox.rs
+++ b/crates/daemon/src/shard/mailbox.rs
@@ -1,4 +1,5 @@
-//! Messages between the threads of one node. Each shard has a channel and a waker for its event loop.
+//! Messages between the threads of one node. Each shard has a channel and a waker for its event
+//! loop.
 
 use std::io;
 use std::net::TcpStream;
@@ -76,8 +77,8 @@
         self.shards.iter().all(|(sender, _)| sender.is_empty())
     }
 
-    /// Sends a message to a shard and wakes it. The message is dropped if the shard has ended, which
-    /// it only does when the node stops.
+    /// Sends a message to a shard and wakes it. The message is dropped if the shard has ended,
+    /// which it only does when the node stops.
     pub fn send(&self, shard: u16, message: ShardMessage) {
         let Some((sender, waker)) = self.shards.get(usize::from(shard)) else { return };
         if sender.send(message).is_ok() {
--- a/crates/daemon/src/shard/mod.rs
+++ b/crates/daemon/src/shard/mod.rs
@@ -1,11 +1,11 @@
 //! A shard: one event-loop thread with its client connections (front), server connections (gateway)
 //! and links to other nodes.
 //!
-//! The parts exchange messages through an outbox. The shard delivers each message to its own front or
-//! gateway, to another shard's mailbox, or over a link to another node.
+//! The parts exchange messages through an outbox. The shard delivers each message to its own front
+//! or gateway, to another shard's mailbox, or over a link to another node.
 //!
-//! A lock protects the shard's state. The shard's thread holds it while it handles events; the admin
-//! thread takes it to read the state for its reports.
+//! A lock protects the shard's state. The shard's thread holds it while it handles events; the
+//! admin thread takes it to read the state for its reports.
 
 pub mod event_loop;
 pub mod mailbox;
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Handles a lost link to `node`. Every shard is notified, because answers travel over the links
-    /// of any shard.
+    /// Handles a lost link to `node`. Every shard is notified, because answers travel over the
+    /// links of any shard.
     fn on_peer_lost(&mut self, node: &NodeName, io: &mut Io) {
         io.context.quotas.on_unreachable(node, io.now);
         self.front.on_peer_lost(node, io);
--- a/crates/daemon/src/shard/recent_answers.rs
+++ b/crates/daemon/src/shard/recent_answers.rs
@@ -1,5 +1,5 @@
-//! Keeps the events that a shard recently sent to fronts of other nodes. A link that went silent may
-//! have lost them; they are then sent again on the link that replaces it.
+//! Keeps the events that a shard recently sent to fronts of other nodes. A link that went silent
+//! may have lost them; they are then sent again on the link that replaces it.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -10,9 +10,9 @@
 /// How long an event is kept. A dead connection is detected and replaced within half a second (see
 /// `links::heartbeat` and the handshake timeout); the rest is a margin for slow nodes.
 const RETENTION: Duration = Duration::from_secs(3);
-/// Age of an exchange above which its front is not told that it never arrived, because its answer may
-/// already have been dropped here. The difference to [`RETENTION`] is larger than the drift between
-/// two nodes' clocks.
+/// Age of an exchange above which it is not reported to its front as never arrived, because its
+/// answer may already have been dropped here. The difference to [`RETENTION`] is larger than the
+/// drift between two nodes' clocks.
 const MAX_EXCHANGE_AGE: Duration = Duration::from_secs(2);
 /// Maximum bytes of answers kept: about 3 seconds of 3,000 answers of 1 kB per second, many times a
 /// node's share of the load.
--- a/crates/daemon/src/shard/reconnecting.rs
+++ b/crates/daemon/src/shard/reconnecting.rs
@@ -19,10 +19,10 @@
 }
 
 impl Shard {
-    /// Handles the messages that had arrived on replaced links, then sends the other nodes the leases
-    /// that this node's front has there. Messages that waited for the new link were sent on it before
-    /// this list, so an exchange that the other node does not know when it receives the list has
-    /// never reached it.
+    /// Handles the messages that had arrived on replaced links, then sends the other nodes the
+    /// leases that this node's front has there. Messages that waited for the new link were sent on
+    /// it before this list, so an exchange that the other node does not know when it receives the
+    /// list has never reached it.
     pub(super) fn handle_link_replacements(&mut self, io: &mut Io) {
         for replacement in self.links.take_link_replacements() {
             let node = replacement.old.node.clone();
@@ -42,8 +42,8 @@
     /// never will.
     ///
     /// `opened` is when the link was opened that the list arrived on. The front sent the list later
-    /// than that, so the age of an exchange is at most the age that the front reports plus the age of
-    /// the link, however long the list was in transit.
+    /// than that, so the age of an exchange is at most the age that the front reports plus the age
+    /// of the link, however long the list was in transit.
     pub(super) fn on_reconnected(
         &mut self,
         node: &NodeName,
--- a/crates/daemon/src/shared/listed_seeds.rs
+++ b/crates/daemon/src/shared/listed_seeds.rs
@@ -1,4 +1,4 @@
-//! Seeds from the machine list, handed over to the membership agent.
+//! Seeds from the machine list, passed from the thread that reads the list to the membership agent.
 
 use std::sync::{Mutex, PoisonError};
 
--- a/crates/daemon/src/shared/live.rs
+++ b/crates/daemon/src/shared/live.rs
@@ -22,7 +22,7 @@
 
 /// Nodes in the machine list that are not known to be live, for a node that has just started and
 /// may know few of the others yet. Returns none if most of the listed nodes are known, because the
-/// rest may be gone.
+/// rest may have been removed.
 pub fn listed_but_unknown<'a>(
     live: &[LiveNode],
     listed: &'a [LiveNode],
--- a/crates/daemon/src/shared/statuses.rs
+++ b/crates/daemon/src/shared/statuses.rs
@@ -1,4 +1,8 @@
 //! What this node knows of the status of instances, and the evidence about each group's primary.
+//!
+//! The fronts and gateways of all shards record here what instances answer, so that one shard's
+//! exchange with an instance is evidence for statements of all others. The decisions are made in
+//! `core::primary_evidence`, `core::primary_samples` and `core::suspicion`.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -77,8 +81,9 @@
         now: Instant,
     ) -> bool {
         let Some(term) = self.led_term_of(instance) else { return false };
-        let asked = self.evidence.newest();
-        let waited = asked.is_some_and(|asked| now >= asked + REPLICA_RESPONSE_TIMEOUT);
+        let queried_at = self.evidence.newest();
+        let waited =
+            queried_at.is_some_and(|queried_at| now >= queried_at + REPLICA_RESPONSE_TIMEOUT);
         let until = self.evidence.would_cover_until(term, group, lifetime);
         waited && until.is_some_and(|until| moment <= until)
     }
@@ -164,8 +169,8 @@
         });
     }
 
-    /// Drops the evidence of a group after a connection to it broke: the process behind the
-    /// evidence may be gone.
+    /// Drops the evidence of a group after a connection to it broke: the process that gave the
+    /// evidence may have terminated.
     pub fn forget_evidence(&self, group: &GroupName) {
         self.with_group(group, |known| known.evidence.discard());
     }
@@ -237,7 +242,7 @@
         }
         let covered_until = evidence.would_cover_until(term, replication, Duration::ZERO);
         let has_waited = now >= answered + REPLICA_RESPONSE_TIMEOUT;
-        match has_waited && covered_until.is_some_and(|asked| asked >= answered) {
+        match has_waited && covered_until.is_some_and(|queried_at| queried_at >= answered) {
             true => CommitConfirmation::LacksReplacementCheck,
             false => CommitConfirmation::Unconfirmed,
         }
@@ -266,13 +271,13 @@
         }
     }
 
-    /// Records the replication status that an instance reported to a query sent at `asked`.
+    /// Records the replication status that an instance reported to a query sent at `queried_at`.
     pub fn on_replication_status(
         &self,
         group: &GroupName,
         instance: &InstanceName,
         report: &Report,
-        asked: Instant,
+        queried_at: Instant,
     ) {
         let term = report.flushed.term;
         let following = ReplicaTerms { term, min_term: report.held };
@@ -283,12 +288,12 @@
                 known.evidence.on_term_led(term);
             }
             if report.role == Role::Replica {
-                known.evidence.on_replica_report(instance, following, asked, Instant::now());
+                known.evidence.on_replica_report(instance, following, queried_at, Instant::now());
             }
         });
     }
 
-    /// Instances in doubt for which a status query is due. The queries are recorded as sent, so
+    /// Unresponsive instances for which a status query is due. The queries are recorded as sent, so
     /// each instance is due again after an interval.
     pub fn take_due_status_queries(&self, group: &GroupName, now: Instant) -> Vec<InstanceName> {
         let statuses = self.group(group);
@@ -302,17 +307,17 @@
         let mut known = statuses.write().expect("a thread panicked while it held the status lock");
         let due =
             known.exchange_records.iter_mut().filter(|(_, record)| record.is_status_query_due(now));
-        let asked = due.map(|(instance, record)| {
+        let queried = due.map(|(instance, record)| {
             record.on_status_query(now);
             instance.clone()
         });
-        asked.collect()
+        queried.collect()
     }
 
-    /// Records the result of a replacement check: the store confirmed at `asked` that no
+    /// Records the result of a replacement check: the store confirmed at `queried_at` that no
     /// replacement of the primary that this node uses was running.
-    pub fn on_replacement_check(&self, group: &GroupName, asked: Instant) {
-        self.with_group(group, |known| known.evidence.on_no_replacement(asked));
+    pub fn on_replacement_check(&self, group: &GroupName, queried_at: Instant) {
+        self.with_group(group, |known| known.evidence.on_no_replacement(queried_at));
     }
 
     /// Signs of an instance's health from this node's exchanges with it.
