--- a/crates/core/src/promotion/attempt/old_primary.rs
+++ b/crates/core/src/promotion/attempt/old_primary.rs
@@ -1,4 +1,5 @@
-//! What an attempt knows about the old primary, and the commands that it sends there.
+//! What an attempt knows about the old primary, and the commands that it sends there. Decides from
+//! its answers whether it may still be primary or serve reads.
 
 use std::time::Instant;
 
--- a/crates/core/src/promotion/attempt/other_primaries.rs
+++ b/crates/core/src/promotion/attempt/other_primaries.rs
@@ -1,5 +1,5 @@
 //! Distinguishes the members other than the old primary that report to be primary: the successor,
-//! or earlier primaries. An earlier primary that is taken for the successor would acknowledge
+//! or earlier primaries. An earlier primary that counted as the successor would acknowledge
 //! writes that the promotion rolls back.
 
 use std::collections::BTreeSet;
--- a/crates/core/src/promotion/attempt/promoting.rs
+++ b/crates/core/src/promotion/attempt/promoting.rs
@@ -1,5 +1,6 @@
 //! Stops the replicas, compares their positions, and has one promoted that has every acknowledged
-//! commit.
+//! commit. Decides how many replicas must be stopped before that is certain, and when the promotion
+//! may be sent: earlier, a commit could be acknowledged that the new primary does not have.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/crates/core/src/promotion/attempt/settling.rs
+++ b/crates/core/src/promotion/attempt/settling.rs
@@ -1,4 +1,6 @@
-//! Completes an attempt: after a promotion, or without one if the attempt is cancelled.
+//! Completes an attempt: after a promotion, or without one if the attempt is cancelled. Decides
+//! when the old primary has stepped down, so that no released replica follows it, and when the
+//! intent can be removed from the store.
 
 use std::time::Instant;
 
--- a/crates/core/src/promotion/electorate.rs
+++ b/crates/core/src/promotion/electorate.rs
@@ -1,5 +1,5 @@
 //! Decides which nodes count as voters when a primary is suspected: the listed nodes that are live
-//! or were live recently. Machines that are lost for good then do not block a majority, and a node
+//! or were live recently. Permanently lost machines then do not block a majority, and a node
 //! that has just been isolated does not consider itself the majority.
 
 use std::collections::{HashMap, HashSet};
--- a/crates/core/src/promotion/needs.rs
+++ b/crates/core/src/promotion/needs.rs
@@ -2,8 +2,8 @@
 //! the recorded intents.
 //!
 //! A group whose primary is present, is not leaving and is not suspected needs no replacement,
-//! however much time passes. Such groups are evaluated only when the catalog changes, the others
-//! each time.
+//! however much time passes. Such groups are evaluated only when the catalog changes, all others at
+//! each step.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
--- a/crates/core/src/promotion/timing.rs
+++ b/crates/core/src/promotion/timing.rs
@@ -1,4 +1,5 @@
-//! Durations that control an attempt.
+//! Durations that control an attempt: how long it waits for open work, for evidence to expire, and
+//! for instances to answer.
 
 use std::time::Duration;
 
--- a/crates/core/src/quota/node.rs
+++ b/crates/core/src/quota/node.rs
@@ -1,5 +1,6 @@
-//! The quota state of one node. This file handles tokens for the node's own clients and the
-//! messages of other nodes; the buckets that this node holds as an allocator are in `allocation`.
+//! The quota state of one node. This module decides whether an operation of the node's own clients
+//! gets a token, chooses the allocator to request tokens from, and handles the messages of other
+//! nodes. The buckets that this node holds as an allocator are in `allocation`.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/crates/core/src/suspicion.rs
+++ b/crates/core/src/suspicion.rs
@@ -1,4 +1,5 @@
-//! Decides when a node suspects a primary, and when enough nodes suspect it to replace it.
+//! Decides when a node suspects a primary, from the results of its own exchanges and connections,
+//! and when enough nodes suspect it to replace it.
 //!
 //! Suspicion affects availability, never safety: replacing a healthy primary only interrupts
 //! writes. To avoid such interruptions, a single node's suspicion does not cause a replacement,
--- a/crates/daemon/src/agent/promotion/watch.rs
+++ b/crates/daemon/src/agent/promotion/watch.rs
@@ -288,9 +288,9 @@
         }
     }
 
-    /// Asks restarted instances and their primaries how much they have received. A coordinator
-    /// counts a restarted instance once a node has seen that it has received everything. Only
-    /// owners ask, as in [`Self::publish_votes`].
+    /// Queries restarted instances and their primaries for how much they have received. A
+    /// coordinator counts a restarted instance once a node has seen that it has received
+    /// everything. Only owners ask, as in [`Self::publish_votes`].
     fn query_refilling_instances(&mut self) {
         let owned = self.owned.refresh(self.context);
         let refilling = self.known.refilling_groups().filter(|group| owned.contains(*group));
@@ -333,7 +333,8 @@
     ) -> Option<Cause> {
         let mut signs = self.context.statuses.signs(group, primary);
         if signs.is_outdated && !self.reports_outdated_term(group, primary) {
-            // The known term may be from before this instance was promoted again, so ask it first.
+            // The known term may be from before this instance was promoted again, so query it
+            // first.
             signs.is_outdated = false;
             self.query_status(group, primary);
         }
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -1,7 +1,9 @@
-//! Paces status queries for evidence that a group's primary still leads.
+//! Decides when to query instances for evidence that a group's primary still leads, and which of
+//! them.
 //!
 //! Statements may not read at the primary without such evidence. Each group has at most one round
-//! of queries at a time; rounds whose answers do not help are repeated with growing delays.
+//! of queries at a time. Rounds that yield no evidence are repeated with growing delays, so that
+//! waiting statements do not flood the instances with queries.
 
 use std::time::{Duration, Instant};
 
@@ -14,8 +16,8 @@
 
 /// Time after which instances that have not answered are queried again.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// Delays between rounds whose answers did not help. They start over after 500 ms without a round.
-/// After a round that helped, the evidence lasts much longer than any of these delays.
+/// Delays between rounds that yielded no evidence. They start over after 500 ms without a round.
+/// Evidence from a successful round is valid for much longer than any of these delays.
 const ROUND_PACER: RequestPacer = RequestPacer::new(
     Backoff::new(Duration::from_millis(8), Duration::from_millis(60)),
     Duration::from_millis(500),
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Applies changes of ownership and primaries, expires what is overdue, and retries what waits.
+    /// Applies changes of ownership and primaries, fails overdue exchanges and connections, and
+    /// retries those that wait.
     pub fn on_tick(&mut self, io: &mut Io) {
         self.apply_ownership(io);
         self.track_primaries(io);
--- a/crates/daemon/src/gateway/monitor.rs
+++ b/crates/daemon/src/gateway/monitor.rs
@@ -212,7 +212,7 @@
     }
 
     /// Handles the loss of a probe connection. Only the owner of the instance reports to fronts
-    /// that it is unreachable: any other node may just be cut off from it itself.
+    /// that it is unreachable: any other node may itself be cut off from the instance.
     pub fn on_probe_lost(&mut self, instance: &InstanceName, owned: bool, io: &mut Io) {
         self.on_connection_lost(instance, io.now);
         let monitored = self.monitored(instance);
--- a/crates/daemon/src/gateway/running_exchange.rs
+++ b/crates/daemon/src/gateway/running_exchange.rs
@@ -67,6 +67,7 @@
     pub answer: BytesMut,
     /// Whether parts of the answer have been forwarded to the front.
     pub is_partly_forwarded: bool,
+    /// Whether a position query was written together with the exchange.
     needs_query: bool,
     /// Whether the exchange, if it succeeds, commits a transaction that wrote.
     commits_write: bool,
--- a/crates/daemon/src/shared/address_occupants.rs
+++ b/crates/daemon/src/shared/address_occupants.rs
@@ -1,9 +1,9 @@
 //! Which instance runs at an address, as shown by the connections that it has accepted.
 //!
-//! The configuration lists an instance that crashed for seconds after another one has started at
-//! its address. Each connection names the instance that it is for. So the instance that accepts a
-//! connection under its name runs at the address, and every other one that is listed there has
-//! ended.
+//! An instance that crashed stays in the configuration for seconds after another instance has
+//! started at its address. Each connection names the instance that it is for. So the instance that
+//! accepts a connection under its name runs at the address, and every other instance that is listed
+//! there has terminated.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
