--- a/crates/daemon/src/gateway/pool/recent_use.rs
+++ b/crates/daemon/src/gateway/pool/recent_use.rs
@@ -1,5 +1,6 @@
-//! The recent peak of connections of a pool that were in use at the same time. The pool keeps so
-//! many connections open.
+//! The recent peak of connections of a pool that were in use at the same time. It limits
+//! how many connections a pool of a shared instance keeps warm, so that other owners can use the
+//! rest.
 
 use std::time::{Duration, Instant};
 
