--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -1,5 +1,7 @@
-//! The state machine of one attempt: which phase follows which. The submodules implement the
-//! phases.
+//! The state machine of one attempt: from events, the members of the group and the current time it
+//! decides which phase follows and which commands the coordinator sends. The submodules implement
+//! the phases. The rules that prevent two primaries from acknowledging commits are described in
+//! the parent module.
 
 mod events;
 mod incarnations;
@@ -45,7 +47,7 @@
     ended: BTreeSet<InstanceName>,
     /// Other members that report that they are primary.
     other_primaries: OtherPrimaries,
-    /// The intent that was last submitted to the store; the caller retries the write.
+    /// The intent that was last submitted to the store; the coordinator retries the write.
     submitted: Option<Intent>,
     /// The intent that is in the store.
     recorded: Option<Intent>,
@@ -305,7 +307,7 @@
 
     /// How many replicas must be stopped, whether or not the old primary is one of them. Never more
     /// than still have their logs: the attempt does not wait for an old primary that is permanently
-    /// gone or has lost its log as well.
+    /// lost or has lost its log as well.
     fn required_stops(&self) -> usize {
         let replicas = self.replicas();
         let other_replicas = match self.old_primary() {
--- a/crates/core/src/promotion/attempt/settling.rs
+++ b/crates/core/src/promotion/attempt/settling.rs
@@ -1,4 +1,6 @@
-//! Completes an attempt: after a promotion, or without one if the attempt is cancelled.
+//! Completes an attempt: after a promotion, or without one if the attempt is cancelled. Decides
+//! when the old primary has stepped down, so that no released replica follows it, and when the
+//! intent can be removed from the store.
 
 use std::time::Instant;
 
@@ -42,7 +44,7 @@
         reported.unwrap_or(Successor { instance, term: None })
     }
 
-    /// Tells an old primary to step down.
+    /// Sends an old primary the command to step down.
     pub(super) fn demote(&mut self, old: &InstanceName, now: Instant, commands: &mut Vec<Command>) {
         let term = Term(self.highest_term.0.max(self.stop_term.0));
         self.send(old, RetriedCommand::Demote, now, commands, |instance| Command::Demote {
--- a/crates/core/src/quota/node.rs
+++ b/crates/core/src/quota/node.rs
@@ -1,5 +1,6 @@
-//! The quota state of one node. This file handles tokens for the node's own clients and the
-//! messages of other nodes; the buckets that this node holds as an allocator are in `allocation`.
+//! The quota state of one node. This module decides whether an operation of the node's own clients
+//! gets a token, chooses the allocator to request tokens from, and handles the messages of other
+//! nodes. The buckets that this node holds as an allocator are in `allocation`.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -95,7 +96,7 @@
         if outcome != Take::Pending || !cache.needs_request(now) {
             return outcome;
         }
-        self.ask(account, view);
+        self.request_tokens(account, view);
         // If this node is the allocator, the request was answered synchronously.
         self.token_caches.get_mut(account).map_or(outcome, |cache| cache.take(ticket, now))
     }
@@ -108,7 +109,7 @@
     }
 
     /// Sends a request for tokens to the account's allocator.
-    fn ask(&mut self, account: &AccountName, view: &View) {
+    fn request_tokens(&mut self, account: &AccountName, view: &View) {
         let number = self.next_request_number();
         let Some(allocator) = self.allocator(account, view) else { return };
         let Some(cache) = self.token_caches.get_mut(account) else { return };
--- a/crates/core/tests/replacement/coordination.rs
+++ b/crates/core/tests/replacement/coordination.rs
@@ -354,7 +354,7 @@
                     && self.planted_fault != PlantedFault::StaleIncarnationsTrusted
                 {
                     true => Event::IncarnationsUnavailable,
-                    false => Event::Incarnations { by_instance: incarnations, asked },
+                    false => Event::Incarnations { by_instance: incarnations, requested_at: asked },
                 };
                 self.on_event(call.node, event);
             }
--- a/crates/daemon/src/agent/configuration/delta_receiver.rs
+++ b/crates/daemon/src/agent/configuration/delta_receiver.rs
@@ -71,7 +71,7 @@
         &mut self,
         configuration: &Configuration,
         peer: &Peer,
-        part: &Chunk,
+        chunk: &Chunk,
         fetcher: &mut Fetcher,
     ) {
         let Some(fetch) = self.current.as_mut().filter(|fetch| fetch.from == peer.node) else {
@@ -79,23 +79,23 @@
             log::info!(
                 event = "configuration_unasked",
                 peer = peer.node.as_str(),
-                transfer = part.transfer.0,
-                offset = part.offset,
-                bytes = part.bytes.len() as u64;
+                transfer = chunk.transfer.0,
+                offset = chunk.offset,
+                bytes = chunk.bytes.len() as u64;
                 "dropped a chunk of the configuration from a node that this node does not fetch from"
             );
             configuration.send(peer, ConfigurationMessage::StopTransfer);
             return;
         };
-        if let Err(error) = fetch.add(part) {
+        if let Err(error) = fetch.add(chunk) {
             // When a connection has been replaced by another one, chunks sent before may arrive
             // twice or not at all.
             log::info!(
                 event = "configuration_part_dropped",
                 peer = peer.node.as_str(),
-                transfer = part.transfer.0,
-                offset = part.offset,
-                bytes = part.bytes.len() as u64,
+                transfer = chunk.transfer.0,
+                offset = chunk.offset,
+                bytes = chunk.bytes.len() as u64,
                 problem = error.to_string().as_str();
                 "dropped a chunk of the configuration that does not continue the transfer"
             );
@@ -103,7 +103,7 @@
         }
         fetcher.on_chunk(&peer.node, Instant::now());
         let Some(incoming) = &fetch.incoming else { return };
-        let (transfer, offset) = (part.transfer, incoming.next_offset());
+        let (transfer, offset) = (chunk.transfer, incoming.next_offset());
         configuration.send(peer, ConfigurationMessage::Next { transfer, offset });
         if incoming.is_complete() {
             self.finish(configuration, peer, fetcher);
@@ -174,11 +174,11 @@
 }
 
 impl Fetch {
-    fn add(&mut self, part: &Chunk) -> Result<(), TransferError> {
+    fn add(&mut self, chunk: &Chunk) -> Result<(), TransferError> {
         match &mut self.incoming {
-            Some(incoming) if part.offset > 0 => incoming.add(part),
+            Some(incoming) if chunk.offset > 0 => incoming.add(chunk),
             _ => {
-                self.incoming = Some(IncomingTransfer::begin(part)?);
+                self.incoming = Some(IncomingTransfer::begin(chunk)?);
                 Ok(())
             }
         }
--- a/crates/daemon/src/agent/configuration/peer_distribution.rs
+++ b/crates/daemon/src/agent/configuration/peer_distribution.rs
@@ -107,8 +107,8 @@
                 self.delta_server.on_fetch(configuration, &peer, have);
             }
             ConfigurationMessage::Queued => self.fetcher.on_queued(&peer.node, Instant::now()),
-            ConfigurationMessage::Chunk(part) => {
-                self.delta_receiver.on_chunk(configuration, &peer, &part, &mut self.fetcher);
+            ConfigurationMessage::Chunk(chunk) => {
+                self.delta_receiver.on_chunk(configuration, &peer, &chunk, &mut self.fetcher);
             }
             ConfigurationMessage::Next { transfer, offset } => {
                 self.delta_server.on_next(configuration, &peer, transfer, offset);
@@ -120,7 +120,7 @@
                 self.confirmation_queries.on_answer(configuration, &peer, number, newest);
             }
             ConfigurationMessage::StopTransfer => {
-                self.delta_server.on_enough(configuration, &peer.node)
+                self.delta_server.on_stop_transfer(configuration, &peer.node)
             }
         }
     }
--- a/crates/daemon/src/agent/configuration/role.rs
+++ b/crates/daemon/src/agent/configuration/role.rs
@@ -17,7 +17,7 @@
 pub(super) const PEER_WAIT: Duration = Duration::from_secs(1);
 /// Time after this node's start during which the nodes in the machine list count like live ones. It
 /// is as long as the startup period of membership, in which anti-entropy syncs are frequent. Later
-/// an entry may belong to a machine that is permanently gone.
+/// an entry may belong to a permanently lost machine.
 const MACHINE_LIST_VALIDITY: Duration = Duration::from_secs(10);
 /// The machine list counts as complete once it has not changed in length for this long: nodes that
 /// start together add themselves within a few hundred milliseconds.
--- a/crates/daemon/src/front/target.rs
+++ b/crates/daemon/src/front/target.rs
@@ -1,5 +1,6 @@
 //! Chooses the gateway that serves a statement and, in groups that elect their own primary, the
-//! instance that runs it. Keeps the subscriptions to the instances' statuses that this choice needs.
+//! instance that runs it. Keeps the subscriptions to the instances' statuses that this choice
+//! needs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -51,7 +52,7 @@
 ) -> Option<RequestTarget> {
     let instances = &configured.instances;
     let group_statuses = io.context.statuses.group(group);
-    let statuses = group_statuses.read().expect("a holder of the status lock panicked");
+    let statuses = group_statuses.read().expect("a thread panicked while it held the status lock");
     let statuses = &statuses.instances;
     let candidates: Vec<Candidate> = instances
         .iter()
@@ -122,7 +123,7 @@
         return true;
     }
     let group_statuses = io.context.statuses.group(group);
-    let statuses = group_statuses.read().expect("a holder of the status lock panicked");
+    let statuses = group_statuses.read().expect("a thread panicked while it held the status lock");
     configured.instances.iter().all(|instance| statuses.instances.contains_key(&instance.name))
 }
 
--- a/crates/daemon/src/gateway/evidence_queries.rs
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -1,7 +1,9 @@
-//! Paces status queries for evidence that a group's primary still leads.
+//! Decides when to query instances for evidence that a group's primary still leads, and which of
+//! them.
 //!
 //! Statements may not read at the primary without such evidence. Each group has at most one round
-//! of queries at a time; rounds whose answers do not help are repeated with growing delays.
+//! of queries at a time. Rounds that yield no evidence are repeated with growing delays, so that
+//! waiting statements do not flood the instances with queries.
 
 use std::time::{Duration, Instant};
 
@@ -14,16 +16,16 @@
 
 /// Time after which instances that have not answered are queried again.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// Delays between rounds whose answers did not help. They start over after 500 ms without a round.
-/// After a round that helped, the evidence lasts much longer than any of these delays.
-const QUERY_REPETITION: RequestPacer = RequestPacer::new(
+/// Delays between rounds that yielded no evidence. They start over after 500 ms without a round.
+/// Evidence from a successful round is valid for much longer than any of these delays.
+const ROUND_PACER: RequestPacer = RequestPacer::new(
     Backoff::new(Duration::from_millis(8), Duration::from_millis(60)),
     Duration::from_millis(500),
 );
 
 #[derive(Debug)]
 struct QueryRound {
-    asked: Instant,
+    started_at: Instant,
     answered: bool,
     /// Time from the start of the round until the next one, if the round has been answered.
     delay: Duration,
@@ -33,12 +35,12 @@
 #[derive(Debug)]
 pub struct EvidenceQueries {
     latest: Option<QueryRound>,
-    repetition: RequestPacer,
+    pacer: RequestPacer,
 }
 
 impl Default for EvidenceQueries {
     fn default() -> Self {
-        Self { latest: None, repetition: QUERY_REPETITION }
+        Self { latest: None, pacer: ROUND_PACER }
     }
 }
 
@@ -53,14 +55,14 @@
     ) -> Vec<InstanceName> {
         if let Some(round) = &self.latest {
             let limit = if round.answered { round.delay } else { ANSWER_TIMEOUT };
-            if io.now < round.asked + limit {
+            if io.now < round.started_at + limit {
                 return Vec::new();
             }
         }
         let chosen = instances_lacking_evidence(name, group, io);
         if !chosen.is_empty() {
-            let delay = self.repetition.on_request(io.now, rand::random());
-            self.latest = Some(QueryRound { asked: Instant::now(), answered: false, delay });
+            let delay = self.pacer.on_request(io.now, rand::random());
+            self.latest = Some(QueryRound { started_at: Instant::now(), answered: false, delay });
         }
         chosen
     }
@@ -79,8 +81,8 @@
 /// replica answers, the store need not be asked. The primary is included if it is not known to lead
 /// the term that its replicas follow.
 fn instances_lacking_evidence(name: &GroupName, group: &Group, io: &Io) -> Vec<InstanceName> {
-    let board = io.context.statuses.group(name);
-    let known = board.read().expect("a holder of the status lock panicked");
+    let group_statuses = io.context.statuses.group(name);
+    let known = group_statuses.read().expect("a thread panicked while it held the status lock");
     let leader = io.context.leader(name, group).map(|leader| &leader.name);
     let newest_term = known.evidence.highest_led();
     let leads = leader.and_then(|leader| known.led_term_of(leader));
--- a/crates/daemon/src/gateway/placements.rs
+++ b/crates/daemon/src/gateway/placements.rs
@@ -22,7 +22,7 @@
 
 /// The impact of the failure of an exchange that has not been sent to an instance: no transaction
 /// can be lost, and no write can be in doubt.
-const NOTHING_AT_STAKE: ExchangeImpact =
+const UNSENT_IMPACT: ExchangeImpact =
     ExchangeImpact { effect: Effect::Read, continues_transaction: false };
 
 /// An exchange that waits for a qualifying instance.
@@ -61,7 +61,7 @@
         let needs = StatementNeeds {
             arrived: self.arrived,
             staleness: self.need.staleness,
-            passed_over: self.need.excluded_instance.as_ref(),
+            excluded_instance: self.need.excluded_instance.as_ref(),
             pools,
         };
         let mut access = self.exchange.access.clone();
@@ -101,7 +101,7 @@
     }
 
     fn refuse_overdue(self, io: &mut Io) {
-        let code = failure_code(NOTHING_AT_STAKE, Progress::AtFront, Fault::Deadline);
+        let code = failure_code(UNSENT_IMPACT, Progress::AtFront, Fault::Deadline);
         let refusal = Refusal::new(code, "no instance could take the statement");
         notify_front(&self.exchange.lease, 0, LeaseEvent::Refused(refusal), io);
     }
