--- a/crates/core/src/credential_evidence.rs
+++ b/crates/core/src/credential_evidence.rs
@@ -85,8 +85,9 @@
 pub struct Confirmation {
     /// Version of the configuration.
     pub version: CatalogVersion,
-    /// That moment, or an earlier one.
-    pub at: Instant,
+    /// That moment. If it is not known exactly, it is an earlier one, so that the confirmation
+    /// expires early rather than late.
+    pub newest_at: Instant,
 }
 
 /// A node's evidence that its configuration is the newest.
@@ -97,14 +98,17 @@
 }
 
 impl CredentialEvidence {
-    /// Adds a confirmation, unless a known one shows as much.
+    /// Adds a confirmation, unless a known one covers it: it confirms the same or an older
+    /// configuration, at the same moment or later.
     pub fn add(&mut self, new: Confirmation) {
-        let is_covered_by =
-            |known: &Confirmation| new.version.covers(known.version) && known.at >= new.at;
+        let is_covered_by = |known: &Confirmation| {
+            new.version.covers(known.version) && known.newest_at >= new.newest_at
+        };
         if self.confirmations.iter().any(is_covered_by) {
             return;
         }
-        self.confirmations.retain(|known| !known.version.covers(new.version) || known.at > new.at);
+        self.confirmations
+            .retain(|known| !known.version.covers(new.version) || known.newest_at > new.newest_at);
         self.confirmations.push(new);
         self.confirmations.sort_by_key(|known| known.version.revision);
         if self.confirmations.len() > MAX_CONFIRMATIONS {
@@ -117,7 +121,7 @@
     pub fn newest(&self, active: impl Into<CatalogVersion>) -> Option<Confirmation> {
         let active = active.into();
         let usable = self.confirmations.iter().filter(|known| active.covers(known.version));
-        usable.max_by_key(|known| known.at).copied()
+        usable.max_by_key(|known| known.newest_at).copied()
     }
 
     /// Whether a credential of the configuration `active` may be used for a request that arrived at
@@ -128,7 +132,7 @@
         arrived: Instant,
         limit: RevocationLimit,
     ) -> bool {
-        self.newest(active).is_some_and(|known| arrived <= known.at + limit.lifetime())
+        self.newest(active).is_some_and(|known| arrived <= known.newest_at + limit.lifetime())
     }
 }
 
@@ -172,7 +176,7 @@
 struct OpenRequest {
     node: NodeName,
     id: EvidenceRequestId,
-    at: Instant,
+    sent_at: Instant,
 }
 
 impl EvidenceRequester {
@@ -183,11 +187,11 @@
 
     /// The node to send a request to now, if any, and the id of that request.
     pub fn next(&mut self, view: &RequesterView) -> Option<(NodeName, EvidenceRequestId)> {
-        if let Some(asked) = &self.open {
-            if view.now < asked.at + ANSWER_TIMEOUT {
+        if let Some(request) = &self.open {
+            if view.now < request.sent_at + ANSWER_TIMEOUT {
                 return None;
             }
-            let node = asked.node.clone();
+            let node = request.node.clone();
             self.skip(node, view.now);
             self.open = None;
         }
@@ -197,7 +201,7 @@
         let node = self.target(view)?;
         let id = EvidenceRequestId(self.next_id);
         self.next_id += 1;
-        self.open = Some(OpenRequest { node: node.clone(), id, at: view.now });
+        self.open = Some(OpenRequest { node: node.clone(), id, sent_at: view.now });
         Some((node, id))
     }
 
@@ -214,16 +218,16 @@
 
     /// Handles an answer. Returns when its request was sent, if that request is still open.
     pub fn on_answer(&mut self, node: &NodeName, id: EvidenceRequestId) -> Option<Instant> {
-        let matches = |asked: &mut OpenRequest| asked.node == *node && asked.id == id;
-        self.open.take_if(matches).map(|asked| asked.at)
+        let matches = |request: &mut OpenRequest| request.node == *node && request.id == id;
+        self.open.take_if(matches).map(|request| request.sent_at)
     }
 
-    /// Handles the evidence in an answer: the node that was asked at `asked` has evidence for the
-    /// moment `newest`. A node with stale evidence is skipped from then on.
-    pub fn on_evidence(&mut self, node: &NodeName, asked: Instant, newest: Option<Instant>) {
-        match newest.is_some_and(|newest| asked < newest + self.limit.stale_age()) {
-            true => self.last_useful = Some(asked),
-            false => self.skip(node.clone(), asked),
+    /// Handles the evidence in an answer: the node to which a request was sent at `requested_at`
+    /// has evidence for the moment `newest`. A node with stale evidence is skipped from then on.
+    pub fn on_evidence(&mut self, node: &NodeName, requested_at: Instant, newest: Option<Instant>) {
+        match newest.is_some_and(|newest| requested_at < newest + self.limit.stale_age()) {
+            true => self.last_useful = Some(requested_at),
+            false => self.skip(node.clone(), requested_at),
         }
     }
 
--- a/crates/core/src/promotion/attempt.rs
+++ b/crates/core/src/promotion/attempt.rs
@@ -1,5 +1,7 @@
-//! The state machine of one attempt: which phase follows which. The submodules implement the
-//! phases.
+//! The state machine of one attempt: from events, the members of the group and the current time it
+//! decides which phase follows and which commands the coordinator sends. The submodules implement
+//! the phases. The rules that prevent two primaries from acknowledging commits are described in
+//! the parent module.
 
 mod events;
 mod incarnations;
@@ -45,7 +47,7 @@
     ended: BTreeSet<InstanceName>,
     /// Other members that report that they are primary.
     other_primaries: OtherPrimaries,
-    /// The intent that was last submitted to the store; the caller retries the write.
+    /// The intent that was last submitted to the store; the coordinator retries the write.
     submitted: Option<Intent>,
     /// The intent that is in the store.
     recorded: Option<Intent>,
@@ -70,8 +72,9 @@
     releases: Releases,
     /// When enough replicas were stopped; `None` while too few are.
     stopped_since: Option<Instant>,
-    /// When the last check began, in which the replicas confirm that they are still stopped.
-    checks_since: Option<Instant>,
+    /// When the current check began, in which the replicas confirm that they are still stopped;
+    /// `None` if no check is in progress.
+    stop_check_since: Option<Instant>,
     /// What is known about the old primary.
     old_primary_state: OldPrimaryState,
     /// Whether every node has revoked its evidence.
@@ -151,7 +154,7 @@
             reported: BTreeSet::new(),
             stopped: BTreeMap::new(),
             stopped_since: None,
-            checks_since: None,
+            stop_check_since: None,
             old_primary_state: OldPrimaryState::default(),
             evidence_revoked: false,
             not_running: BTreeMap::new(),
@@ -278,7 +281,7 @@
     /// Sets since when enough replicas are stopped; `None` if too few are.
     fn set_stopped_since(&mut self, stopped_since: Option<Instant>) {
         self.stopped_since = stopped_since;
-        self.checks_since = None;
+        self.stop_check_since = None;
     }
 
     /// Submits the intent to the store, unless it was submitted in this form already.
@@ -304,7 +307,7 @@
 
     /// How many replicas must be stopped, whether or not the old primary is one of them. Never more
     /// than still have their logs: the attempt does not wait for an old primary that is permanently
-    /// gone or has lost its log as well.
+    /// lost or has lost its log as well.
     fn required_stops(&self) -> usize {
         let replicas = self.replicas();
         let other_replicas = match self.old_primary() {
--- a/crates/core/src/promotion/needs.rs
+++ b/crates/core/src/promotion/needs.rs
@@ -2,8 +2,8 @@
 //! the recorded intents.
 //!
 //! A group whose primary is present, is not leaving and is not suspected needs no replacement,
-//! however much time passes. Such groups are evaluated only when the catalog changes, the others
-//! each time.
+//! however much time passes. Such groups are evaluated only when the catalog changes, all others at
+//! each step.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -31,7 +31,7 @@
     /// Whether there is still a reason for a replacement. An unfinished attempt is completed in any
     /// case.
     pub is_current: bool,
-    /// Whether an attempt was begun earlier, so that replicas may be stopped.
+    /// Whether an attempt was started earlier, so that replicas may be stopped.
     pub has_begun: bool,
     /// Whether the coordinator of the earlier attempt may have sent a promotion.
     pub may_have_promoted: bool,
@@ -77,7 +77,8 @@
 /// The input of [`NeedsEvaluator::evaluate`].
 #[derive(Clone, Copy, Debug)]
 pub struct NeedsInput<'a> {
-    /// The active catalog.
+    /// This node's active catalog, which lists the groups and their instances. It must have been
+    /// passed to [`NeedsEvaluator::apply_catalog`].
     pub catalog: &'a IndexedCatalog,
     /// This node's copy of the coordination data in the store.
     pub view: &'a CoordinationView,
@@ -171,8 +172,7 @@
     let current = current_need(name, group, history, input);
     let is_delayed = history.retry_not_before.is_some_and(|until| now < until);
     match (input.view.intents.get(name), current) {
-        // The attempt was begun by this node, or by a coordinator that has failed: it has to be
-        // completed.
+        // This node, or a coordinator that has failed, started the attempt: it has to be completed.
         (Some(intent), current) => Some(Need {
             reason: current.as_ref().map_or(Reason::Unfinished, |need| need.reason),
             old_primary: intent.former.clone(),
--- a/crates/daemon/src/agent/configuration/mod.rs
+++ b/crates/daemon/src/agent/configuration/mod.rs
@@ -51,7 +51,7 @@
 pub enum Origin {
     /// The store, through this node's catalog source.
     Source,
-    /// Another node.
+    /// Another node, which sent the catalog to this one.
     Peer,
 }
 
@@ -119,7 +119,7 @@
     }
 
     /// Returns the catalog, with the operators' part of the active one if that has a newer edition.
-    /// Operators were told that this edition is active, and after a store restore the store lacks
+    /// This edition was reported to operators as active, and after a store restore the store lacks
     /// it until they write it again.
     fn with_newest_edition(&self, catalog: VersionedCatalog) -> VersionedCatalog {
         let active = self.context.catalog.load();
--- a/crates/daemon/src/front/session.rs
+++ b/crates/daemon/src/front/session.rs
@@ -98,7 +98,7 @@
     /// Tracked only for protocols in which acknowledged commits are evidence of a primary.
     writes: TransactionWrites,
     /// What may be lost if the current exchange fails.
-    stake: ExchangeImpact,
+    impact: ExchangeImpact,
     /// Whether part of the current answer has been sent to the client.
     answer_begun: bool,
     /// Earliest time of the next attempt.
@@ -157,7 +157,7 @@
             state: SessionState::default(),
             transaction_lost: false,
             writes: TransactionWrites::default(),
-            stake: READ_OUTSIDE_TRANSACTION,
+            impact: READ_OUTSIDE_TRANSACTION,
             answer_begun: false,
             retry_at: None,
             followed_referral: false,
@@ -312,7 +312,7 @@
             StartupStep::Refused(refusal) => refusal,
         };
         io.context.metrics.count_code(refusal.code);
-        decision_log::refused(None, None, None, None, &refusal, io);
+        decision_log::log_refused(None, None, None, None, &refusal, io);
         io.context.metrics.client_connections.count(ConnectionEvent::Refused);
         self.protocol.put_refusal(&refusal, Severity::Session, output);
         // Best effort: the connection is closed even if the kernel does not take the message.
@@ -321,8 +321,9 @@
     }
 }
 
-/// Whether a new session must read at least the group's current position: the protocol lets a client
-/// continue in a new session, so an earlier one may have written, and the policy uses session bounds.
+/// Whether a new session must read at least the group's current position: the protocol lets a
+/// client continue in a new session, so an earlier one may have written, and the policy uses
+/// session bounds.
 fn needs_current_position(io: &Io) -> bool {
     io.context.protocol.traits().sessions_resume && baseline::uses_session_bounds(io.context.policy)
 }
--- a/crates/daemon/src/front/target.rs
+++ b/crates/daemon/src/front/target.rs
@@ -1,5 +1,6 @@
 //! Chooses the gateway that serves a statement and, in groups that elect their own primary, the
-//! instance that runs it. Keeps the subscriptions to the instances' statuses that this choice needs.
+//! instance that runs it. Keeps the subscriptions to the instances' statuses that this choice
+//! needs.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,10 +14,10 @@
 use crate::event::{Io, Outgoing};
 use crate::ownership::OwnershipSnapshot;
 
-/// Destination of an exchange.
+/// Where a front sends the exchanges of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Target {
-    /// Instance that runs it; `None` if the gateway chooses one.
+pub struct RequestTarget {
+    /// Instance that runs the request; `None` if the gateway chooses it.
     pub instance: Option<InstanceName>,
     /// Node whose gateway holds the instance's connections.
     pub gateway: NodeName,
@@ -30,14 +31,14 @@
     account: Option<&AccountName>,
     access: &Access,
     io: &Io,
-) -> Option<Target> {
+) -> Option<RequestTarget> {
     let catalog = io.context.catalog.load();
     let configured = catalog.groups.get(group)?;
     match configured.elector {
         Elector::Group => find_by_status(group, configured, &catalog, access, io),
         Elector::Proxy => {
             let gateway = io.context.owner_for_group(group, account, io.now)?;
-            Some(Target { instance: None, gateway })
+            Some(RequestTarget { instance: None, gateway })
         }
     }
 }
@@ -48,10 +49,10 @@
     catalog: &IndexedCatalog,
     access: &Access,
     io: &Io,
-) -> Option<Target> {
+) -> Option<RequestTarget> {
     let instances = &configured.instances;
     let group_statuses = io.context.statuses.group(group);
-    let statuses = group_statuses.read().expect("a holder of the status lock panicked");
+    let statuses = group_statuses.read().expect("a thread panicked while it held the status lock");
     let statuses = &statuses.instances;
     let candidates: Vec<Candidate> = instances
         .iter()
@@ -70,7 +71,7 @@
     let instance = instances.iter().find(|instance| instance.name == *chosen)?;
     let gateway = io.context.gateway_of(&instance.name, io.now)?;
     io.context.metrics.count_route(access, role);
-    Some(Target { instance: Some(instance.name.clone()), gateway })
+    Some(RequestTarget { instance: Some(instance.name.clone()), gateway })
 }
 
 /// Half the lifetime of a subscription, so that one lost renewal does not end it.
@@ -122,7 +123,7 @@
         return true;
     }
     let group_statuses = io.context.statuses.group(group);
-    let statuses = group_statuses.read().expect("a holder of the status lock panicked");
+    let statuses = group_statuses.read().expect("a thread panicked while it held the status lock");
     configured.instances.iter().all(|instance| statuses.instances.contains_key(&instance.name))
 }
 
--- a/crates/daemon/src/gateway/status_queries.rs
+++ b/crates/daemon/src/gateway/status_queries.rs
@@ -67,13 +67,19 @@
         if let Some(query) = self.instances.get_mut(instance) {
             query.is_answered = true;
         }
-        io.context.statuses.on_replication_status(group, instance, &answer.report, answer.asked);
+        io.context.statuses.on_replication_status(
+            group,
+            instance,
+            &answer.report,
+            answer.queried_at,
+        );
     }
 }
 
 impl Gateway {
-    /// Queries instances that are in doubt and have open connections. An answer clears the doubt.
-    pub(super) fn query_instances_in_doubt(&mut self, name: &GroupName, io: &mut Io) {
+    /// Queries unresponsive instances that have open connections. An answer shows that the instance
+    /// responds again.
+    pub(super) fn query_unresponsive_instances(&mut self, name: &GroupName, io: &mut Io) {
         let targets = io.context.statuses.take_due_status_queries(name, io.now);
         let Some(state) = self.groups.get_mut(name).filter(|_| !targets.is_empty()) else { return };
         for instance in targets {
--- a/crates/daemon/src/gateway/zone_drains.rs
+++ b/crates/daemon/src/gateway/zone_drains.rs
@@ -2,7 +2,7 @@
 //!
 //! New work goes to other zones as soon as this node has activated the operators' configuration. An
 //! open transaction stays on its connection for a limited time. After that it is rolled back while
-//! it is idle, and its client is told so with the next statement.
+//! it is idle, and the answer to the client's next statement reports that.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
 /// A transaction that was rolled back while it was idle.
 #[derive(Debug)]
 struct EndedTransaction {
-    at: Instant,
+    ended_at: Instant,
     /// Sequence number of the next event for its front.
     sequence: u32,
 }
@@ -76,8 +76,8 @@
     }
 
     fn record_ended(&mut self, lease: LeaseId, sequence: u32, now: Instant) {
-        self.ended.retain(|_, ended| now < ended.at + ENDED_RETENTION);
-        self.ended.insert(lease, EndedTransaction { at: now, sequence });
+        self.ended.retain(|_, ended| now < ended.ended_at + ENDED_RETENTION);
+        self.ended.insert(lease, EndedTransaction { ended_at: now, sequence });
     }
 }
 
--- a/crates/daemon/src/shared/exchange_record.rs
+++ b/crates/daemon/src/shared/exchange_record.rs
@@ -1,4 +1,6 @@
-//! What this node's own exchanges and connections with one instance show about it.
+//! What this node's own exchanges and connections with one instance show about it: its position,
+//! term and response time, and the signals from which the node decides whether to avoid or suspect
+//! the instance.
 
 use std::time::{Duration, Instant};
 
@@ -7,11 +9,11 @@
 use kestrellock_core::routing::Role;
 use kestrellock_core::suspicion::{AbandonedRequests, HealthSignals};
 
-/// Time between two status queries to an instance in doubt. Reads avoid such an instance, so
+/// Interval between status queries to an unresponsive instance. Reads avoid such an instance, so
 /// without queries nothing would show that it responds again. A query uses a connection slot for a
 /// moment. Half a second is a tenth of the time until an unresponsive instance is replaced or
 /// returns.
-const DOUBT_QUERY_INTERVAL: Duration = Duration::from_millis(500);
+const STATUS_QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The newest response has a weight of one in this many in the mean service time.
 const SERVICE_TIME_WEIGHT: u32 = 8;
@@ -41,9 +43,9 @@
     /// Moving average of its response time.
     pub mean_service_time: Option<Duration>,
     /// Whether an exchange or a connection has failed since it last responded.
-    pub in_doubt: bool,
-    /// When it was last sent a status query because it is in doubt.
-    last_doubt_query: Option<Instant>,
+    pub is_unresponsive: bool,
+    /// When it was last sent a status query because it is unresponsive.
+    last_status_query: Option<Instant>,
     in_flight: Vec<InFlight>,
     abandoned: AbandonedRequests,
     abandoned_commits: AbandonedRequests,
@@ -106,16 +108,16 @@
         }
     }
 
-    /// Whether a status query is due, because the instance is in doubt.
+    /// Whether a status query is due, because the instance is unresponsive.
     pub(super) fn is_status_query_due(&self, now: Instant) -> bool {
-        let last_query = self.last_doubt_query;
-        self.in_doubt
-            && last_query.is_none_or(|last_query| now >= last_query + DOUBT_QUERY_INTERVAL)
+        let last_query = self.last_status_query;
+        self.is_unresponsive
+            && last_query.is_none_or(|last_query| now >= last_query + STATUS_QUERY_INTERVAL)
     }
 
-    /// Records that a status query is sent because the instance is in doubt.
+    /// Records that a status query is sent because the instance is unresponsive.
     pub(super) fn on_status_query(&mut self, now: Instant) {
-        self.last_doubt_query = Some(now);
+        self.last_status_query = Some(now);
     }
 
     /// Highest term that it reported.
@@ -135,7 +137,7 @@
 
     /// Records its replication status. The instance responds, so earlier failures no longer count.
     pub(super) fn on_replication_status(&mut self, role: Role, term: Term) {
-        self.in_doubt = false;
+        self.is_unresponsive = false;
         if role == Role::Primary {
             self.term = self.term.max(Some(term));
             self.on_led_term(term);
@@ -148,11 +150,11 @@
         let ended = index.map(|index| self.in_flight.swap_remove(index));
         match (response, ended) {
             (Some(response), _) => {
-                let elapsed = response.at.saturating_duration_since(response.sent);
-                self.on_response(elapsed, response.position, response.at);
+                let elapsed = response.completed_at.saturating_duration_since(response.sent);
+                self.on_response(elapsed, response.position, response.completed_at);
             }
             (None, ended) => {
-                self.in_doubt = true;
+                self.is_unresponsive = true;
                 if let Some(ended) = ended {
                     self.on_abandoned(ended, Instant::now());
                 }
@@ -162,7 +164,7 @@
 
     /// Records the outcome of a connection to it.
     pub(super) fn on_connection(&mut self, outcome: ConnectionOutcome) {
-        self.in_doubt = !matches!(outcome, ConnectionOutcome::Established(_));
+        self.is_unresponsive = !matches!(outcome, ConnectionOutcome::Established(_));
         match outcome {
             ConnectionOutcome::Established(position) => {
                 self.refused_since = None;
@@ -183,20 +185,20 @@
         }
     }
 
-    fn set_position(&mut self, position: Option<Position>, at: Instant) {
+    fn set_position(&mut self, position: Option<Position>, reported_at: Instant) {
         if position.is_some() {
             self.last_position = position;
-            self.last_position_at = Some(at);
+            self.last_position_at = Some(reported_at);
             self.term = self.term.max(position.map(|position| position.term));
         }
     }
 
-    fn on_response(&mut self, elapsed: Duration, position: Option<Position>, at: Instant) {
-        self.in_doubt = false;
+    fn on_response(&mut self, elapsed: Duration, position: Option<Position>, completed: Instant) {
+        self.is_unresponsive = false;
         self.refused_since = None;
         self.abandoned.on_answer();
-        self.last_response = Some(at);
-        self.set_position(position, at);
+        self.last_response = Some(completed);
+        self.set_position(position, completed);
         self.mean_service_time = Some(match self.mean_service_time {
             Some(mean) => (mean * (SERVICE_TIME_WEIGHT - 1) + elapsed) / SERVICE_TIME_WEIGHT,
             None => elapsed,
@@ -221,7 +223,7 @@
     /// When the exchange was sent.
     pub sent: Instant,
     /// When its response was complete.
-    pub at: Instant,
+    pub completed_at: Instant,
     /// Position that the instance reported.
     pub position: Option<Position>,
     /// Role of the instance.
--- a/crates/daemon/tests/statuses.rs
+++ b/crates/daemon/tests/statuses.rs
@@ -43,7 +43,8 @@
         let number = self.table.on_sent(&self.group, &name(instance), false);
         let now = Instant::now();
         let role = Some(Role::Primary);
-        let answered = ExchangeResponse { sent: now, at: now, position: Some(position), role };
+        let answered =
+            ExchangeResponse { sent: now, completed_at: now, position: Some(position), role };
         self.table.on_ended(&self.group, &name(instance), number, Some(answered));
     }
 
@@ -61,7 +62,7 @@
     fn is_in_doubt(&self, instance: &str) -> bool {
         let statuses = self.table.group(&self.group);
         let statuses = statuses.read().expect("no thread panicked");
-        statuses.exchange_records.get(&name(instance)).is_some_and(|record| record.in_doubt)
+        statuses.exchange_records.get(&name(instance)).is_some_and(|record| record.is_unresponsive)
     }
 }
 
