--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,8 @@
-//! Pure decisions of kestrellock: positions, catalog, classification, routing, outcomes.
+//! The decision logic of kestrellock: positions, catalog, statement classification, routing,
+//! outcomes.
 //!
-//! Nothing here does I/O, starts threads or reads a clock. Time and randomness are arguments, so
-//! that every decision can be tested and replayed.
+//! This crate does no I/O, starts no threads and reads no clock. Time and randomness are arguments,
+//! so that every decision can be tested and replayed.
 
 pub mod account_owners;
 pub mod admin;
@@ -16,6 +17,7 @@
 pub mod credential;
 pub mod credential_evidence;
 pub mod current_position;
+pub mod distribution;
 pub mod exchange_state;
 pub mod failover;
 pub mod freshness;
@@ -37,6 +39,5 @@
 pub mod scram;
 pub mod session;
 pub mod session_state;
-pub mod spreading;
 pub mod store_era;
 pub mod suspicion;
--- a/crates/daemon/src/agent/membership.rs
+++ b/crates/daemon/src/agent/membership.rs
@@ -1,7 +1,8 @@
-//! Runs membership: its socket, its clock, and what it tells the rest of the node.
+//! Runs the membership protocol: its socket, its clock, and the state that it publishes in the
+//! node.
 //!
-//! Decisions are taken in `core::membership`; here datagrams are received and sent, time passes,
-//! and the list of live nodes is published whenever it changes.
+//! Decisions are made in `core::membership`. This module receives and sends the datagrams, drives
+//! the ticks, and publishes the list of live nodes whenever it changes.
 
 use std::io;
 use std::net::UdpSocket;
@@ -19,30 +20,31 @@
 use crate::context::NodeContext;
 use crate::metrics::MessageEvent;
 use crate::settings::Settings;
-use crate::shared::board::RevisionHolder;
 use crate::shared::live::LiveNode;
+use crate::shared::membership::NewestRevision;
 use crate::supervisor::StopFlag;
 
 /// Time between two ticks of the state machine.
-const TICK: Duration = Duration::from_millis(50);
-/// Longest time for which the published list of members may be out of date.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest time between two publications of the member list.
 const PUBLISH_INTERVAL: Duration = Duration::from_secs(1);
-/// Datagrams handled before the clock is looked at again.
-const DATAGRAMS_AT_ONCE: usize = 256;
-/// Outdated senders told of it between two ticks.
-const OUTDATED_AT_ONCE: usize = 4;
+/// Most datagrams handled in a row before the clock is checked for a due tick.
+const MAX_DATAGRAM_BATCH: usize = 256;
+/// Most senders with an outdated incarnation that are notified between two ticks.
+const MAX_OUTDATED_NOTICES_PER_TICK: usize = 4;
 
-/// Who this node is to the others and how it finds them.
+/// This node's own member record, and how it finds and authenticates other nodes.
 #[derive(Clone, Debug)]
-pub struct Joining {
+pub struct MembershipConfig {
     own: MemberRecord,
     seeds: Vec<Seed>,
     cluster: String,
     keys: ClusterKeys,
 }
 
-impl Joining {
-    /// From the settings, with `process` as the incarnation of this process.
+impl MembershipConfig {
+    /// Builds the configuration from the settings, with `process` as the incarnation of this
+    /// process.
     pub fn new(settings: &Settings, process: u64, keys: ClusterKeys) -> Self {
         let own = MemberRecord {
             node: settings.node.clone(),
@@ -55,12 +57,12 @@
             revision: Default::default(),
             link_mbps: settings.link_mbps.unwrap_or(0),
         };
-        let seeds = seeds_of(settings);
+        let seeds = configured_seeds(settings);
         Self { own, seeds, cluster: settings.cluster.clone(), keys }
     }
 }
 
-/// This node as the machine list shows it.
+/// This node's entry in the machine list.
 pub fn own_machine(settings: &Settings) -> Machine {
     Machine {
         node: settings.node.clone(),
@@ -71,15 +73,15 @@
     }
 }
 
-/// The peers of the settings.
-pub fn seeds_of(settings: &Settings) -> Vec<Seed> {
+/// The peers from the settings, as seeds.
+pub fn configured_seeds(settings: &Settings) -> Vec<Seed> {
     let peers = settings.peers.iter();
     peers.map(|peer| Seed { node: peer.node.clone(), address: peer.address }).collect()
 }
 
-/// Takes part in membership until told to stop.
-pub fn run(socket: &UdpSocket, joining: &Joining, context: &NodeContext, stop: &StopFlag) {
-    let mut agent = Agent::new(socket, joining, context);
+/// Takes part in membership until `stop` is set, and sends a leave message if the node is leaving.
+pub fn run(socket: &UdpSocket, config: &MembershipConfig, context: &NodeContext, stop: &StopFlag) {
+    let mut agent = Agent::new(socket, config, context);
     while !stop.is_stopping() {
         stop.wait_while_paused();
         agent.receive();
@@ -104,13 +106,13 @@
     origin: Instant,
     next_tick: Instant,
     next_publish: Instant,
-    outdated_told: usize,
+    outdated_notices: usize,
 }
 
 impl<'a> Agent<'a> {
-    fn new(socket: &'a UdpSocket, joining: &Joining, context: &'a NodeContext) -> Self {
+    fn new(socket: &'a UdpSocket, config: &MembershipConfig, context: &'a NodeContext) -> Self {
         let origin = Instant::now();
-        let Joining { own, seeds, cluster, keys } = joining.clone();
+        let MembershipConfig { own, seeds, cluster, keys } = config.clone();
         let codec = DatagramCodec::new(keys, &cluster, own.node.clone());
         let membership =
             Membership::new(own, Timing::default(), seeds, Duration::ZERO, &mut random);
@@ -122,7 +124,7 @@
             origin,
             next_tick: origin,
             next_publish: origin,
-            outdated_told: 0,
+            outdated_notices: 0,
         }
     }
 
@@ -130,24 +132,24 @@
         self.origin.elapsed()
     }
 
-    /// Takes in what has arrived, waiting for it until the next tick.
+    /// Receives and handles datagrams until the next tick is due.
     fn receive(&mut self) {
         let mut buffer = [0_u8; MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..DATAGRAMS_AT_ONCE {
+        for _ in 0..MAX_DATAGRAM_BATCH {
             let wait = self.next_tick.saturating_duration_since(Instant::now());
             if wait.is_zero() || self.socket.set_read_timeout(Some(wait)).is_err() {
                 return;
             }
             match self.socket.recv_from(&mut buffer) {
-                Ok((count, _)) => self.take_in(&buffer[..count]),
-                // The system reports here that an earlier datagram met a closed port.
+                Ok((count, _)) => self.handle_datagram(&buffer[..count]),
+                // The operating system reports here that an earlier datagram reached a closed port.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 Err(_) => return,
             }
         }
     }
 
-    fn take_in(&mut self, bytes: &[u8]) {
+    fn handle_datagram(&mut self, bytes: &[u8]) {
         let metrics = &self.context.metrics;
         let now = self.now();
         let process = self.membership.own().incarnation.process;
@@ -155,24 +157,24 @@
             Ok(message) => {
                 metrics.datagrams.count(MessageEvent::Received);
                 metrics.datagram_bytes.add(MessageEvent::Received, bytes.len() as u64);
-                self.context.revisions.hear(&message.sender.node, message.sender.revision);
+                self.context.revisions.record(&message.sender.node, message.sender.revision);
                 self.membership.on_message(message, now, &mut random);
             }
             Err(error) => {
                 metrics.datagrams.count(MessageEvent::Refused);
                 metrics.datagram_bytes.add(MessageEvent::Refused, bytes.len() as u64);
-                self.on_refused(error);
+                self.on_rejected_datagram(error);
             }
         }
         self.send();
     }
 
-    fn on_refused(&mut self, error: DatagramError) {
+    fn on_rejected_datagram(&mut self, error: DatagramError) {
         log::debug!("datagram refused: {error}");
         if let DatagramError::OldProcess(sender) = error
-            && self.outdated_told < OUTDATED_AT_ONCE
+            && self.outdated_notices < MAX_OUTDATED_NOTICES_PER_TICK
         {
-            self.outdated_told += 1;
+            self.outdated_notices += 1;
             self.membership.on_outdated_sender(&sender);
         }
     }
@@ -187,7 +189,7 @@
                     continue;
                 }
             };
-            // A datagram that cannot be sent now counts as lost on the way.
+            // A datagram that cannot be sent counts as lost in the network.
             if self.socket.send_to(&bytes, outgoing.to.address).is_ok() {
                 metrics.datagrams.count(MessageEvent::Sent);
                 metrics.datagram_bytes.add(MessageEvent::Sent, bytes.len() as u64);
@@ -200,15 +202,15 @@
         if now < self.next_tick {
             return;
         }
-        self.next_tick = now + TICK;
-        self.outdated_told = 0;
-        self.take_wishes();
+        self.next_tick = now + TICK_INTERVAL;
+        self.outdated_notices = 0;
+        self.apply_inputs();
         self.membership.on_tick(self.now(), &mut random);
         self.send();
         self.publish(now);
     }
 
-    fn take_wishes(&mut self) {
+    fn apply_inputs(&mut self) {
         let revision = self.context.catalog.load().revision;
         self.membership.set_revision(revision, &mut random);
         if let Some(seeds) = self.context.listed_seeds.take() {
@@ -225,7 +227,7 @@
     fn publish(&mut self, now: Instant) {
         let changes = self.membership.take_changes();
         for change in &changes {
-            self.report(change);
+            self.log_change(change);
         }
         if changes.is_empty() && now < self.next_publish {
             return;
@@ -240,7 +242,7 @@
         self.context.membership.set_counters(self.membership.counters());
     }
 
-    /// Replaces the list of live nodes if it differs.
+    /// Publishes the list of live nodes if it has changed.
     fn publish_live(&self, members: &[MemberRecord]) {
         let live: Vec<LiveNode> =
             members.iter().filter(|member| member.health.is_live()).map(live_node).collect();
@@ -249,7 +251,7 @@
         }
     }
 
-    fn report(&self, change: &Change) {
+    fn log_change(&self, change: &Change) {
         match change {
             Change::Live(member) if member.leaving => log::info!("{} is leaving", member.node),
             Change::Live(member) => {
@@ -261,9 +263,9 @@
                 log::warn!("another process used this node's name; took a newer incarnation");
             }
             Change::RevisionSeen(node, revision) => {
-                let holder = self.membership.members().find(|member| member.node == *node);
-                if let Some(member) = holder {
-                    self.context.membership.set_newest_revision(RevisionHolder {
+                let member = self.membership.members().find(|member| member.node == *node);
+                if let Some(member) = member {
+                    self.context.membership.set_newest_revision(NewestRevision {
                         node: node.clone(),
                         peer_address: member.peer_address,
                         admin_address: member.admin_address,
--- /dev/null
+++ b/crates/daemon/src/agent/promotion/coordinator.rs
@@ -0,0 +1,426 @@
+//! Runs primary replacements for as long as this node holds the coordinator lease.
+//!
+//! The thread acquires the lease, starts an attempt for each group whose primary needs to be
+//! replaced, executes the commands of each attempt, and releases the lease when nothing is left to
+//! replace. It renews the lease before its end and stops once the lease has ended, because another
+//! node may be the coordinator from then on.
+//!
+//! After a store restore the store may not contain the lease any more, so the node acquires it
+//! again. No other node may be the coordinator until the old lease would have ended, so the
+//! attempts in the store can continue under the new fencing token.
+
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
+
+use kestrellock_core::ids::{GroupName, InstanceName, NodeName};
+use kestrellock_core::promotion::{
+    Attempt, Command, Event, KnownInstances, Need, Phase, ReplacementId, Successor, Timing,
+};
+use kestrellock_core::store_era::StoreEra;
+use kestrellock_store::control::{ControlTarget, Order};
+use kestrellock_store::coordination::{Coordination, Hold};
+
+use super::ReplacementServices;
+use super::executor::{Executor, Report};
+use crate::context::NodeContext;
+use crate::supervisor::StopFlag;
+
+/// Longest time between two steps of the attempts.
+const STEP_INTERVAL: Duration = Duration::from_millis(3);
+/// Time between two attempts to acquire the lease again after a store restore.
+const REACQUIRE_INTERVAL: Duration = Duration::from_millis(50);
+/// The lease is renewed when less than this is left of it.
+const RENEW_MARGIN: Duration = Duration::from_millis(1_500);
+/// The lease is released after this time without an attempt.
+const IDLE_LEASE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Delay before a failed change of the store is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Needs are ignored for this long after an attempt of their group has ended: they may have been
+/// computed before its end.
+const STALE_NEEDS_PERIOD: Duration = Duration::from_millis(200);
+/// A promotion is sent only if at least this much is left of the lease.
+const MIN_LEASE_FOR_PROMOTION: Duration = Duration::from_millis(100);
+
+/// What the watcher passes to the coordinator thread, and the cancelled attempts that the thread
+/// reports back.
+#[derive(Clone, Debug, Default)]
+pub struct CoordinatorInput {
+    /// The replacement that each group needs.
+    pub needs: BTreeMap<GroupName, Need>,
+    /// The instances of each group.
+    pub known: KnownInstances,
+    /// Whether the store may return outdated incarnations of instances.
+    pub incarnations_may_be_outdated: bool,
+    /// Groups whose attempt was cancelled since the watcher last took this list.
+    pub cancelled: Vec<GroupName>,
+}
+
+/// The input, shared between the watcher and the coordinator thread.
+pub type SharedCoordinatorInput = Arc<Mutex<CoordinatorInput>>;
+
+struct RunningAttempt {
+    attempt: Attempt,
+    /// The change of the store that failed, and when to retry it.
+    retry: Option<(Instant, Command)>,
+    pending: Option<Command>,
+    started: Instant,
+    /// When the store first confirmed the intent.
+    recorded: Option<Instant>,
+    phase: Phase,
+}
+
+struct CoordinatorThread<'a> {
+    context: &'a NodeContext,
+    input: &'a SharedCoordinatorInput,
+    coordination: Arc<dyn Coordination>,
+    executor: Executor,
+    lease: Hold,
+    /// Whether the store has reported that the lease has ended.
+    is_lease_over: bool,
+    /// Whether the store may return outdated incarnations of instances.
+    incarnations_may_be_outdated: bool,
+    renewing: bool,
+    attempts: BTreeMap<GroupName, RunningAttempt>,
+    /// Number of attempts started under this lease.
+    attempts_started: u32,
+    /// When the last attempt of each group ended, to ignore needs that were computed before.
+    ended: BTreeMap<GroupName, Instant>,
+}
+
+/// Why the thread stopped acting under a lease.
+enum Ending {
+    /// The node stops, nothing is left to replace, or the lease has ended.
+    Done,
+    /// The store was restored from a copy that does not contain the lease.
+    StoreRestored {
+        /// When the lease would have ended.
+        until: Instant,
+    },
+}
+
+/// Acquires the coordinator lease, runs all replacements that are needed, and releases the lease.
+pub fn run(
+    context: &NodeContext,
+    services: &ReplacementServices,
+    input: &SharedCoordinatorInput,
+    stop: &StopFlag,
+) {
+    let mut acquired = acquire_lease(context, services);
+    while let Some(lease) = acquired {
+        let ending = run_under_lease(lease, context, services, input, stop);
+        context.replacements.on_coordinator_lease_ended();
+        acquired = match ending {
+            Ending::Done => None,
+            Ending::StoreRestored { until } => reacquire_lease(until, context, services, stop),
+        };
+    }
+}
+
+/// Acquires the lease again after a store restore, in place of one that would have lasted until
+/// `until`. Until then no other node can acquire it, so the attempts that are under way can
+/// continue.
+fn reacquire_lease(
+    until: Instant,
+    context: &NodeContext,
+    services: &ReplacementServices,
+    stop: &StopFlag,
+) -> Option<Hold> {
+    while Instant::now() < until && !stop.is_stopping() {
+        let lease = acquire_lease(context, services);
+        if lease.is_some() {
+            return lease;
+        }
+        stop.sleep(REACQUIRE_INTERVAL);
+    }
+    None
+}
+
+fn acquire_lease(context: &NodeContext, services: &ReplacementServices) -> Option<Hold> {
+    match services.coordination.acquire(&context.identity.node) {
+        Ok(lease) => lease,
+        Err(error) => {
+            log::warn!(event = "hold_failed", error = error.to_string().as_str(); "the coordinator lease could not be acquired");
+            None
+        }
+    }
+}
+
+fn run_under_lease(
+    lease: Hold,
+    context: &NodeContext,
+    services: &ReplacementServices,
+    input: &SharedCoordinatorInput,
+    stop: &StopFlag,
+) -> Ending {
+    let coordination = services.coordination.clone();
+    log::info!(event = "hold_taken", fence = lease.fence; "this node is the coordinator and may replace primaries");
+    let era = StoreEra::of(lease.fence);
+    let (executor, reports) = Executor::start(services.clone());
+    let mut coordinator = CoordinatorThread {
+        context,
+        input,
+        coordination: coordination.clone(),
+        executor,
+        lease,
+        is_lease_over: false,
+        incarnations_may_be_outdated: true,
+        renewing: false,
+        attempts: BTreeMap::new(),
+        attempts_started: 0,
+        ended: BTreeMap::new(),
+    };
+    let mut idle_since = Instant::now();
+    loop {
+        stop.wait_while_paused();
+        if stop.is_stopping() {
+            // Releasing the lease at a planned stop lets another node become the coordinator at
+            // once.
+            if context.is_stopping() {
+                let _ = coordination.release(&coordinator.lease);
+            }
+            return Ending::Done;
+        }
+        if coordination.era() > era {
+            log::warn!(event = "hold_outdated", fence = coordinator.lease.fence, era = coordination.era().0; "the store was restored from an older copy: acquiring the coordinator lease again");
+            return Ending::StoreRestored { until: coordinator.lease.until };
+        }
+        if coordinator.is_lease_over || Instant::now() >= coordinator.lease.until {
+            log::warn!(event = "hold_lost", fence = coordinator.lease.fence; "the coordinator lease has ended");
+            return Ending::Done;
+        }
+        if let Ok(report) = reports.recv_timeout(STEP_INTERVAL) {
+            coordinator.on_report(report);
+            reports.try_iter().for_each(|report| coordinator.on_report(report));
+        }
+        coordinator.step();
+        if !coordinator.attempts.is_empty() {
+            idle_since = Instant::now();
+        } else if idle_since.elapsed() >= IDLE_LEASE_TIMEOUT {
+            break;
+        }
+    }
+    // If the release fails, the lease expires by itself.
+    let _ = coordination.release(&coordinator.lease);
+    log::info!(event = "hold_given_up", fence = coordinator.lease.fence; "released the coordinator lease: nothing is left to replace");
+    Ending::Done
+}
+
+impl CoordinatorThread<'_> {
+    fn input(&self) -> CoordinatorInput {
+        self.input.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    }
+
+    fn on_report(&mut self, report: Report) {
+        let now = Instant::now();
+        match report {
+            Report::Event(group, event) => {
+                if let Some(running) = self.attempts.get_mut(&group) {
+                    if matches!(event, Event::Recorded(_)) {
+                        running.pending = None;
+                        running.recorded.get_or_insert(now);
+                    }
+                    running.attempt.on_event(event, now);
+                }
+            }
+            Report::Installed => {}
+            Report::Finished(group) => {
+                self.announce_end(&group);
+                self.attempts.remove(&group);
+                self.ended.insert(group, now);
+            }
+            Report::StoreFailed(group) => {
+                if let Some(running) = self.attempts.get_mut(&group) {
+                    let pending = running.pending.take();
+                    running.retry = pending.map(|command| (now + STORE_RETRY_DELAY, command));
+                }
+            }
+            Report::Renewed(lease) => {
+                self.renewing = false;
+                self.lease = lease;
+            }
+            Report::LeaseOver => self.is_lease_over = true,
+        }
+    }
+
+    /// Has the end of an attempt announced to the owners of the group.
+    fn announce_end(&self, group: &GroupName) {
+        let Some(running) = self.attempts.get(group) else { return };
+        let successor_term = running.attempt.successor_term();
+        self.context.replacements.on_attempt_ended(group, running.attempt.id(), successor_term);
+    }
+
+    fn step(&mut self) {
+        let now = Instant::now();
+        let input = self.input();
+        self.incarnations_may_be_outdated = input.incarnations_may_be_outdated;
+        if !self.renewing && now + RENEW_MARGIN >= self.lease.until {
+            self.renewing = true;
+            self.executor.renew(&self.lease);
+        }
+        for (group, need) in &input.needs {
+            let ended = self.ended.get(group);
+            let is_stale = ended.is_some_and(|ended| now < *ended + STALE_NEEDS_PERIOD);
+            if !self.attempts.contains_key(group) && !is_stale {
+                self.start_attempt(group, need, &input.known, now);
+            }
+        }
+        let groups: Vec<GroupName> = self.attempts.keys().cloned().collect();
+        for group in groups {
+            self.step_group(&group, &input, now);
+        }
+    }
+
+    fn start_attempt(
+        &mut self,
+        group: &GroupName,
+        need: &Need,
+        known: &KnownInstances,
+        now: Instant,
+    ) {
+        self.attempts_started += 1;
+        let highest = self.context.statuses.highest_term(group);
+        let attempt = Attempt::new(
+            self.context.identity.node.clone(),
+            ReplacementId { fence: self.lease.fence, attempt: self.attempts_started },
+            need,
+            known.members(group),
+            highest,
+            Timing::default(),
+        );
+        log::info!(event = "attempt", group = group.as_str(), reason:? = need.reason, former:? = need.former, term = highest.0; "a primary is to be replaced");
+        let phase = attempt.phase();
+        let running = RunningAttempt {
+            attempt,
+            retry: None,
+            pending: None,
+            started: now,
+            recorded: None,
+            phase,
+        };
+        self.attempts.insert(group.clone(), running);
+    }
+
+    fn step_group(&mut self, group: &GroupName, input: &CoordinatorInput, now: Instant) {
+        let Some(running) = self.attempts.get_mut(group) else { return };
+        let wanted = input.needs.get(group).is_some_and(|need| need.wanted);
+        running.attempt.on_event(Event::Members(input.known.members(group)), now);
+        running.attempt.on_event(Event::Wanted(wanted), now);
+        let id = running.attempt.id();
+        let witnesses = self.context.given_up.for_replacement(group, id);
+        if let Some(witnesses) = witnesses {
+            running.attempt.hear(
+                &witnesses,
+                &nodes_to_await(self.context, &*self.coordination),
+                now,
+            );
+        }
+        let mut commands = running.attempt.step(now);
+        if running.retry.as_ref().is_some_and(|(at, _)| now >= *at) {
+            commands.extend(running.retry.take().map(|(_, command)| command));
+        }
+        if running.phase != running.attempt.phase() {
+            running.phase = running.attempt.phase();
+            let after = now.saturating_duration_since(running.started).as_millis() as u64;
+            log::info!(event = "phase", group = group.as_str(), phase:? = running.phase, chosen:? = running.attempt.chosen(), after_ms = after; "the attempt goes on");
+        }
+        if let Some(intent) = running.attempt.under_way() {
+            let recorded = running.recorded.unwrap_or(now);
+            self.context.replacements.on_attempt_running(group, intent, recorded);
+        }
+        for command in commands {
+            self.execute(group, command, &input.known, now);
+        }
+    }
+
+    fn execute(
+        &mut self,
+        group: &GroupName,
+        command: Command,
+        known: &KnownInstances,
+        now: Instant,
+    ) {
+        match command {
+            Command::ReadStarts if self.incarnations_may_be_outdated => {
+                log::info!(event = "starts_unknown", group = group.as_str(); "the store was restored from an older copy: it may not know all restarts of instances yet");
+                if let Some(running) = self.attempts.get_mut(group) {
+                    running.attempt.on_event(Event::StartsUnknown, now);
+                }
+            }
+            Command::ReadStarts => {
+                let members = known.members(group).all;
+                let instances = members.into_iter().map(|member| member.name).collect();
+                self.executor.read_starts(group.clone(), instances);
+            }
+            Command::Ask(instance) => self.send_order(group, &instance, Order::Ask, known),
+            Command::Stop { instance, term } => {
+                self.send_order(group, &instance, Order::Stop(term), known);
+            }
+            Command::Demote { instance, term } => {
+                self.send_order(group, &instance, Order::Demote(term), known);
+            }
+            Command::Release(instance) => self.send_order(group, &instance, Order::Release, known),
+            Command::Promote(instance) => {
+                if now + MIN_LEASE_FOR_PROMOTION < self.lease.until {
+                    let coordinator = self.context.identity.node.clone();
+                    self.executor.promote(group.clone(), instance, coordinator, &self.lease);
+                }
+            }
+            Command::Record(ref intent) => {
+                self.executor.record(&self.lease, group.clone(), intent.clone());
+                self.keep_pending(group, command);
+            }
+            Command::Install(successor) => {
+                self.executor.install(&self.lease, group.clone(), successor);
+            }
+            Command::Finish { id, ref successor } => {
+                self.log_end(group, successor.as_ref(), now);
+                self.executor.finish(&self.lease, group.clone(), id, successor.clone());
+                self.keep_pending(group, command);
+            }
+        }
+    }
+
+    fn keep_pending(&mut self, group: &GroupName, command: Command) {
+        if let Some(running) = self.attempts.get_mut(group) {
+            running.pending = Some(command);
+        }
+    }
+
+    fn log_end(&self, group: &GroupName, successor: Option<&Successor>, now: Instant) {
+        let started = self.attempts.get(group).map_or(now, |running| running.started);
+        let took = now.saturating_duration_since(started).as_millis() as u64;
+        log::info!(event = "attempt_over", group = group.as_str(), successor:? = successor, took_ms = took; "the attempt is over");
+        if successor.is_none() {
+            let mut input = self.input.lock().unwrap_or_else(PoisonError::into_inner);
+            input.cancelled.push(group.clone());
+        }
+    }
+
+    fn send_order(
+        &mut self,
+        group: &GroupName,
+        instance: &InstanceName,
+        order: Order,
+        known: &KnownInstances,
+    ) {
+        let Some(address) = known.address(group, instance) else { return };
+        let (group, instance) = (group.clone(), instance.clone());
+        self.executor.send_order(ControlTarget { group, instance, address }, order);
+    }
+}
+
+/// The nodes that the coordinator waits for to report their revoked evidence: those in the machine
+/// list that this node has read, and those in the store. This node's list may be seconds old and
+/// lack nodes that were added since; the store's list was read again when the intent was recorded.
+/// Empty while this node has not read a machine list.
+fn nodes_to_await(context: &NodeContext, coordination: &dyn Coordination) -> Vec<NodeName> {
+    let mut nodes = context.listed_names();
+    if nodes.is_empty() {
+        return nodes;
+    }
+    nodes.extend(coordination.view().nodes.iter().cloned());
+    nodes.sort();
+    nodes.dedup();
+    nodes
+}
--- a/crates/daemon/src/agent/promotion/orders.rs
+++ b/crates/daemon/src/agent/promotion/executor.rs
@@ -1,5 +1,10 @@
-//! Threads that carry commands out, so that a silent instance or a slow store holds nothing up.
-//! Each has one command under way; whoever gives more waits, and gives them again.
+//! Threads that execute the coordinator's commands, so that an instance that does not respond or a
+//! slow store does not block the coordinator.
+//!
+//! There is a thread for each instance and one for changes of the store, each with one command at a
+//! time; promotions and reads of incarnations have a thread for each call. Changes of the store are
+//! queued. An order to an instance is dropped if an earlier order to it is still
+//! queued; the attempt sends its orders again until the instance has answered.
 
 use std::collections::HashMap;
 use std::thread;
@@ -13,23 +18,23 @@
 use kestrellock_store::control::{ControlError, ControlTarget, Order};
 use kestrellock_store::coordination::{Coordination, Hold};
 
-use super::SuccessionServices;
+use super::ReplacementServices;
 
-/// What a thread reports.
+/// Result of a command, or an event that follows from it.
 #[derive(Debug)]
 pub enum Report {
     /// An event of one group's attempt.
     Event(GroupName, Event),
-    /// A successor was recorded, or will be with the end of its attempt.
+    /// The successor was recorded, or will be recorded when its attempt ends.
     Installed,
-    /// The record of a group's attempt was taken back.
+    /// The intent of a group's attempt was removed from the store.
     Finished(GroupName),
-    /// A change of the store did not succeed: give it again.
+    /// A change of the store failed and has to be retried.
     StoreFailed(GroupName),
-    /// The hold was prolonged.
+    /// The coordinator lease was renewed, or its renewal has to be retried.
     Renewed(Hold),
-    /// The hold is over.
-    HoldOver,
+    /// The coordinator lease has ended.
+    LeaseOver,
 }
 
 /// A change of the store.
@@ -41,35 +46,35 @@
     Renew(Hold),
 }
 
-/// The threads.
-pub struct Orders {
-    services: SuccessionServices,
+/// Sends commands to the threads that execute them.
+pub struct Executor {
+    services: ReplacementServices,
     reports: Sender<Report>,
     instances: HashMap<InstanceName, Sender<(ControlTarget, Order)>>,
     store: Sender<StoreCommand>,
 }
 
-impl Orders {
-    /// Starts the thread for the store; the others start with their first command.
-    pub fn start(services: SuccessionServices) -> (Self, Receiver<Report>) {
-        let (reports, received) = unbounded();
+impl Executor {
+    /// Starts the thread for the store; the thread of an instance starts with its first order.
+    pub fn start(services: ReplacementServices) -> (Self, Receiver<Report>) {
+        let (reports, report_receiver) = unbounded();
         let (store, commands) = bounded(64);
         let coordination = services.coordination.clone();
-        let answers = reports.clone();
+        let report_sender = reports.clone();
         spawn("promotion-store", move || {
             for command in commands {
                 let report = change_store(coordination.as_ref(), command);
-                if answers.send(report).is_err() {
+                if report_sender.send(report).is_err() {
                     return;
                 }
             }
         });
-        let orders = Self { services, reports, instances: HashMap::new(), store };
-        (orders, received)
+        let executor = Self { services, reports, instances: HashMap::new(), store };
+        (executor, report_receiver)
     }
 
-    /// Gives an order to an instance, unless its thread is still at an earlier one.
-    pub fn tell(&mut self, target: ControlTarget, order: Order) {
+    /// Sends an order to an instance, unless an earlier order to it is still queued.
+    pub fn send_order(&mut self, target: ControlTarget, order: Order) {
         let sender = self.instances.entry(target.instance.clone()).or_insert_with(|| {
             let (sender, orders) = bounded::<(ControlTarget, Order)>(1);
             let control = self.services.control.clone();
@@ -78,8 +83,8 @@
                 for (target, order) in orders {
                     let sent = Instant::now();
                     let outcome = control.tell(&target, order);
-                    log::info!(event = "order", group = target.group.as_str(), instance = target.instance.as_str(), order:? = order, outcome:? = outcome, took_us = sent.elapsed().as_micros() as u64; "order to an instance");
-                    for event in events_of(&target, order, outcome, sent) {
+                    log::info!(event = "order", group = target.group.as_str(), instance = target.instance.as_str(), order:? = order, outcome:? = outcome, took_us = sent.elapsed().as_micros() as u64; "executed an order to an instance");
+                    for event in events_for(&target, order, outcome, sent) {
                         if reports.send(Report::Event(target.group.clone(), event)).is_err() {
                             return;
                         }
@@ -88,67 +93,75 @@
             });
             sender
         });
-        // An order that finds its thread busy is given again.
+        // If an earlier order is still queued, this one is dropped: the attempt sends it again.
         let _ = sender.try_send((target, order));
     }
 
-    /// Has the platform promote an instance.
-    pub fn promote(&self, group: GroupName, instance: InstanceName, holder: NodeName, hold: &Hold) {
+    /// Asks the platform to promote an instance.
+    pub fn promote(
+        &self,
+        group: GroupName,
+        instance: InstanceName,
+        coordinator: NodeName,
+        lease: &Hold,
+    ) {
         let promotions = self.services.promotions.clone();
-        let (reports, fence) = (self.reports.clone(), hold.fence);
-        let until = hold.until;
+        let (reports, fence) = (self.reports.clone(), lease.fence);
+        let until = lease.until;
         spawn("promotion-call", move || {
-            // Read again: this process may have stood still. After its hold nothing is sent.
+            // The time is read again here, because this process may have been suspended. No
+            // promotion is sent after the end of the lease.
             let answer = match Instant::now() < until {
-                true => promotions.promote(&group, &instance, &holder, fence),
+                true => promotions.promote(&group, &instance, &coordinator, fence),
                 false => PromotionAnswer::Unknown,
             };
-            log::info!(event = "promotion", group = group.as_str(), instance = instance.as_str(), fence = fence, answer:? = answer; "promotion call");
+            log::info!(event = "promotion", group = group.as_str(), instance = instance.as_str(), fence = fence, answer:? = answer; "the platform answered a promotion request");
             let event = Event::Promoted { instance, answer };
-            // Whoever asked may be gone by now.
+            // The coordinator thread may have ended by now.
             let _ = reports.send(Report::Event(group, event));
         });
     }
 
     /// Records an intent.
-    pub fn record(&self, hold: &Hold, group: GroupName, intent: Intent) {
-        self.change(StoreCommand::Record(hold.clone(), group, intent));
+    pub fn record(&self, lease: &Hold, group: GroupName, intent: Intent) {
+        self.send_change(StoreCommand::Record(lease.clone(), group, intent));
     }
 
-    /// Asks the store which starts of their processes instances tell.
+    /// Reads the incarnations of instances from the store.
     pub fn read_starts(&self, group: GroupName, instances: Vec<InstanceName>) {
         let coordination = self.services.coordination.clone();
         let reports = self.reports.clone();
         spawn("promotion-starts", move || {
             let event = read_starts(coordination.as_ref(), &instances);
-            // Whoever asked may be gone by now.
+            // The coordinator thread may have ended by now.
             let _ = reports.send(Report::Event(group, event));
         });
     }
 
-    /// Records a successor.
-    pub fn install(&self, hold: &Hold, group: GroupName, successor: InstanceName) {
-        self.change(StoreCommand::Install(hold.clone(), group, successor));
+    /// Records the successor of a group's primary.
+    pub fn install(&self, lease: &Hold, group: GroupName, successor: InstanceName) {
+        self.send_change(StoreCommand::Install(lease.clone(), group, successor));
     }
 
-    /// Takes a record back.
+    /// Removes the intent of an attempt that has ended.
     pub fn finish(
         &self,
-        hold: &Hold,
+        lease: &Hold,
         group: GroupName,
         id: ReplacementId,
         successor: Option<Successor>,
     ) {
-        self.change(StoreCommand::Finish(hold.clone(), group, id, successor));
+        self.send_change(StoreCommand::Finish(lease.clone(), group, id, successor));
     }
 
-    /// Prolongs the hold.
-    pub fn renew(&self, hold: &Hold) {
-        self.change(StoreCommand::Renew(hold.clone()));
+    /// Renews the coordinator lease.
+    pub fn renew(&self, lease: &Hold) {
+        self.send_change(StoreCommand::Renew(lease.clone()));
     }
 
-    fn change(&self, command: StoreCommand) {
-        // With 64 changes waiting the store has not answered for long: the hold is over soon.
+    fn send_change(&self, command: StoreCommand) {
+        // A full queue of 64 changes means that the store has not responded for a long time, so the
+        // lease is about to end.
         let _ = self.store.try_send(command);
     }
 }
@@ -156,39 +169,39 @@
 fn spawn(name: &str, body: impl FnOnce() + Send + 'static) {
     let spawned = thread::Builder::new().name(name.to_owned()).spawn(body);
     if let Err(error) = spawned {
-        log::error!("a thread for {name} could not be started: {error}");
+        log::error!("failed to start thread {name}: {error}");
     }
 }
 
 fn change_store(coordination: &dyn Coordination, command: StoreCommand) -> Report {
     match command {
-        StoreCommand::Record(hold, group, intent) => {
-            match coordination.record(&hold, &group, &intent) {
+        StoreCommand::Record(lease, group, intent) => {
+            match coordination.record(&lease, &group, &intent) {
                 Ok(true) => Report::Event(group, Event::Recorded(intent)),
-                Ok(false) => Report::HoldOver,
+                Ok(false) => Report::LeaseOver,
                 Err(_) => Report::StoreFailed(group),
             }
         }
-        StoreCommand::Install(hold, group, successor) => {
-            match coordination.install(&hold, &group, &successor) {
+        StoreCommand::Install(lease, group, successor) => {
+            match coordination.install(&lease, &group, &successor) {
                 Ok(true) => Report::Installed,
-                Ok(false) => Report::HoldOver,
-                // It is recorded with the end of the attempt at the latest.
+                Ok(false) => Report::LeaseOver,
+                // Not retried: the successor is recorded when the attempt ends at the latest.
                 Err(_) => Report::Installed,
             }
         }
-        StoreCommand::Finish(hold, group, id, successor) => {
-            match coordination.finish(&hold, &group, id, successor.as_ref()) {
+        StoreCommand::Finish(lease, group, id, successor) => {
+            match coordination.finish(&lease, &group, id, successor.as_ref()) {
                 Ok(true) => Report::Finished(group),
-                Ok(false) => Report::HoldOver,
+                Ok(false) => Report::LeaseOver,
                 Err(_) => Report::StoreFailed(group),
             }
         }
-        StoreCommand::Renew(hold) => match coordination.renew(&hold) {
+        StoreCommand::Renew(lease) => match coordination.renew(&lease) {
             Ok(Some(renewed)) => Report::Renewed(renewed),
-            Ok(None) => Report::HoldOver,
-            // It lasts as long as it did; the next attempt may succeed.
-            Err(_) => Report::Renewed(hold),
+            Ok(None) => Report::LeaseOver,
+            // The lease keeps its end; the next renewal may succeed.
+            Err(_) => Report::Renewed(lease),
         },
     }
 }
@@ -198,14 +211,14 @@
     match coordination.starts(instances) {
         Ok(told) => Event::Starts { told, asked },
         Err(error) => {
-            log::info!(event = "starts_unknown", error = error.to_string().as_str(); "the store does not say which instances have started again");
+            log::info!(event = "starts_unknown", error = error.to_string().as_str(); "the store did not return the incarnations of the instances");
             Event::StartsUnknown
         }
     }
 }
 
-/// What an order's outcome means for the attempt.
-fn events_of(
+/// The events for the attempt that follow from the outcome of an order.
+fn events_for(
     target: &ControlTarget,
     order: Order,
     outcome: Result<Standing, ControlError>,
@@ -214,15 +227,15 @@
     let instance = target.instance.clone();
     match outcome {
         Ok(standing) => {
-            let stands = Event::Stands { instance: instance.clone(), standing, sent };
+            let status_event = Event::Stands { instance: instance.clone(), standing, sent };
             match order {
-                Order::Release => vec![stands, Event::Released(instance)],
-                Order::Ask | Order::Stop(_) | Order::Demote(_) => vec![stands],
+                Order::Release => vec![status_event, Event::Released(instance)],
+                Order::Ask | Order::Stop(_) | Order::Demote(_) => vec![status_event],
             }
         }
         Err(ControlError::Refused) => vec![Event::Refused { instance, sent }],
         Err(ControlError::Displaced) => vec![Event::Displaced { instance, sent }],
-        // An instance that has nothing to be released from says so.
+        // An instance that was not stopped rejects the release.
         Err(ControlError::Rejected(_)) if order == Order::Release => {
             vec![Event::Released(instance)]
         }
--- /dev/null
+++ b/crates/daemon/src/agent/promotion/replacement_checker.rs
@@ -0,0 +1,126 @@
+//! Replacement checks: requests to the store that confirm that no primary replacement is running.
+//!
+//! If only some replicas of a group have reported their status, the reports are evidence for its
+//! primary only together with such a check (`core::primary_evidence`). A check asks the store
+//! whether this node's copy of the replacement state is complete. If it is, the intents and the
+//! last promoted instance in the copy were valid when the check began.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use crossbeam::channel::{Receiver, Sender, TryRecvError, bounded, unbounded};
+use kestrellock_core::ids::GroupName;
+use kestrellock_core::promotion::CoordinationView;
+use kestrellock_store::coordination::Coordination;
+
+use super::ReplacementServices;
+use crate::context::NodeContext;
+
+/// Least time between two checks of a node. Requests to the store are limited in number and
+/// expensive, and the evidence that a check confirms lasts for a second.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Result of a check.
+#[derive(Clone, Copy, Debug)]
+struct CheckResult {
+    /// When the check began.
+    started_at: Instant,
+    /// Revision of the copy, if the copy is complete.
+    revision: Option<u64>,
+}
+
+/// Runs the replacement checks of a node, one at a time.
+pub struct ReplacementChecker {
+    requests: Sender<()>,
+    results: Receiver<CheckResult>,
+    /// Groups that the check in progress is for.
+    in_progress: Option<BTreeSet<GroupName>>,
+    last_start: Option<Instant>,
+}
+
+impl ReplacementChecker {
+    /// Starts the thread that sends the requests; it ends when the checker is dropped.
+    pub fn start(services: &ReplacementServices) -> Self {
+        let (requests, request_receiver) = bounded::<()>(1);
+        let (result_sender, results) = unbounded();
+        let coordination = services.coordination.clone();
+        let spawned = thread::Builder::new()
+            .name("store-look".to_owned())
+            .spawn(move || run_checks(&coordination, &request_receiver, &result_sender));
+        if let Err(error) = spawned {
+            log::error!("failed to start the replacement check thread: {error}");
+        }
+        Self { requests, results, in_progress: None, last_start: None }
+    }
+
+    /// Processes the result of a check, and begins another one if groups wait for it. `view` is the
+    /// copy of the replacement state that this node uses.
+    pub fn step(&mut self, context: &NodeContext, view: &CoordinationView, now: Instant) {
+        match self.results.try_recv() {
+            Ok(result) => {
+                let groups = self.in_progress.take().unwrap_or_default();
+                apply_result(&groups, result, context, view);
+            }
+            Err(TryRecvError::Empty) => {}
+            // The thread could not be started, which was logged.
+            Err(TryRecvError::Disconnected) => return,
+        }
+        let is_early =
+            self.last_start.is_some_and(|last_start| now < last_start + MIN_CHECK_INTERVAL);
+        if self.in_progress.is_some() || is_early {
+            return;
+        }
+        let groups = context.store_looks.take();
+        if !groups.is_empty() && self.requests.try_send(()).is_ok() {
+            self.in_progress = Some(groups);
+            self.last_start = Some(now);
+        }
+    }
+}
+
+fn run_checks(
+    coordination: &Arc<dyn Coordination>,
+    request_receiver: &Receiver<()>,
+    result_sender: &Sender<CheckResult>,
+) {
+    while request_receiver.recv().is_ok() {
+        let started_at = Instant::now();
+        let revision = match coordination.complete_revision() {
+            Ok(revision) => revision,
+            Err(error) => {
+                log::debug!("replacement check failed: {error}");
+                None
+            }
+        };
+        if result_sender.send(CheckResult { started_at, revision }).is_err() {
+            return;
+        }
+    }
+}
+
+fn apply_result(
+    groups: &BTreeSet<GroupName>,
+    result: CheckResult,
+    context: &NodeContext,
+    view: &CoordinationView,
+) {
+    let Some(revision) = result.revision else { return };
+    if view.revision < revision {
+        return;
+    }
+    let catalog = context.catalog.load();
+    for name in groups {
+        let Some(group) = catalog.groups.get(name) else { continue };
+        let promoted = view.promoted.get(name).map(|successor| &successor.instance);
+        let is_promotion_active = group.promoted.as_ref() == promoted;
+        let has_active_intent = context.intents.load().contains_key(name);
+        let is_replaced = has_active_intent
+            || view.intents.contains_key(name)
+            || !group.is_led_by_last_promoted();
+        if is_promotion_active && !is_replaced {
+            context.statuses.on_replacement_check(name, result.started_at);
+        }
+    }
+}
--- a/crates/daemon/src/gateway/confirmation.rs
+++ b/crates/daemon/src/gateway/confirmation.rs
@@ -1,5 +1,10 @@
-//! Commits whose answers wait until others of the group have confirmed them: a majority by probes, or, where the
-//! proxy replaces primaries and would not wait for this node, the replicas by how they stand.
+//! Holds back the answers of commits until other instances of the group have confirmed them.
+//!
+//! If the group elects its primary, a majority confirms a commit in its answers to probes. If the
+//! proxy replaces primaries, this node must know that the commit cannot be lost to a replacement. A
+//! node on the machine list acknowledges commits at once, because a coordinator waits for it before
+//! it promotes another instance. A node that is not listed yet first queries the replication status
+//! of the replicas.
 
 use std::time::{Duration, Instant};
 
@@ -14,60 +19,61 @@
 use kestrellock_peer::message::{LeaseEvent, TransactionState};
 use kestrellock_protocol::backend::Report;
 
-use super::notify;
+use super::notify_front;
 use super::server::ProbeAnswer;
 use crate::event::Io;
 use crate::policy::Policy;
-use crate::shared::statuses::WordOnCommit;
+use crate::shared::statuses::CommitConfirmation;
 
-/// Time after which replicas that have not confirmed a commit are asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(60);
+/// Interval after which replicas that have not confirmed a commit are queried again.
+const STATUS_QUERY_INTERVAL: Duration = Duration::from_millis(60);
 
 /// A commit that its primary has answered.
 #[derive(Debug)]
 pub struct Commit {
-    /// Lease that waits.
+    /// Lease of the commit.
     pub lease: LeaseId,
-    /// Number of the message that will answer it.
+    /// Sequence number of the event that will carry the answer.
     pub sequence: u32,
-    /// Instance that ran it.
+    /// Instance that ran the commit.
     pub instance: InstanceName,
-    /// What the instance said of itself right after; `None` if it did not say.
+    /// The instance's report right after the commit, if there was one.
     pub report: Option<Report>,
-    /// Latest time to answer.
+    /// Latest time to answer the client.
     pub deadline: Instant,
-    /// The answer held back.
+    /// The answer that is held back.
     pub frames: Bytes,
-    /// Transaction state after it.
+    /// Transaction state after the commit.
     pub transaction: TransactionState,
 }
 
-/// What shows that a commit stays.
+/// How a pending commit is confirmed.
 #[derive(Debug)]
-enum Proof {
-    /// Probes sent after it.
+enum ConfirmationMethod {
+    /// Answers to probes that were sent after the commit.
     Probes(Confirmation),
-    /// What replicas say that are asked after its answer came, and the store where some do not.
-    Standings {
-        /// Where the commit stands.
+    /// Replication statuses queried after the answer arrived, and a replacement check by the store
+    /// if some replicas do not answer.
+    ReplicaStatuses {
+        /// Position of the commit.
         position: Position,
-        /// When its answer came.
+        /// When the answer of the commit arrived.
         answered: Instant,
     },
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingCommit {
     commit: Commit,
-    proof: Proof,
+    method: ConfirmationMethod,
 }
 
-impl Waiting {
-    /// When the answer came of a commit that waits for the word of replicas.
-    fn wants_standings_since(&self) -> Option<Instant> {
-        match &self.proof {
-            Proof::Probes(_) => None,
-            Proof::Standings { answered, .. } => Some(*answered),
+impl PendingCommit {
+    /// When the answer of the commit arrived, if it waits for replication statuses.
+    fn awaits_replica_statuses_since(&self) -> Option<Instant> {
+        match &self.method {
+            ConfirmationMethod::Probes(_) => None,
+            ConfirmationMethod::ReplicaStatuses { answered, .. } => Some(*answered),
         }
     }
 }
@@ -75,26 +81,26 @@
 /// Commits of one group that wait for confirmation.
 #[derive(Debug, Default)]
 pub struct Confirmations {
-    waiting: Vec<Waiting>,
+    pending: Vec<PendingCommit>,
     highest_term: Term,
     last_probe: ProbeNumber,
-    /// When replicas were last asked how they stand.
-    asked_standings: Option<Instant>,
+    /// When the replicas were last queried.
+    last_status_query: Option<Instant>,
 }
 
 impl Confirmations {
     /// Whether any commit waits.
     pub fn is_waiting(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.pending.is_empty()
     }
 
-    /// The first probe that the newest waiting commit counts.
+    /// The first probe that counts for the newest waiting commit.
     pub fn wanted_probe(&self) -> Option<ProbeNumber> {
-        let first_probe = |waiting: &Waiting| match &waiting.proof {
-            Proof::Probes(confirmation) => Some(confirmation.first_probe()),
-            Proof::Standings { .. } => None,
+        let first_probe = |pending: &PendingCommit| match &pending.method {
+            ConfirmationMethod::Probes(confirmation) => Some(confirmation.first_probe()),
+            ConfirmationMethod::ReplicaStatuses { .. } => None,
         };
-        self.waiting.iter().filter_map(first_probe).max()
+        self.pending.iter().filter_map(first_probe).max()
     }
 
     /// Highest term that any instance has reported.
@@ -103,7 +109,7 @@
     }
 
     /// The number that the next probe will have.
-    pub fn coming_probe(&self) -> ProbeNumber {
+    pub fn upcoming_probe(&self) -> ProbeNumber {
         self.last_probe.next()
     }
 
@@ -113,12 +119,13 @@
         self.last_probe
     }
 
-    /// Adds a commit; its own primary, which reported after it, is the first to confirm.
-    pub fn wait_for(&mut self, commit: Commit, group: &Group, io: &mut Io) {
+    /// Adds a commit. The report of its primary is the first confirmation and may already suffice.
+    pub fn add_commit(&mut self, commit: Commit, group: &Group, io: &mut Io) {
         let Some(report) = commit.report else {
             return refuse(commit, Progress::Answered, Fault::BackendLost, io);
         };
-        // It led when it committed: it has stepped down since, and may have to drop the commit.
+        // The instance was primary when it committed. It has been demoted since, and may have to
+        // discard the commit.
         if report.role == Role::Replica {
             return refuse(commit, Progress::Unconfirmed, Fault::Superseded, io);
         }
@@ -133,8 +140,8 @@
         let instance = commit.instance.clone();
         let confirmation = Confirmation::new(instance, position, group.confirmation, first_probe);
         if confirmation.verdict(group.majority()) != Verdict::Confirmed {
-            let proof = Proof::Probes(confirmation);
-            return self.waiting.push(Waiting { commit, proof });
+            let method = ConfirmationMethod::Probes(confirmation);
+            return self.pending.push(PendingCommit { commit, method });
         }
         if group.elector == Elector::Group || io.context.is_waited_for() {
             return acknowledge(commit, Some(position), io);
@@ -145,70 +152,72 @@
             instance = commit.instance.as_str(),
             term = position.term.0,
             offset = position.offset.0;
-            "the machine list does not name this node yet: replicas are asked whether the commit stays"
+            "the machine list does not name this node yet; querying replicas to confirm the commit"
         );
-        let proof = Proof::Standings { position, answered: Instant::now() };
-        self.waiting.push(Waiting { commit, proof });
+        let method = ConfirmationMethod::ReplicaStatuses { position, answered: Instant::now() };
+        self.pending.push(PendingCommit { commit, method });
     }
 
-    /// Whether replicas are to be asked now how they stand.
-    pub fn should_ask_standings(&mut self, now: Instant) -> bool {
-        let newest = self.waiting.iter().filter_map(Waiting::wants_standings_since).max();
+    /// Whether the replicas are due to be queried now.
+    pub fn should_query_replicas(&mut self, now: Instant) -> bool {
+        let newest =
+            self.pending.iter().filter_map(PendingCommit::awaits_replica_statuses_since).max();
         let Some(newest) = newest else { return false };
-        let is_due = |asked: Instant| asked <= newest || now >= asked + ASK_AGAIN;
-        let asks = self.asked_standings.is_none_or(is_due);
+        let is_due = |asked: Instant| asked <= newest || now >= asked + STATUS_QUERY_INTERVAL;
+        let asks = self.last_status_query.is_none_or(is_due);
         if asks {
-            // Read again: the answer may have come since the event was taken up.
-            self.asked_standings = Some(Instant::now());
+            // Read the clock again: the answer may have arrived after this process received the
+            // event.
+            self.last_status_query = Some(Instant::now());
         }
         asks
     }
 
-    /// Answers the commits that the word of replicas decides.
-    pub fn decide_by_standings(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
+    /// Answers the commits that the replication statuses of the replicas decide.
+    pub fn resolve_by_replica_statuses(&mut self, name: &GroupName, group: &Group, io: &mut Io) {
         let mut kept = Vec::new();
-        for waiting in std::mem::take(&mut self.waiting) {
-            let Proof::Standings { position, answered } = waiting.proof else {
-                kept.push(waiting);
+        for pending in std::mem::take(&mut self.pending) {
+            let ConfirmationMethod::ReplicaStatuses { position, answered } = pending.method else {
+                kept.push(pending);
                 continue;
             };
             let (term, replication) = (position.term, group.replication());
             let statuses = &io.context.statuses;
-            match statuses.word_on_commit(name, term, replication, answered, Instant::now()) {
-                WordOnCommit::Confirmed => acknowledge(waiting.commit, Some(position), io),
-                WordOnCommit::Replaced => {
-                    refuse(waiting.commit, Progress::Unconfirmed, Fault::Superseded, io);
+            match statuses.commit_confirmation(name, term, replication, answered, Instant::now()) {
+                CommitConfirmation::Confirmed => acknowledge(pending.commit, Some(position), io),
+                CommitConfirmation::Replaced => {
+                    refuse(pending.commit, Progress::Unconfirmed, Fault::Superseded, io);
                 }
-                WordOnCommit::LacksTheStore => {
-                    io.context.store_looks.want(name);
-                    kept.push(waiting);
+                CommitConfirmation::LacksReplacementCheck => {
+                    io.context.store_looks.request(name);
+                    kept.push(pending);
                 }
-                WordOnCommit::Missing => kept.push(waiting),
+                CommitConfirmation::Unconfirmed => kept.push(pending),
             }
         }
-        self.waiting = kept;
+        self.pending = kept;
     }
 
     /// Leases whose commits wait.
     pub fn leases(&self) -> impl Iterator<Item = &LeaseId> {
-        self.waiting.iter().map(|waiting| &waiting.commit.lease)
+        self.pending.iter().map(|pending| &pending.commit.lease)
     }
 
-    /// Drops a commit whose caller is gone.
+    /// Drops the pending commit of an abandoned lease.
     pub fn forget(&mut self, lease: &LeaseId) {
-        self.waiting.retain(|waiting| waiting.commit.lease != *lease);
+        self.pending.retain(|pending| pending.commit.lease != *lease);
     }
 
-    /// Gives up the commits of a front that cannot be reached. They have taken effect, so the front is
-    /// told that their outcome is in doubt: it may come back on another connection and ask.
-    pub fn give_up_node(&mut self, node: &NodeName, io: &mut Io) {
-        let of_node = |waiting: &mut Waiting| waiting.commit.lease.node == *node;
-        for waiting in self.waiting.extract_if(.., of_node) {
-            refuse(waiting.commit, Progress::Unconfirmed, Fault::GatewayLost, io);
+    /// Ends the wait for the commits of an unreachable front. They have taken effect, so the front
+    /// is told that their outcome is in doubt: it may reconnect and ask for it.
+    pub fn fail_commits_of_node(&mut self, node: &NodeName, io: &mut Io) {
+        let of_node = |pending: &mut PendingCommit| pending.commit.lease.node == *node;
+        for pending in self.pending.extract_if(.., of_node) {
+            refuse(pending.commit, Progress::Unconfirmed, Fault::GatewayLost, io);
         }
     }
 
-    /// Takes in an instance's answer, and answers the commits that it decides.
+    /// Processes an instance's answer to a probe, and answers the commits that it decides.
     pub fn on_report(
         &mut self,
         instance: &InstanceName,
@@ -220,33 +229,33 @@
         self.highest_term = self.highest_term.max(flushed.term);
         let evidence = Evidence { instance, probe: answer.number, flushed };
         let mut kept = Vec::new();
-        for mut waiting in std::mem::take(&mut self.waiting) {
-            let Proof::Probes(confirmation) = &mut waiting.proof else {
-                kept.push(waiting);
+        for mut pending in std::mem::take(&mut self.pending) {
+            let ConfirmationMethod::Probes(confirmation) = &mut pending.method else {
+                kept.push(pending);
                 continue;
             };
             match confirmation.on_evidence(evidence, group.majority()) {
-                Verdict::Waiting => kept.push(waiting),
+                Verdict::Waiting => kept.push(pending),
                 Verdict::Confirmed => {
                     let position = confirmation.position();
-                    acknowledge(waiting.commit, Some(position), io);
+                    acknowledge(pending.commit, Some(position), io);
                 }
                 Verdict::Superseded(_) => {
-                    refuse(waiting.commit, Progress::Unconfirmed, Fault::Superseded, io);
+                    refuse(pending.commit, Progress::Unconfirmed, Fault::Superseded, io);
                 }
             }
         }
-        self.waiting = kept;
+        self.pending = kept;
     }
 
-    /// Answers commits whose time is up: in doubt.
+    /// Answers the commits whose deadline has passed: their outcome is in doubt.
     pub fn expire(&mut self, io: &mut Io) {
-        let (late, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting)
+        let (late, kept): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(|waiting| waiting.commit.deadline <= io.now);
-        self.waiting = kept;
-        for waiting in late {
-            refuse(waiting.commit, Progress::Unconfirmed, Fault::Deadline, io);
+            .partition(|pending| pending.commit.deadline <= io.now);
+        self.pending = kept;
+        for pending in late {
+            refuse(pending.commit, Progress::Unconfirmed, Fault::Deadline, io);
         }
     }
 }
@@ -254,11 +263,11 @@
 fn acknowledge(commit: Commit, confirmed: Option<Position>, io: &mut Io) {
     let Commit { lease, sequence, frames, transaction, instance, .. } = commit;
     let event = LeaseEvent::Done { frames, transaction, confirmed, instance };
-    notify(&lease, sequence, event, io);
+    notify_front(&lease, sequence, event, io);
 }
 
-/// An old primary has answered so late after its replacement began that another instance may have been chosen without
-/// the commit: the outcome is in doubt.
+/// Answers a commit that an old primary acknowledged so long after its replacement began that
+/// another instance may have been chosen without the commit: the outcome is in doubt.
 pub fn refuse_late(group: &GroupName, commit: Commit, io: &mut Io) {
     log::info!(
         event = "answer_too_late",
@@ -278,5 +287,5 @@
         _ => "the primary did not say where the commit stands",
     };
     let refusal = Refusal::new(failure_code(stake, progress, fault), detail);
-    notify(&commit.lease, commit.sequence, LeaseEvent::Refused(refusal), io);
+    notify_front(&commit.lease, commit.sequence, LeaseEvent::Refused(refusal), io);
 }
--- /dev/null
+++ b/crates/daemon/src/gateway/evidence_queries.rs
@@ -0,0 +1,98 @@
+//! Paces status queries for evidence that a group's primary still leads.
+//!
+//! Statements may not read at the primary without such evidence. Each group has at most one round
+//! of queries at a time; rounds whose answers do not help are repeated with growing delays.
+
+use std::time::{Duration, Instant};
+
+use kestrellock_core::catalog::{Group, Instance};
+use kestrellock_core::ids::{GroupName, InstanceName};
+use kestrellock_core::retry::{Backoff, Repetition};
+use kestrellock_core::routing::Role;
+
+use crate::event::Io;
+
+/// Time after which instances that have not answered are queried again.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
+/// Delays between rounds whose answers did not help. They start over after 500 ms without a round.
+/// After a round that helped, the evidence lasts much longer than any of these delays.
+const QUERY_REPETITION: Repetition = Repetition::new(
+    Backoff::new(Duration::from_millis(8), Duration::from_millis(60)),
+    Duration::from_millis(500),
+);
+
+#[derive(Debug)]
+struct QueryRound {
+    asked: Instant,
+    answered: bool,
+    /// Time from the start of the round until the next one, if the round has been answered.
+    delay: Duration,
+}
+
+/// Rounds of queries about one group's primary.
+#[derive(Debug)]
+pub struct EvidenceQueries {
+    latest: Option<QueryRound>,
+    repetition: Repetition,
+}
+
+impl Default for EvidenceQueries {
+    fn default() -> Self {
+        Self { latest: None, repetition: QUERY_REPETITION }
+    }
+}
+
+impl EvidenceQueries {
+    /// The instances to query now for evidence about the primary of `name`; none while the latest
+    /// round is still pending or its delay has not passed.
+    pub fn instances_to_query(
+        &mut self,
+        name: &GroupName,
+        group: &Group,
+        io: &Io,
+    ) -> Vec<InstanceName> {
+        if let Some(round) = &self.latest {
+            let limit = if round.answered { round.delay } else { ANSWER_TIMEOUT };
+            if io.now < round.asked + limit {
+                return Vec::new();
+            }
+        }
+        let chosen = instances_lacking_evidence(name, group, io);
+        if !chosen.is_empty() {
+            let delay = self.repetition.on_asked(io.now, rand::random());
+            self.latest = Some(QueryRound { asked: Instant::now(), answered: false, delay });
+        }
+        chosen
+    }
+
+    /// An instance has reported its status, or could not be queried.
+    pub fn on_answer(&mut self) {
+        if let Some(round) = &mut self.latest {
+            round.answered = true;
+        }
+    }
+}
+
+/// The instances whose status is needed as evidence.
+///
+/// These are all replicas whose last report does not cover requests that arrive now: if every
+/// replica answers, the store need not be asked. The primary is included if it is not known to lead
+/// the term that its replicas follow.
+fn instances_lacking_evidence(name: &GroupName, group: &Group, io: &Io) -> Vec<InstanceName> {
+    let board = io.context.statuses.group(name);
+    let known = board.read().expect("a holder of the status lock panicked");
+    let leader = io.context.leader(name, group).map(|leader| &leader.name);
+    let newest_term = known.evidence.highest_led();
+    let leads = leader.and_then(|leader| known.led_term_of(leader));
+    let term = leads.unwrap_or(newest_term);
+    let lifetime = io.context.evidence_life();
+    let is_due = |instance: &&Instance| {
+        let is_replica = instance.announced_role == Some(Role::Replica);
+        let is_covered = known.evidence.is_shown_by(&instance.name, term, lifetime, io.now);
+        let is_running = !io.context.occupants.is_displaced(group, instance);
+        is_replica && is_running && leader != Some(&instance.name) && !is_covered
+    };
+    let replicas = group.instances.iter().filter(is_due).map(|replica| &replica.name);
+    let primary = leader.filter(|_| leads != Some(newest_term));
+    replicas.chain(primary).cloned().collect()
+}
--- /dev/null
+++ b/crates/daemon/src/gateway/instance_choice.rs
@@ -0,0 +1,192 @@
+//! Chooses the instance of a group that runs a statement, from the statuses and evidence that this
+//! node has learned from the instances' answers.
+//!
+//! A read needs evidence that the primary still leads, because an old primary that does not know of
+//! its replacement serves stale data. The evidence must be no older than the staleness that the
+//! read accepts. The read then runs at the primary, or at a replica that has reached a position
+//! which the primary reported while the evidence was valid. A statement that reads nothing needs
+//! evidence only if the group has no synchronous replicas.
+//!
+//! A statement that must run at the primary never goes to an instance that is being replaced, that
+//! is in a drained zone, or that may have been replaced without this node's knowledge.
+
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+use kestrellock_core::catalog::{Group, IndexedCatalog, Instance};
+use kestrellock_core::ids::{GroupName, InstanceName};
+use kestrellock_core::position::Position;
+use kestrellock_core::reader_choice::{self, Reader};
+use kestrellock_core::routing::{Access, Role};
+
+use super::pool::Pool;
+use crate::event::Io;
+use crate::shared::exchange_record::ExchangeRecord;
+use crate::shared::statuses::GroupStatuses;
+
+/// The instance for an exchange, or why there is none now.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum InstanceChoice {
+    /// This instance runs the exchange.
+    Instance(InstanceName),
+    /// No instance qualifies now.
+    NoneQualifies,
+    /// Evidence is missing that the primary still leads.
+    NeedsEvidence,
+    /// Enough replicas have shown that the primary still leads, but the store has yet to confirm
+    /// that the primary is not being replaced.
+    NeedsStore,
+}
+
+/// What a statement requires of the instance that runs it.
+#[derive(Clone, Copy)]
+pub struct StatementNeeds<'a> {
+    /// When the statement arrived.
+    pub arrived: Instant,
+    /// Maximum age of the data that it reads; `None` if it reads nothing.
+    pub staleness: Option<Duration>,
+    /// An instance that has just failed to run it.
+    pub passed_over: Option<&'a InstanceName>,
+    /// The group's pools; exchanges queued there run before it.
+    pub pools: &'a HashMap<InstanceName, Pool>,
+}
+
+/// Chooses the instance for `access`. For a read, the position that the instance must have reached
+/// is joined into the bound of `access`, because the instance itself checks the bound.
+pub fn choose_instance(
+    group: &GroupName,
+    configured: &Group,
+    access: &mut Access,
+    needs: StatementNeeds,
+    io: &Io,
+) -> InstanceChoice {
+    let catalog = io.context.catalog.load();
+    let board = io.context.statuses.group(group);
+    let known = board.read().expect("a holder of the status lock panicked");
+    let primary = io.context.leader(group, configured);
+    let synchronous = configured.synchronous_replicas;
+    let (replication, lifetime) = (configured.replication(), io.context.evidence_life());
+    let covered_until =
+        primary.and_then(|primary| known.covered_until(&primary.name, replication, lifetime));
+    // The time that evidence must cover. If the clock cannot represent it, use the arrival time,
+    // which is stricter.
+    let moment = |staleness| needs.arrived.checked_sub(staleness).unwrap_or(needs.arrived);
+    let missing_evidence = |moment: Instant| {
+        let only_store = primary.is_some_and(|primary| {
+            known.lacks_only_replacement_check(&primary.name, replication, lifetime, moment, io.now)
+        });
+        if only_store { InstanceChoice::NeedsStore } else { InstanceChoice::NeedsEvidence }
+    };
+    let chosen = match access {
+        Access::Read { bound, max_staleness } => {
+            let moment = moment(*max_staleness);
+            let at_primary = covered_until.is_some_and(|covered_until| moment <= covered_until);
+            let read_position = covered_until
+                .and_then(|covered_until| known.primary_samples.covering(moment, covered_until));
+            let same_term = known.primary_samples.term() == known.evidence.term();
+            let read_position = read_position.filter(|_| same_term);
+            if !at_primary && read_position.is_none() {
+                return missing_evidence(moment);
+            }
+            if let Some(read_position) = read_position {
+                *bound = Some(bound.map_or(read_position, |bound| bound.join(read_position)));
+            }
+            let primary = primary.map(|primary| &primary.name);
+            let qualifies = EligibleReaders {
+                primary: primary.filter(|_| at_primary),
+                replicas: read_position.is_some(),
+            };
+            choose_reader(configured, &catalog, &known, bound, qualifies, needs, io)
+        }
+        Access::PrimaryRead { .. } | Access::Write { .. } => {
+            // A primary that is being replaced gets no new work.
+            let intents = io.context.intents.load();
+            let replaced = intents.get(group).map(|intent| intent.former.as_ref());
+            if replaced.is_some_and(|replaced| replaced == primary.map(|primary| &primary.name)) {
+                return InstanceChoice::NoneQualifies;
+            }
+            // An instance in another zone is about to replace a primary in a drained zone.
+            if primary.is_some_and(|primary| catalog.drained_zones().contains(&primary.zone)) {
+                return InstanceChoice::NoneQualifies;
+            }
+            if primary.is_some_and(|primary| may_be_replaced(configured, primary, &known)) {
+                return InstanceChoice::NeedsEvidence;
+            }
+            // Without synchronous replicas an old primary continues to commit after its
+            // replacement, so that even statements that read nothing need evidence.
+            let no_staleness = (synchronous == 0).then_some(Duration::ZERO);
+            let staleness = needs.staleness.or(no_staleness);
+            let uncovered = staleness
+                .map(moment)
+                .filter(|moment| covered_until.is_none_or(|covered_until| *moment > covered_until));
+            if let (Some(moment), Some(_)) = (uncovered, primary) {
+                return missing_evidence(moment);
+            }
+            primary
+        }
+    };
+    let Some(instance) = chosen else { return InstanceChoice::NoneQualifies };
+    io.context.metrics.count_route(access, instance.announced_role);
+    InstanceChoice::Instance(instance.name.clone())
+}
+
+/// Whether a newer primary than this one is known, or may have been promoted. In the second case
+/// the instance gets no writes until it has reported the term that it leads.
+fn may_be_replaced(configured: &Group, primary: &Instance, known: &GroupStatuses) -> bool {
+    let leads = known.led_term_of(&primary.name);
+    let is_unproven = leads.is_none() && !configured.is_last_promoted(&primary.name);
+    is_unproven || known.evidence.is_outdated(leads)
+}
+
+/// Which instances may serve a read.
+#[derive(Clone, Copy, Debug)]
+struct EligibleReaders<'a> {
+    /// The primary, if it may serve the read.
+    primary: Option<&'a InstanceName>,
+    /// Whether replicas may serve the read.
+    replicas: bool,
+}
+
+fn choose_reader<'a>(
+    configured: &'a Group,
+    catalog: &IndexedCatalog,
+    known: &GroupStatuses,
+    position: &Option<Position>,
+    qualifies: EligibleReaders<'_>,
+    needs: StatementNeeds,
+    io: &Io,
+) -> Option<&'a Instance> {
+    let may_serve = |instance: &&Instance| {
+        let is_replica = instance.announced_role == Some(Role::Replica);
+        let qualifies = match qualifies.primary == Some(&instance.name) {
+            true => true,
+            false => qualifies.replicas && is_replica,
+        };
+        let is_running = !io.context.occupants.is_displaced(configured, instance);
+        let takes_work = catalog.accepts_work(instance);
+        qualifies && is_running && takes_work && needs.passed_over != Some(&instance.name)
+    };
+    let queued = |name| needs.pools.get(name).map_or(0, |pool| pool.waiting() as u32);
+    let readers: Vec<Reader> = configured
+        .instances
+        .iter()
+        .filter(may_serve)
+        .map(|instance| {
+            let unknown = ExchangeRecord::default();
+            let record = known.exchange_records.get(&instance.name).unwrap_or(&unknown);
+            Reader {
+                instance: &instance.name,
+                is_local: instance.zone == io.context.identity.zone,
+                reached: record
+                    .last_position
+                    .filter(|_| instance.announced_role == Some(Role::Replica)),
+                reached_for: record.last_position_at.map(|at| io.now.saturating_duration_since(at)),
+                service: record.mean_service_time,
+                running: record.in_flight() + queued(&instance.name),
+                slots: instance.slots,
+                in_doubt: record.in_doubt,
+            }
+        })
+        .collect();
+    configured.instance(reader_choice::choose(&readers, position.as_ref())?)
+}
--- a/crates/daemon/src/gateway/leases.rs
+++ b/crates/daemon/src/gateway/leases.rs
@@ -1,4 +1,5 @@
-//! Leases that end, or whose statement is cancelled, from the front's side: nobody waits any more.
+//! Ends leases that their fronts have abandoned or that belong to lost nodes, and forwards cancel
+//! requests.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,13 +14,14 @@
 use super::{Gateway, GroupGateway};
 use crate::event::Io;
 
-/// Time for which an exchange may arrive that was ruled out: longer than any cut through which bytes
-/// of a connection survive (the system gives up sending after a quarter of an hour).
-const RULED_OUT_FOR: Duration = Duration::from_secs(1_200);
+/// How long to remember a lease whose front was told that its exchange has not run. The exchange
+/// may still arrive late. This is longer than the longest network outage that a TCP connection
+/// survives: the kernel stops retransmitting after about 15 minutes.
+const NOT_RUN_RETENTION: Duration = Duration::from_secs(1_200);
 
 impl Gateway {
-    /// The front of `node` has exactly the leases `held`: its others are over.
-    pub fn keep_only(&mut self, node: &NodeName, held: &[HeldLease], io: &mut Io) {
+    /// Ends all leases of the front of `node` except `held`, which are those that it still has.
+    pub fn retain_leases(&mut self, node: &NodeName, held: &[HeldLease], io: &mut Io) {
         let held: HashSet<&LeaseId> = held.iter().map(|held| &held.lease).collect();
         let mut known: Vec<LeaseId> = self.leases.keys().cloned().collect();
         for state in self.groups.values() {
@@ -34,8 +36,8 @@
         }
     }
 
-    /// Whether an exchange of the lease runs, waits, or has an answer that waits for confirmation.
-    pub fn is_under_way(&self, lease: &LeaseId) -> bool {
+    /// Whether an exchange of the lease runs, is queued, or has an answer that awaits confirmation.
+    pub fn is_lease_active(&self, lease: &LeaseId) -> bool {
         let runs = self.leases.get(lease).is_some_and(|key| !self.servers[*key].is_idle());
         let waits = |state: &GroupGateway| {
             let queued = state.pools.values().flat_map(Pool::queued_leases).any(|id| id == lease);
@@ -45,15 +47,17 @@
         runs || self.groups.values().any(waits)
     }
 
-    /// The front of a lease is told that its exchange has not run: from now on it must not. An older
-    /// connection that this node still reads may yet bring it.
-    pub fn rule_out(&mut self, lease: &LeaseId, io: &mut Io) {
+    /// Records that the front of a lease is told that its exchange has not run, so the exchange
+    /// must not run later either. It may still arrive on an older link that this node has not read
+    /// to its end; it is then dropped.
+    pub fn mark_not_run(&mut self, lease: &LeaseId, io: &mut Io) {
         self.on_abandon(lease, io);
-        self.ruled_out.retain(|_, since| io.now < *since + RULED_OUT_FOR);
-        self.ruled_out.insert(lease.clone(), io.now);
+        self.reported_not_run.retain(|_, since| io.now < *since + NOT_RUN_RETENTION);
+        self.reported_not_run.insert(lease.clone(), io.now);
     }
 
-    /// Nobody waits for what the lease has under way.
+    /// Drops the lease's queued exchange or waiting commit, and ends its use of a connection: the
+    /// front no longer waits for an answer.
     pub fn on_abandon(&mut self, lease: &LeaseId, io: &mut Io) {
         self.zone_drains.take_ended(lease);
         for state in self.groups.values_mut() {
@@ -62,28 +66,29 @@
             state.placements.forget(lease);
         }
         if let Some(&key) = self.leases.get(lease) {
-            self.release(key, io);
+            self.terminate_lease(key, io);
         }
     }
 
-    /// Ends the lease of a connection that nobody waits for. An open transaction is rolled back
-    /// before the connection is used again; with an exchange under way it is closed instead.
-    pub(super) fn release(&mut self, key: usize, io: &mut Io) {
+    /// Ends the lease of a connection after its exchange was abandoned or refused. An open
+    /// transaction is rolled back before the connection is reused; if an exchange is running, the
+    /// connection is closed.
+    pub(super) fn terminate_lease(&mut self, key: usize, io: &mut Io) {
         let Some(server) = self.servers.get_mut(key) else { return };
         if let Some(lease) = server.lease() {
             self.leases.remove(lease);
         }
-        if !server.reset(io) || server.flush(io).is_err() {
+        if !server.roll_back(io) || server.flush(io).is_err() {
             self.on_server_lost(key, Fault::BackendLost, io);
         }
     }
 
-    /// Gives up everything on behalf of a node that cannot be reached: its fronts have told their
-    /// callers, and no message from them will end what they began.
+    /// Ends all work for the fronts of an unreachable node. These fronts have already answered
+    /// their clients, and no further message from them will end their leases.
     pub fn on_peer_lost(&mut self, node: &NodeName, io: &mut Io) {
         for state in self.groups.values_mut() {
             state.pools.values_mut().for_each(|pool| pool.forget_node(node));
-            state.confirmations.give_up_node(node, io);
+            state.confirmations.fail_commits_of_node(node, io);
             state.placements.forget_node(node);
         }
         let orphans: Vec<usize> = self
@@ -93,11 +98,11 @@
             .map(|(_, key)| *key)
             .collect();
         for key in orphans {
-            self.release(key, io);
+            self.terminate_lease(key, io);
         }
     }
 
-    /// Asks the back end to cancel what runs on a lease.
+    /// Asks the instance to cancel the statement that runs on a lease.
     pub(super) fn on_cancel(&mut self, group: &Group, lease: &LeaseId, io: &mut Io) {
         let Some(&key) = self.leases.get(lease) else { return };
         let Some(instance) = group.instance(&self.servers[key].instance) else { return };
--- a/crates/daemon/src/gateway/server.rs
+++ b/crates/daemon/src/gateway/server.rs
@@ -1,5 +1,7 @@
-//! One connection to a back end: start-up, one exchange at a time, answers in order. What it makes of
-//! the back end's messages is in [`replies`].
+//! A connection to an instance. It starts up, runs one exchange, status query or probe at a time,
+//! and sends the events of a lease to its front in order.
+//!
+//! [`replies`] processes the messages of the instance.
 
 mod replies;
 
@@ -19,26 +21,26 @@
 use slab::Slab;
 
 use super::confirmation::Commit;
-use super::notify;
-use super::running::{Running, stake_of};
+use super::notify_front;
+use super::running_exchange::{RunningExchange, stake_of};
 use crate::event::{Io, Part, token};
 use crate::metrics::ConnectionEvent;
 use crate::net::connect::connect_from;
 use crate::net::connection::{Connection, ReadOutcome};
 use crate::net::liveness::TO_INSTANCES;
 
-/// Time an exchange gets beyond its deadline before its connection is given up; less than the
-/// front's own patience, so that the caller hears the more exact outcome.
-const DEADLINE_GRACE: Duration = Duration::from_millis(50);
-/// Time in which a replica must say whether it follows its primary.
-const STATUS_LIMIT: Duration = Duration::from_millis(150);
-/// Time a connection gets to roll an abandoned transaction back.
-const RESET_LIMIT: Duration = Duration::from_secs(1);
+/// Time beyond the deadline of an exchange after which its connection is closed. It is shorter than
+/// the front's own grace period, so that the client gets the more exact outcome from the gateway.
+const DEADLINE_GRACE_PERIOD: Duration = Duration::from_millis(50);
+/// Time within which an instance must answer a status query.
+const STATUS_QUERY_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time within which a connection must roll back an abandoned transaction or discard session state.
+const CLEANUP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
-    /// Callers' statements.
+pub enum Purpose {
+    /// Statements of clients, and status queries.
     Pooled,
     /// Position probes.
     Probe,
@@ -46,44 +48,45 @@
     Cancel,
 }
 
-/// What came of reading a connection.
+/// An event that results from the messages of an instance.
 #[derive(Debug)]
 pub enum ServerEvent {
-    /// Start-up is over; the instance told this position.
+    /// Start-up is complete; the instance may have reported its position.
     Started(Option<Position>),
-    /// The connection can be used again.
+    /// The connection is idle after start-up, a probe or a status query.
     Ready,
-    /// The back end broke the protocol, or its answer to the start-up was an error.
+    /// The connection must be closed, for example because the instance violated the protocol or
+    /// refused the start-up.
     Unusable,
-    /// The back end accepts no further connection now.
+    /// The instance accepts no further connections now.
     Refused,
     /// Another instance listens at the instance's address.
     Displaced,
     /// The instance has answered an exchange.
     Answered,
-    /// The instance had no room for an exchange.
-    NoRoom,
-    /// The exchange is over and its transaction still open.
+    /// The instance refused an exchange because it was busy.
+    InstanceBusy,
+    /// The exchange is complete and its transaction is still open.
     TransactionOpen,
-    /// The transaction is over and the connection free.
+    /// The transaction has ended and the connection is idle.
     LeaseEnded {
         /// The lease that ended.
         lease: LeaseId,
     },
-    /// A commit was answered and its answer waits for confirmation.
+    /// The instance has answered a commit, whose answer waits for confirmation.
     CommitAnswered(Commit),
-    /// A position probe was answered.
+    /// The instance has answered a probe or a status query.
     Probed(ProbeAnswer),
 }
 
-/// An answered probe and when it was asked.
+/// The answer to a probe or a status query.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeAnswer {
     /// Number of the probe.
     pub number: ProbeNumber,
-    /// What the instance said.
+    /// What the instance reported.
     pub report: Report,
-    /// When the question was sent.
+    /// When the probe was sent.
     pub asked: Instant,
 }
 
@@ -91,15 +94,15 @@
 enum State {
     StartingUp,
     Idle,
-    /// Puts the caller's settings in force.
+    /// Applies the session's settings before an exchange.
     Preparing {
         exchange: Box<Exchange>,
         deadline: Instant,
         failed: bool,
     },
-    Running(Box<Running>),
-    /// Removes what the last caller left behind, until this time at the latest.
-    Discarding {
+    Running(Box<RunningExchange>),
+    /// Discards the session state of the last lease, or waits for the end of a cancel request.
+    DiscardingSession {
         until: Instant,
     },
     Probing {
@@ -107,13 +110,13 @@
         asked: Instant,
         report: Option<Report>,
     },
-    /// Rolls an abandoned transaction back, until this time at the latest.
-    Resetting {
+    /// Rolls back an abandoned transaction.
+    RollingBack {
         until: Instant,
     },
 }
 
-/// One connection to a back end.
+/// A connection to an instance.
 #[derive(Debug)]
 pub struct Server {
     connection: Connection,
@@ -121,25 +124,26 @@
     pub group: GroupName,
     /// The instance.
     pub instance: InstanceName,
-    /// What it is for.
-    pub purpose: Use,
-    /// Account whose exchanges it carries.
+    /// The purpose of the connection.
+    pub purpose: Purpose,
+    /// Account whose exchanges it runs.
     account: Option<AccountName>,
     state: State,
     lease: Option<LeaseId>,
     next_sequence: u32,
     next_exchange: u32,
     protocol: Box<dyn BackendProtocol>,
-    /// Key with which the back end cancels what runs here.
-    key: Option<CancelKey>,
-    /// A cancel request may still arrive, so no other lease may use the connection.
+    /// Key of cancel requests for statements on this connection.
+    cancel_key: Option<CancelKey>,
+    /// Whether the connection must be closed after this lease, because a cancel request may still
+    /// arrive.
     is_last_lease: bool,
-    /// Whether each answer tells the instance's position.
+    /// Whether each answer carries the instance's position.
     positions_in_answers: bool,
-    /// Whether the instance does not run: nothing listened at its address, or another instance.
-    was_refused: bool,
-    /// Number under which the status board knows the exchange under way.
-    waiting_number: u64,
+    /// Whether the instance does not run: nothing listens at its address, or another instance does.
+    is_instance_down: bool,
+    /// Number of the running exchange in the node's shared statuses.
+    status_exchange_number: u64,
 }
 
 impl Server {
@@ -148,7 +152,7 @@
         protocol: Box<dyn BackendProtocol>,
         group: GroupName,
         instance: InstanceName,
-        purpose: Use,
+        purpose: Purpose,
     ) -> Self {
         Self {
             connection,
@@ -161,22 +165,22 @@
             next_sequence: 0,
             next_exchange: 0,
             protocol,
-            key: None,
+            cancel_key: None,
             is_last_lease: false,
             positions_in_answers: false,
-            was_refused: false,
-            waiting_number: 0,
+            is_instance_down: false,
+            status_exchange_number: 0,
         }
     }
 
-    /// Opens a connection and sends the start-up message. Returns its key.
+    /// Opens a connection and sends the start-up message. Returns the key of the connection.
     pub fn connect(
         servers: &mut Slab<Server>,
         name: &GroupName,
         group: &Group,
         instance: &Instance,
         account: Option<&AccountName>,
-        purpose: Use,
+        purpose: Purpose,
         io: &mut Io,
     ) -> io::Result<usize> {
         let stream =
@@ -204,11 +208,12 @@
         Ok(key)
     }
 
-    /// Opens a connection that carries nothing but a request to cancel what runs on `target`. A
-    /// request may arrive late, so `target` is closed when its lease ends.
+    /// Opens a connection that carries only a request to cancel the statement on `target`. The
+    /// request may arrive late and must not cancel a later lease, so `target` is closed when its
+    /// lease ends.
     pub fn cancel(servers: &mut Slab<Server>, target: usize, address: SocketAddr, io: &mut Io) {
         let Some(server) = servers.get_mut(target) else { return };
-        let Some(cancel_key) = server.key else { return };
+        let Some(cancel_key) = server.cancel_key else { return };
         server.is_last_lease = true;
         let (group, instance) = (server.group.clone(), server.instance.clone());
         let source = io.context.identity.address;
@@ -220,22 +225,23 @@
         };
         let mut protocol = io.context.protocol.backend();
         protocol.put_cancel(cancel_key, &mut connection.output);
-        let mut server = Self::new(connection, protocol, group, instance, Use::Cancel);
-        server.state = State::Discarding { until: io.now + RESET_LIMIT };
+        let mut server = Self::new(connection, protocol, group, instance, Purpose::Cancel);
+        server.state = State::DiscardingSession { until: io.now + CLEANUP_TIMEOUT };
         entry.insert(server);
     }
 
-    /// The instance does not run: nothing listens at its address, or another instance.
-    pub fn mark_refused(&mut self) {
-        self.was_refused = true;
+    /// Records that the instance does not run: nothing listens at its address, or another instance
+    /// does.
+    pub fn mark_instance_down(&mut self) {
+        self.is_instance_down = true;
     }
 
-    /// Whether the instance was found not to run.
-    pub fn was_refused(&self) -> bool {
-        self.was_refused
+    /// Whether the connection has shown that the instance does not run.
+    pub fn is_instance_down(&self) -> bool {
+        self.is_instance_down
     }
 
-    /// Whether nothing is under way on the connection.
+    /// Whether the connection runs nothing.
     pub fn is_idle(&self) -> bool {
         matches!(self.state, State::Idle)
     }
@@ -245,24 +251,24 @@
         self.lease.as_ref()
     }
 
-    /// Reads what the back end sent.
+    /// Reads from the socket.
     pub fn fill(&mut self) -> ReadOutcome {
         self.connection.fill()
     }
 
-    /// Sends what is queued.
+    /// Writes queued output to the socket.
     pub fn flush(&mut self, io: &mut Io) -> io::Result<()> {
         self.connection.flush(io.registry)
     }
 
-    /// Takes the connection out of the event loop.
+    /// Removes the connection from the event loop.
     pub fn deregister(&mut self, io: &mut Io) {
         self.connection.deregister(io.registry);
     }
 
-    /// Whether `exchange` may be run now: the connection is at rest, the number is the next of its lease,
-    /// and the account the one that the back end was told.
-    pub fn accepts(&self, exchange: &Exchange) -> bool {
+    /// Whether `exchange` can run now: the connection is idle, the exchange is the next of its
+    /// lease, and its account is that of the connection.
+    pub fn can_run(&self, exchange: &Exchange) -> bool {
         let is_next = matches!(self.state, State::Idle) && exchange.number == self.next_exchange;
         is_next && exchange.account == self.account
     }
@@ -274,7 +280,7 @@
         self.next_exchange = 0;
     }
 
-    /// Runs an exchange, once what it needs is in force on the connection.
+    /// Applies the settings that an exchange needs, and then runs it.
     pub fn run(&mut self, exchange: &Exchange, deadline: Instant, io: &Io) {
         if !self.protocol.put_preparation(exchange, &mut self.connection.output) {
             return self.send(exchange, deadline, io);
@@ -283,7 +289,7 @@
         self.state = State::Preparing { exchange, deadline, failed: false };
     }
 
-    /// Sends an exchange, with a position query behind it if it may commit.
+    /// Sends an exchange, followed by a position query if it may commit.
     fn send(&mut self, exchange: &Exchange, deadline: Instant, io: &Io) {
         let output = &mut self.connection.output;
         let before = output.len();
@@ -294,59 +300,60 @@
         }
         let bytes = output.len() - before;
         self.next_exchange = exchange.number + 1;
-        let running = Running::new(exchange, asks_position, bytes, deadline);
+        let running = RunningExchange::new(exchange, asks_position, bytes, deadline);
         self.state = State::Running(Box::new(running));
         if self.positions_in_answers {
             let commits = exchange.may_commit;
             let number = io.context.statuses.on_sent(&self.group, &self.instance, commits);
-            self.waiting_number = number;
+            self.status_exchange_number = number;
         }
     }
 
-    /// Refuses an exchange of this connection's lease without sending it. The lease is over.
+    /// Refuses an exchange of this connection's lease without sending it. The caller must end the
+    /// lease.
     pub fn refuse_unsent(&mut self, exchange: &Exchange, fault: Fault, io: &mut Io) {
         let code = failure_code(stake_of(exchange), Progress::Queued, fault);
         let event = LeaseEvent::Refused(Refusal::new(code, "the statement was not sent"));
-        notify(&exchange.lease, self.next_sequence, event, io);
+        notify_front(&exchange.lease, self.next_sequence, event, io);
     }
 
-    /// Number of the next message to the front of the lease.
+    /// Sequence number of the next event for the front of the lease.
     pub fn next_sequence(&self) -> u32 {
         self.next_sequence
     }
 
-    /// Asks the instance for its position.
-    pub fn ask_position(&mut self, number: ProbeNumber) {
+    /// Queries the position of the instance.
+    pub fn query_position(&mut self, number: ProbeNumber) {
         self.protocol.put_position_query(&mut self.connection.output);
-        // Later than any request that waits for the answer arrived.
+        // Read the clock now: every request that waits for the answer arrived before this time.
         self.state = State::Probing { number, asked: Instant::now(), report: None };
     }
 
-    /// Rolls the transaction of an abandoned lease back so that the connection can be used again;
-    /// false if it has to be closed instead, because an exchange is under way.
-    pub fn reset(&mut self, io: &mut Io) -> bool {
+    /// Rolls back the transaction of an abandoned lease so that the connection can be reused.
+    /// Returns false if it must be closed instead, because an exchange is running.
+    pub fn roll_back(&mut self, io: &mut Io) -> bool {
         if !matches!(self.state, State::Idle) {
             return false;
         }
         self.protocol.put_rollback(&mut self.connection.output);
-        self.state = State::Resetting { until: io.now + RESET_LIMIT };
+        self.state = State::RollingBack { until: io.now + CLEANUP_TIMEOUT };
         true
     }
 
-    /// Whether what the connection does is overdue.
+    /// Whether the current operation has exceeded its time limit.
     pub fn is_overdue(&self, now: Instant) -> bool {
         match &self.state {
-            State::Running(running) => now > running.deadline + DEADLINE_GRACE,
-            State::Preparing { deadline, .. } => now > *deadline + DEADLINE_GRACE,
-            State::Resetting { until } | State::Discarding { until } => now > *until,
-            State::Probing { asked, .. } if self.purpose == Use::Pooled => {
-                now > *asked + STATUS_LIMIT
+            State::Running(running) => now > running.deadline + DEADLINE_GRACE_PERIOD,
+            State::Preparing { deadline, .. } => now > *deadline + DEADLINE_GRACE_PERIOD,
+            State::RollingBack { until } | State::DiscardingSession { until } => now > *until,
+            State::Probing { asked, .. } if self.purpose == Purpose::Pooled => {
+                now > *asked + STATUS_QUERY_TIMEOUT
             }
             State::StartingUp | State::Idle | State::Probing { .. } => false,
         }
     }
 
-    /// The connection is given up: tells the front of the exchange under way. Returns the lease.
+    /// Refuses the running exchange, if any, because the connection is lost. Returns the lease.
     pub fn fail_exchange(&mut self, fault: Fault, io: &mut Io) -> Option<LeaseId> {
         let state = std::mem::replace(&mut self.state, State::Idle);
         if let State::Preparing { exchange, .. } = &state {
@@ -354,12 +361,12 @@
         }
         if let State::Running(mut running) = state {
             if self.positions_in_answers {
-                let number = self.waiting_number;
+                let number = self.status_exchange_number;
                 io.context.statuses.on_ended(&self.group, &self.instance, number, None);
             }
             let unsent = self.connection.output.len();
-            let event = running.failure(fault, unsent, &self.instance);
-            notify(&running.lease, self.next_sequence, event, io);
+            let event = running.failure_event(fault, unsent, &self.instance);
+            notify_front(&running.lease, self.next_sequence, event, io);
         }
         self.lease.take()
     }
--- a/crates/daemon/src/gateway/server_events.rs
+++ b/crates/daemon/src/gateway/server_events.rs
@@ -1,5 +1,5 @@
-//! What back-end connections report, passed on to the pool, the monitor and the confirmations of
-//! their group.
+//! Dispatches the events of connections to the pool, the monitor, the pending confirmations and the
+//! status queries of their group.
 
 use std::time::Instant;
 
@@ -10,29 +10,30 @@
 use super::Gateway;
 use super::confirmation::refuse_late;
 use super::pool::Pool;
-use super::server::{ServerEvent, Use};
+use super::server::{Purpose, ServerEvent};
 use crate::event::Io;
 use crate::metrics::{ConnectionEvent, ProbeEvent};
 use crate::net::connection::ReadOutcome;
-use crate::shared::statuses::Reachability;
+use crate::shared::statuses::ConnectionOutcome;
 
-/// An instance has accepted a connection under its name: whoever else is told at its address has ended.
-fn note_occupant(name: &GroupName, group: &Group, instance: &InstanceName, io: &Io) {
+/// Records that an instance accepted a connection under its name: any other instance that the
+/// platform announces at the same address no longer runs.
+fn record_occupant(name: &GroupName, group: &Group, instance: &InstanceName, io: &Io) {
     let Some(configured) = group.instance(instance) else { return };
-    let before = io.context.occupants.on_answered(configured.address, instance);
-    if let Some(before) = before.filter(|before| group.instance(before).is_some()) {
+    let displaced = io.context.occupants.on_answered(configured.address, instance);
+    if let Some(displaced) = displaced.filter(|name| group.instance(name).is_some()) {
         log::info!(
             event = "instance_displaced",
             group = name.as_str(),
-            instance = before.as_str(),
+            instance = displaced.as_str(),
             by = instance.as_str();
-            "another instance answers at the address of one that is still told"
+            "another instance answers at the address of an instance that is still announced"
         );
     }
 }
 
 impl Gateway {
-    /// Handles readiness of a back-end connection.
+    /// Handles the readiness of a connection to an instance.
     pub fn on_ready(&mut self, key: usize, io: &mut Io) {
         let Some(server) = self.servers.get_mut(key) else { return };
         let outcome = server.fill();
@@ -41,7 +42,7 @@
         let broken = flushed.is_err() || outcome.is_over();
         let refused = |error: std::io::Error| error.kind() == std::io::ErrorKind::ConnectionRefused;
         if outcome == ReadOutcome::Refused || flushed.is_err_and(refused) {
-            server.mark_refused();
+            server.mark_instance_down();
         }
         for event in events {
             self.on_server_event(key, event, io);
@@ -59,26 +60,26 @@
         let Some(configured) = catalog.groups.get(&group) else { return };
         match event {
             ServerEvent::Started(position) => {
-                let made = Reachability::Made(position);
-                io.context.statuses.on_connection(&group, &instance, made);
-                note_occupant(&group, configured, &instance, io);
+                let reachability = ConnectionOutcome::Established(position);
+                io.context.statuses.on_connection(&group, &instance, reachability);
+                record_occupant(&group, configured, &instance, io);
                 return;
             }
-            ServerEvent::Answered | ServerEvent::NoRoom => {
+            ServerEvent::Answered | ServerEvent::InstanceBusy => {
                 if let Some(pool) = state.pools.get_mut(&instance) {
                     pool.on_answer(matches!(event, ServerEvent::Answered), io.now);
                 }
                 return;
             }
-            ServerEvent::Probed(answer) if server.purpose == Use::Pooled => {
-                state.standings.on_answer(&group, &instance, &answer, io);
-                state.questions.on_answer();
-                self.confirm_by_standings(&group, configured, io);
+            ServerEvent::Probed(answer) if server.purpose == Purpose::Pooled => {
+                state.status_queries.on_answer(&group, &instance, &answer, io);
+                state.evidence_queries.on_answer();
+                self.confirm_by_replica_statuses(&group, configured, io);
                 return self.retry_placements(&group, configured, io);
             }
-            ServerEvent::Ready if server.purpose == Use::Pooled => {
-                if state.standings.on_ready(&instance, key, io) {
-                    state.questions.on_answer();
+            ServerEvent::Ready if server.purpose == Purpose::Pooled => {
+                if state.status_queries.on_connection_ready(&instance, key, io) {
+                    state.evidence_queries.on_answer();
                 }
                 if let Some(pool) = state.pools.get_mut(&instance) {
                     pool.on_idle(key, io.now);
@@ -89,13 +90,13 @@
             ServerEvent::Refused => {
                 io.context.metrics.backends.count(ConnectionEvent::Refused);
                 if let Some(pool) = state.pools.get_mut(&instance) {
-                    pool.on_refused(io.now, rand::random());
+                    pool.on_connection_refused(io.now, rand::random());
                 }
                 self.on_server_lost(key, Fault::BackendLost, io);
             }
             ServerEvent::Displaced => {
                 if let Some(server) = self.servers.get_mut(key) {
-                    server.mark_refused();
+                    server.mark_instance_down();
                 }
                 self.on_server_lost(key, Fault::BackendLost, io);
                 let state = self.groups.get_mut(&group);
@@ -116,26 +117,26 @@
             }
             ServerEvent::CommitAnswered(commit) => {
                 let (answered, now) = (&commit.instance, Instant::now());
-                match io.context.replacements.answer_counts(&group, answered, now) {
-                    true => state.confirmations.wait_for(commit, configured, io),
+                match io.context.replacements.may_acknowledge_commit(&group, answered, now) {
+                    true => state.confirmations.add_commit(commit, configured, io),
                     false => refuse_late(&group, commit, io),
                 }
-                self.confirm_by_standings(&group, configured, io);
+                self.confirm_by_replica_statuses(&group, configured, io);
             }
-            ServerEvent::Probed(report) => {
+            ServerEvent::Probed(answer) => {
                 io.context.metrics.probes.count(ProbeEvent::Answered);
                 let wait = state.pools.get(&instance).map(Pool::expected_wait);
                 let majority = configured.majority();
-                let replaced = state.monitor.on_report(&instance, &report, wait, majority, io);
-                state.confirmations.on_report(&instance, &report, configured, io);
-                let questions = &mut state.current_positions;
-                questions.on_report(&group, &instance, &report, configured, io);
+                let replaced = state.monitor.on_report(&instance, &answer, wait, majority, io);
+                state.confirmations.on_report(&instance, &answer, configured, io);
+                let requests = &mut state.current_positions;
+                requests.on_report(&group, &instance, &answer, configured, io);
                 if replaced {
-                    self.fence(&group, io);
+                    self.fence_outdated_primaries(&group, io);
                 }
             }
         }
-        self.ask_standings(&group, io);
-        self.pump_group(&group, io);
+        self.send_status_queries(&group, io);
+        self.advance_group(&group, io);
     }
 }
